--- a/crates/citronproxy/src/edge/control/intake.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         codec::{FORMERS, FormersWire, LeadershipWire, MapKey, MapWire, PLANNER},
-        node::{Holder, Leadership, Node, State},
+        controller::{Holder, Leadership, Node, State},
         watch::WATCHED,
     },
     crate::events,
--- a/crates/citronproxy/src/edge/control/node.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -2,18 +2,18 @@
 
 use {
     super::{
-        counts::Counts,
-        demands::Demands,
-        gossip, members,
-        mirror::Mirror,
+        demand::Demands,
+        heartbeat, members,
+        metrics::Counts,
         moves::Outbox,
         peers::Peers,
         planner, refresh, relay,
+        replica::Mirror,
         watch::{self, CONFIG, RANGES, SERVERS, WATCHED},
     },
     crate::{
         clock::Clock,
-        edge::{EdgeError, EdgeSettings, board::SharedState, pages, view::View},
+        edge::{EdgeError, EdgeSettings, http_server, shared::SharedState, view::View},
         events,
     },
     citron_core::{
@@ -166,12 +166,12 @@
     local.spawn_local(members::enlist(Rc::clone(&node)));
     local.spawn_local(expire(Rc::clone(&node)));
     local.spawn_local(planner::run(Rc::clone(&node)));
-    let listener = pages::listen(node.settings.peer).await?;
+    let listener = http_server::listen(node.settings.peer).await?;
     let tables = Rc::clone(&node);
     let answer = move |request: &Request<_>| relay::table(&tables, request.uri().path());
-    local.spawn_local(pages::serve(listener, answer));
-    let socket = gossip::bind(node.settings.peer).await?;
-    local.run_until(gossip::run(node, socket)).await;
+    local.spawn_local(http_server::serve(listener, answer));
+    let socket = heartbeat::bind(node.settings.peer).await?;
+    local.run_until(heartbeat::run(node, socket)).await;
     Ok(())
 }
 
@@ -384,7 +384,7 @@
     /// have been read.
     pub fn publish(&self) {
         let heard = self.heard_anew.take();
-        if heard > gossip::LOGGED_MAX {
+        if heard > heartbeat::LOGGED_MAX {
             log::info!("{} {heard} instances", events::PEER_HEARD);
         }
         let servers = self.state.borrow_mut().registry.lists().clone();
--- a/crates/citronproxy/src/edge/control/election.rs
+++ b/crates/citronproxy/src/edge/control/election.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        node::{Holder, State},
+        controller::{Holder, State},
         peers::Peer,
     },
     crate::edge::EdgeSettings,
--- a/crates/citronproxy/src/edge/control/gossip.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between instances, over UDP.
 
 use {
-    super::{keys, moves, node::Node, peers::Round, refresh, relay},
+    super::{controller::Node, key_report, moves, peers::Round, refresh, relay},
     crate::{edge::EdgeError, events},
     citron_core::{
         freshness::{HeartbeatSchedule, PropagationTimes, Sender},
@@ -38,7 +38,7 @@
 pub async fn run<A: Adapter>(node: Rc<Node<A>>, socket: UdpSocket) {
     tokio::join!(
         send(&node, &socket),
-        keys::report(&node, &socket),
+        key_report::report(&node, &socket),
         moves::report(&node, &socket),
         receive(&node, &socket)
     );
--- a/crates/citronproxy/src/edge/control/keys.rs
+++ b/crates/citronproxy/src/edge/control/key_report.rs
@@ -1,7 +1,7 @@
 //! The keys that callers ask for, on their way to the planner.
 
 use {
-    super::{gossip::send_to, node::Node},
+    super::{controller::Node, heartbeat::send_to},
     citron_core::ranges::RangeKey,
     citron_ports::Adapter,
     citron_wire::heartbeat::{Datagram, KeysWire},
--- a/crates/citronproxy/src/edge/control/members.rs
+++ b/crates/citronproxy/src/edge/control/members.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         codec::MemberWire,
-        node::Node,
+        controller::Node,
         watch::{CALL_TIME, jitter},
     },
     crate::events,
--- a/crates/citronproxy/src/edge/control/mod.rs
+++ b/crates/citronproxy/src/edge/control/mod.rs
@@ -1,21 +1,21 @@
 //! The control thread: the store, other instances, and the planner.
 
-mod arrival;
+mod apply;
 mod codec;
-mod counts;
-mod demands;
+mod controller;
+mod demand;
 mod election;
-mod gossip;
-mod intake;
-mod keys;
+mod heartbeat;
+mod key_report;
 mod members;
-mod mirror;
+mod metrics;
 mod moves;
-mod node;
 mod peers;
 mod planner;
 mod refresh;
 mod relay;
+mod replica;
+mod transfer;
 mod watch;
 
-pub use node::run;
+pub use controller::run;
--- a/crates/citronproxy/src/edge/control/moves.rs
+++ b/crates/citronproxy/src/edge/control/moves.rs
@@ -1,7 +1,7 @@
 //! Keys on their way, told to all instances ahead of the map.
 
 use {
-    super::{gossip::send_to, node::Node},
+    super::{controller::Node, heartbeat::send_to},
     crate::events,
     citron_core::{
         id::ServiceName,
--- a/crates/citronproxy/src/edge/control/planner/claim.rs
+++ b/crates/citronproxy/src/edge/control/planner/claim.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        formers,
+        former_planners,
         term::{ServicePlan, Term},
     },
     crate::{
         edge::control::{
             codec::{LeadershipWire, PLANNER},
+            controller::{Holder, Node},
             election::{Claimant, Election},
-            node::{Holder, Node},
             refresh,
         },
         events,
@@ -41,7 +41,7 @@
     times: LeaseTimes,
 ) -> Option<Term> {
     let former = node.state.borrow().leadership.clone();
-    let before = formers::still_acting(node, former.as_ref());
+    let before = former_planners::still_acting(node, former.as_ref());
     let wire = LeadershipWire {
         instance: node.settings.instance.to_string(),
         start: node.start,
@@ -81,7 +81,13 @@
     if !term.before.is_empty() {
         let (leadership, before) = (term.leadership.clone(), term.before.clone());
         let node = Rc::clone(node);
-        spawn_local(formers::note(node, leadership, before, begun, times.blind));
+        spawn_local(former_planners::note(
+            node,
+            leadership,
+            before,
+            begun,
+            times.blind,
+        ));
     }
     Some(term)
 }
@@ -94,7 +100,7 @@
         return None;
     }
     let now = node.clock.now();
-    let foreign = formers::stopped_by(&state, &before, times.blind, now);
+    let foreign = former_planners::stopped_by(&state, &before, times.blind, now);
     let maps = state.maps.iter();
     let plans = maps.filter_map(|(service, map)| {
         let book = LeaseBook::new(times, foreign);
--- a/crates/citronproxy/src/edge/control/planner/commit.rs
+++ b/crates/citronproxy/src/edge/control/planner/commit.rs
@@ -4,7 +4,7 @@
     crate::{
         edge::control::{
             codec::{MapKey, MapWire, PLANNER},
-            node::Node,
+            controller::Node,
             refresh, watch,
         },
         events,
--- a/crates/citronproxy/src/edge/control/planner/formers.rs
+++ b/crates/citronproxy/src/edge/control/planner/former_planners.rs
@@ -9,8 +9,8 @@
 use {
     crate::edge::control::{
         codec::{FORMERS, FormersWire, PLANNER},
+        controller::{Holder, Leadership, Node, State},
         election::has_ended,
-        node::{Holder, Leadership, Node, State},
     },
     citron_core::time::{StoreTime, Time},
     citron_ports::{Adapter, RowCommit, RowStore, RowTable},
--- a/crates/citronproxy/src/edge/control/planner/mod.rs
+++ b/crates/citronproxy/src/edge/control/planner/mod.rs
@@ -3,7 +3,7 @@
 mod capacity;
 mod claim;
 mod commit;
-mod formers;
+mod former_planners;
 mod orders;
 mod run;
 mod term;
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to backend servers that hold keys.
 
 use {
-    crate::{edge::control::node::Node, events},
+    crate::{edge::control::controller::Node, events},
     bytes::Bytes,
     citron_core::{
         id::ServerName,
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -8,7 +8,7 @@
         term::{Ended, Term},
     },
     crate::{
-        edge::control::{election::Election, node::Node},
+        edge::control::{controller::Node, election::Election},
         events,
     },
     citron_core::{
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -4,8 +4,8 @@
     super::capacity::{capacities, have_shown_up},
     crate::{
         edge::control::{
+            controller::{Holder, Leadership, Node},
             election::has_stopped,
-            node::{Holder, Leadership, Node},
         },
         events,
     },
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        arrival::Arrival,
-        node::Node,
+        controller::Node,
+        transfer::Arrival,
         watch::{self, CONFIG, RANGES, SERVERS, WATCHED, jitter},
     },
     crate::events,
--- a/crates/citronproxy/src/edge/control/relay.rs
+++ b/crates/citronproxy/src/edge/control/relay.rs
@@ -8,9 +8,9 @@
 //! that they leave.
 
 use {
-    super::{arrival::Arrival, node::Node, watch::WATCHED},
+    super::{controller::Node, transfer::Arrival, watch::WATCHED},
     crate::{
-        edge::pages::{Page, page},
+        edge::http_server::{Page, page},
         events,
     },
     bytes::Bytes,
--- a/crates/citronproxy/src/edge/control/arrival.rs
+++ b/crates/citronproxy/src/edge/control/transfer.rs
@@ -1,7 +1,7 @@
 //! A table that is being transferred to this instance.
 
 use {
-    super::node::Node,
+    super::controller::Node,
     citron_core::{freshness::Fetch, time::Time},
     citron_ports::{Adapter, ReadTimeout},
     std::time::Duration,
--- a/crates/citronproxy/src/edge/control/watch.rs
+++ b/crates/citronproxy/src/edge/control/watch.rs
@@ -1,7 +1,7 @@
 //! Follows the store's tables.
 
 use {
-    super::{arrival::Arrival, node::Node, peers::Peer},
+    super::{controller::Node, peers::Peer, transfer::Arrival},
     citron_ports::{Adapter, RowStore, RowTable, StoreError},
     citron_wire::heartbeat::Heartbeat,
     rand::Rng,
--- a/crates/citronproxy/src/edge/mod.rs
+++ b/crates/citronproxy/src/edge/mod.rs
@@ -5,13 +5,13 @@
 //! of them, plans who owns which keys. One traffic thread serves callers by the
 //! last view that control has published.
 
-mod as_of;
-mod board;
 mod control;
 mod error;
-mod pages;
+mod freshness;
+mod http_server;
 mod run;
 mod settings;
+mod shared;
 mod traffic;
 mod view;
 
--- a/crates/citronproxy/src/edge/run.rs
+++ b/crates/citronproxy/src/edge/run.rs
@@ -2,9 +2,8 @@
 
 use {
     super::{
-        EdgeError, EdgeSettings,
-        board::SharedState,
-        control,
+        EdgeError, EdgeSettings, control,
+        shared::SharedState,
         traffic::{self, Names},
     },
     crate::{clock::Clock, events, traffic::metrics::Metrics},
--- a/crates/citronproxy/src/edge/board.rs
+++ b/crates/citronproxy/src/edge/shared.rs
@@ -1,7 +1,7 @@
 //! What the threads of an instance share.
 
 use {
-    super::{as_of::AsOf, view::View},
+    super::{freshness::AsOf, view::View},
     arc_swap::ArcSwapOption,
     citron_core::{
         crash::{CrashConfig, CrashLog},
--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/exchange.rs
@@ -9,7 +9,7 @@
         paces::Paced,
     },
     crate::{
-        edge::board::SharedState,
+        edge::shared::SharedState,
         traffic::{
             pool::{Connection, Reuse},
             request::{kept_for, strip_hop_by_hop},
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -6,9 +6,9 @@
         clock::Clock,
         edge::{
             EdgeError, EdgeSettings,
-            as_of::Ages,
-            board::SharedState,
-            pages::{self, Page, page},
+            freshness::Ages,
+            http_server::{self, Page, page},
+            shared::SharedState,
         },
         events, logs,
         traffic::{
@@ -166,12 +166,12 @@
     names: Names,
     metrics: Metrics,
 ) -> Result<(), EdgeError> {
-    let listener = pages::listen(settings.traffic).await?;
-    let balancers = pages::listen(settings.ready).await?;
+    let listener = http_server::listen(settings.traffic).await?;
+    let balancers = http_server::listen(settings.ready).await?;
     let shared = Arc::clone(&board);
     let is_ready =
         move |request: &Request<_>| ready::answer(&shared, &names.ready, request.uri().path());
-    spawn_local(pages::serve(balancers, is_ready));
+    spawn_local(http_server::serve(balancers, is_ready));
     let front = Rc::new(Front {
         bounds: SendBounds::within(settings.drain, settings.evacuate),
         leaving: board.leaving(),
@@ -201,11 +201,11 @@
     let Some(address) = front.settings.metrics else {
         return;
     };
-    match pages::listen(address).await {
+    match http_server::listen(address).await {
         Ok(listener) => {
             let counted = Rc::clone(front);
             let answer = move |request: &Request<_>| counted.metrics_page(request.uri().path());
-            spawn_local(pages::serve(listener, answer));
+            spawn_local(http_server::serve(listener, answer));
         }
         Err(error) => log::error!("{} {error}", events::METRICS),
     }
--- a/crates/citronproxy/src/edge/traffic/ready.rs
+++ b/crates/citronproxy/src/edge/traffic/ready.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::edge::{
-        board::SharedState,
-        pages::{Page, page},
+        http_server::{Page, page},
+        shared::SharedState,
     },
     http::StatusCode,
 };
