--- a/crates/citronproxy/src/edge/control/apply.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -2,8 +2,10 @@
 
 use {
     super::{
-        codec::{FORMERS, FormersWire, LeadershipWire, MapKey, MapWire, PLANNER},
-        controller::{Holder, Leadership, Node, State},
+        codec::{
+            FORMER_PLANNERS_KEY, FormerPlannersWire, LeadershipWire, MapKey, MapWire, PLANNER_KEY,
+        },
+        controller::{ControlState, Controller, Leadership, PlannerId},
         watch::WATCHED,
     },
     crate::events,
@@ -18,74 +20,80 @@
 };
 
 /// Entries of servers that change together, up to which each has a log line.
-const LOGGED_MAX: usize = 16;
+const LOGGED_SERVERS_MAX: usize = 16;
 
-impl<A: Adapter> Node<A> {
+impl<A: Adapter> Controller<A> {
     /// Takes in what the store said of a watched table; `whole` if these are all
     /// rows there are. Other instances hear of changes at once.
-    pub fn take(&self, at: usize, set: RowSet, whole: bool) {
-        let newest = if whole { set.version } else { 0 };
-        let changed = self.merge(at, set, newest, whole);
-        if self.take_rows(at, &changed) {
-            self.hurry.notify_one();
+    pub fn apply_store_rows(&self, table: usize, row_set: RowSet, is_snapshot: bool) {
+        let newest_change = if is_snapshot { row_set.version } else { 0 };
+        let changed = self.merge_rows(table, row_set, newest_change, is_snapshot);
+        if self.apply_changed_rows(table, &changed) {
+            self.heartbeat_trigger.notify_one();
         }
     }
 
     /// Takes in what has changed by another instance's word, in an answer to a call
     /// that began at `begun`.
-    pub fn take_over(&self, at: usize, table: TableWire, begun: Time) {
-        let (newest, whole) = (table.head.changed, table.head.whole);
-        self.known_from(at, table.head.age.into(), begun);
-        let changed = self.merge(at, table.into(), newest, whole);
-        if self.take_rows(at, &changed) {
-            self.questions.missed(at, begun);
-            if self.leads() {
-                self.hurry.notify_one();
+    pub fn apply_peer_table(&self, table: usize, wire: TableWire, call_started: Time) {
+        let (newest_change, is_snapshot) = (wire.head.changed, wire.head.whole);
+        self.merge_peer_age(table, wire.head.age.into(), call_started);
+        let changed = self.merge_rows(table, wire.into(), newest_change, is_snapshot);
+        if self.apply_changed_rows(table, &changed) {
+            self.long_polls.record_change(table, call_started);
+            if self.is_domain_reader() {
+                self.heartbeat_trigger.notify_one();
             }
         }
-        self.note_known(at);
+        self.publish_freshness(table);
     }
 
     /// Brings the copy of a table up to date; the changed rows.
-    fn merge(&self, at: usize, set: RowSet, newest: u64, whole: bool) -> Vec<Row> {
-        let mirror = &mut self.state.borrow_mut().mirrors[at];
-        match whole {
-            true => mirror.replace(set, newest),
-            false => mirror.apply(set, newest),
+    fn merge_rows(
+        &self,
+        table: usize,
+        row_set: RowSet,
+        newest_change: u64,
+        is_snapshot: bool,
+    ) -> Vec<Row> {
+        let replica = &mut self.state.borrow_mut().replicas[table];
+        match is_snapshot {
+            true => replica.replace(row_set, newest_change),
+            false => replica.apply(row_set, newest_change),
         }
     }
 
     /// Whether there was anything to take in.
-    fn take_rows(&self, at: usize, changed: &[Row]) -> bool {
+    fn apply_changed_rows(&self, table: usize, changed: &[Row]) -> bool {
         if changed.is_empty() {
             return false;
         }
-        self.relay.caught_up(at);
+        self.relay.caught_up(table);
         let mut state = self.state.borrow_mut();
-        let few = changed.len() <= LOGGED_MAX;
-        if WATCHED[at] == RowTable::Servers && !few {
+        let is_logged = changed.len() <= LOGGED_SERVERS_MAX;
+        if WATCHED[table] == RowTable::Servers && !is_logged {
             let (event, count) = (events::SERVER_STATE, changed.len());
             log::info!("{event} {count} entries at once");
         }
         for row in changed {
-            match WATCHED[at] {
-                RowTable::Config => self.take_config(&mut state, row),
-                RowTable::Servers => self.take_server(&mut state, row, few),
-                RowTable::Ranges | RowTable::Members => self.take_range(&mut state, row),
+            match WATCHED[table] {
+                RowTable::Config => self.apply_config(&mut state, row),
+                RowTable::Servers => self.apply_server(&mut state, row, is_logged),
+                RowTable::Ranges | RowTable::Members => self.apply_range_row(&mut state, row),
             }
         }
         drop(state);
-        self.publish();
-        self.wake.notify_one();
+        self.publish_view();
+        self.plan_trigger.notify_one();
         true
     }
 
     /// The newest configuration counts, whatever comes in which order; one that
     /// cannot be read leaves the last good one in force.
-    fn take_config(&self, state: &mut State, row: &Row) {
+    fn apply_config(&self, state: &mut ControlState, row: &Row) {
         match self.adapter.evacuation(row) {
             Ok(None) => {}
-            Ok(Some(evacuation)) => return self.take_evacuation(state, evacuation, row.version),
+            Ok(Some(evacuation)) => return self.apply_evacuation(state, evacuation, row.version),
             Err(error) => return log::error!("{} {error}", events::EVACUATION_REFUSED),
         }
         let config = match self.adapter.config(row) {
@@ -93,21 +101,21 @@
             Ok(None) => return,
             Err(error) => {
                 log::error!("{} {error}", events::CONFIG_REFUSED);
-                state.newest.on_unreadable(row.version);
+                state.config_versions.on_unreadable(row.version);
                 return;
             }
         };
-        state.newest.on_readable(row.version);
-        let known = state.config.as_ref().map(|config| config.version);
-        if known.is_none_or(|known| config.version > known) {
+        state.config_versions.on_readable(row.version);
+        let current_version = state.config.as_ref().map(|config| config.version);
+        if current_version.is_none_or(|current| config.version > current) {
             log::info!("{} version {}", events::CONFIG, config.version);
             state.config = Some(Arc::new(config));
         }
     }
 
-    fn take_evacuation(&self, state: &mut State, evacuation: Evacuation, version: u64) {
+    fn apply_evacuation(&self, state: &mut ControlState, evacuation: Evacuation, version: u64) {
         let now = self.clock.now();
-        let (domain, what) = match &evacuation {
+        let (domain, change) = match &evacuation {
             Evacuation::Begun(domain) => (domain, "begun"),
             Evacuation::Ended(domain) => (domain, "ended"),
         };
@@ -115,34 +123,34 @@
         let servers = servers.filter(|known| known.entry.domain == *domain);
         let servers = servers.count();
         let event = events::EVACUATION;
-        log::info!("{event} of {domain}: {what}, row {version}, {servers} servers known there");
+        log::info!("{event} of {domain}: {change}, row {version}, {servers} servers known there");
         match evacuation {
             Evacuation::Begun(domain) => state.registry.evacuate(domain, now),
             Evacuation::Ended(domain) => {
-                let cold = state.config.as_ref().map(|config| config.cold_span());
+                let cold_span = state.config.as_ref().map(|config| config.cold_span());
                 state
                     .registry
-                    .restore(&domain, cold.unwrap_or_default(), now);
+                    .restore(&domain, cold_span.unwrap_or_default(), now);
             }
         }
         let evacuated = state.registry.evacuated().len();
-        self.counts.evacuated.set(evacuated as i64);
+        self.metrics.evacuated_domains.set(evacuated as i64);
     }
 
-    fn take_server(&self, state: &mut State, row: &Row, logged: bool) {
+    fn apply_server(&self, state: &mut ControlState, row: &Row, is_logged: bool) {
         let now = self.clock.now();
         if row.value.is_none() {
-            let kept = state.registry.removed(&row.key, now);
+            let retention = state.registry.removed(&row.key, now);
             let (event, id, version) = (events::SERVER_STATE, &row.key, row.version);
-            if logged {
-                log::info!("{event} {id}: listed no more, row {version}, kept for {kept:?}");
+            if is_logged {
+                log::info!("{event} {id}: listed no more, row {version}, kept for {retention:?}");
             }
             return;
         }
         match self.adapter.server(row) {
             Ok(entry) => {
                 let known = state.registry.get(&entry.name);
-                if logged && known.is_none_or(|known| known.entry.state != entry.state) {
+                if is_logged && known.is_none_or(|known| known.entry.state != entry.state) {
                     let (event, version) = (events::SERVER_STATE, row.version);
                     log::info!("{event} {}: {:?}, row {version}", entry.name, entry.state);
                 }
@@ -155,24 +163,28 @@
         }
     }
 
-    fn take_range(&self, state: &mut State, row: &Row) {
-        if row.key == PLANNER {
+    fn apply_range_row(&self, state: &mut ControlState, row: &Row) {
+        if row.key == PLANNER_KEY {
             state.leadership = row
                 .value
                 .as_deref()
-                .and_then(|value| leadership(value, row.version));
+                .and_then(|value| parse_leadership(value, row.version));
             log::info!("{} {:?}", events::PLANNER, state.leadership);
         }
-        if row.key == FORMERS {
-            state.formers = row.value.as_deref().map(formers).unwrap_or_default();
+        if row.key == FORMER_PLANNERS_KEY {
+            state.former_planners = row
+                .value
+                .as_deref()
+                .map(parse_former_planners)
+                .unwrap_or_default();
         }
         if let Ok(key) = row.key.parse::<MapKey>() {
-            take_map(state, key, row);
+            apply_map(state, key, row);
         }
     }
 }
 
-fn take_map(state: &mut State, key: MapKey, row: &Row) {
+fn apply_map(state: &mut ControlState, key: MapKey, row: &Row) {
     let (range, version) = (key.range, row.version);
     let map = state.maps.entry(key.service).or_default();
     let Some(value) = row.value.as_deref() else {
@@ -191,31 +203,40 @@
     }
 }
 
-fn leadership(value: &[u8], version: u64) -> Option<Leadership> {
+fn parse_leadership(value: &[u8], version: u64) -> Option<Leadership> {
     let wire: LeadershipWire = serde_json::from_slice(value)
-        .inspect_err(|error| log::error!("{} {PLANNER}: {error}", events::MAP_REFUSED))
+        .inspect_err(|error| log::error!("{} {PLANNER_KEY}: {error}", events::MAP_REFUSED))
         .ok()?;
-    let holder = |instance: &str, start| {
+    let planner_id = |instance: &str, incarnation| {
         let instance = instance.parse().ok()?;
-        Some(Holder { instance, start })
+        Some(PlannerId {
+            instance,
+            incarnation,
+        })
     };
-    let before = wire.before.iter();
+    let predecessors = wire.before.iter();
     Some(Leadership {
-        holder: holder(&wire.instance, wire.start)?,
-        before: before
-            .filter_map(|(name, start)| holder(name, *start))
+        planner: planner_id(&wire.instance, wire.start)?,
+        predecessors: predecessors
+            .filter_map(|(name, incarnation)| planner_id(name, *incarnation))
             .collect(),
         version,
     })
 }
 
-fn formers(value: &[u8]) -> BTreeMap<Holder, StoreTime> {
-    let wire = serde_json::from_slice::<FormersWire>(value)
-        .inspect_err(|error| log::error!("{} {FORMERS}: {error}", events::MAP_REFUSED));
+fn parse_former_planners(value: &[u8]) -> BTreeMap<PlannerId, StoreTime> {
+    let wire = serde_json::from_slice::<FormerPlannersWire>(value)
+        .inspect_err(|error| log::error!("{} {FORMER_PLANNERS_KEY}: {error}", events::MAP_REFUSED));
     let listed = wire.map_or_else(|_| Vec::new(), |wire| wire.0);
-    let former = |(instance, start, until): (String, u64, u64)| {
+    let parse_entry = |(instance, incarnation, stopped_by): (String, u64, u64)| {
         let instance = instance.parse().ok()?;
-        Some((Holder { instance, start }, StoreTime(until)))
+        Some((
+            PlannerId {
+                instance,
+                incarnation,
+            },
+            StoreTime(stopped_by),
+        ))
     };
-    listed.into_iter().filter_map(former).collect()
+    listed.into_iter().filter_map(parse_entry).collect()
 }
--- a/crates/citronproxy/src/edge/control/codec.rs
+++ b/crates/citronproxy/src/edge/control/codec.rs
@@ -11,14 +11,14 @@
 };
 
 /// Row key of the planner's leadership.
-pub const PLANNER: &str = "planner";
+pub const PLANNER_KEY: &str = "planner";
 /// Row key of the planners that were replaced.
-pub const FORMERS: &str = "formers";
+pub const FORMER_PLANNERS_KEY: &str = "formers";
 /// Begin of the row keys of maps; the service's name follows, and for a part of its keys
-/// [`MAP_PART`] and these.
-const MAP: &str = "map.";
+/// [`MAP_RANGE_SEPARATOR`] and these.
+const MAP_KEY_PREFIX: &str = "map.";
 /// Between a service's name, which cannot hold it, and the keys of a part.
-const MAP_PART: char = '/';
+const MAP_RANGE_SEPARATOR: char = '/';
 
 /// Where a part of a map is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,11 +31,11 @@
 
 impl fmt::Display for MapKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{MAP}{}", self.service)?;
+        write!(f, "{MAP_KEY_PREFIX}{}", self.service)?;
         if self.range == KeyRange::ALL {
             return Ok(());
         }
-        write!(f, "{MAP_PART}{}", self.range)
+        write!(f, "{MAP_RANGE_SEPARATOR}{}", self.range)
     }
 }
 
@@ -43,17 +43,19 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let name = text.strip_prefix(MAP).ok_or("not the row of a map")?;
-        let (service, range) = match name.split_once(MAP_PART) {
-            Some((service, range)) => (service, range.parse().map_err(wrong)?),
+        let name = text
+            .strip_prefix(MAP_KEY_PREFIX)
+            .ok_or("not the row of a map")?;
+        let (service, range) = match name.split_once(MAP_RANGE_SEPARATOR) {
+            Some((service, range)) => (service, range.parse().map_err(error_text)?),
             None => (name, KeyRange::ALL),
         };
-        let service = service.parse().map_err(wrong)?;
+        let service = service.parse().map_err(error_text)?;
         Ok(Self { service, range })
     }
 }
 
-fn wrong(error: impl fmt::Display) -> String {
+fn error_text(error: impl fmt::Display) -> String {
     error.to_string()
 }
 
@@ -72,7 +74,7 @@
 /// Planners that were replaced, and the store's milliseconds by which each has
 /// surely stopped: name, start, time.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct FormersWire(pub Vec<(String, u64, u64)>);
+pub struct FormerPlannersWire(pub Vec<(String, u64, u64)>);
 
 /// Where an instance reaches others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -117,15 +119,15 @@
 impl From<&[Slice]> for MapWire {
     fn from(slices: &[Slice]) -> Self {
         let mut servers = Vec::new();
-        let mut places: HashMap<&ServerName, usize> = HashMap::new();
-        let mut place = |owner| {
-            *places.entry(owner).or_insert_with(|| {
+        let mut indices: HashMap<&ServerName, usize> = HashMap::new();
+        let mut index_of = |owner| {
+            *indices.entry(owner).or_insert_with(|| {
                 servers.push(owner.to_string());
                 servers.len() - 1
             })
         };
         let slices = slices.iter().map(|slice| {
-            let owner = slice.owner.as_ref().map(&mut place);
+            let owner = slice.owner.as_ref().map(&mut index_of);
             SliceWire(
                 slice.range.first.0,
                 owner,
@@ -149,18 +151,18 @@
             return Err(format!("no slice begins at key {}", range.first));
         }
         let mut slices = Vec::with_capacity(self.slices.len());
-        let ends = self.slices.iter().skip(1).map(|next| next.0.checked_sub(1));
-        let ends = ends.chain([Some(range.last.0)]);
-        for (slice, last) in self.slices.iter().zip(ends) {
+        let last_keys = self.slices.iter().skip(1).map(|next| next.0.checked_sub(1));
+        let last_keys = last_keys.chain([Some(range.last.0)]);
+        for (slice, last) in self.slices.iter().zip(last_keys) {
             let last = last.ok_or("a slice begins at key 0 after another")?;
-            let keys = KeyRange::new(RangeKey(slice.0), RangeKey(last)).map_err(wrong)?;
-            let owner = slice.1.map(|place| {
-                let name = self.servers.get(place).ok_or("an owner is not listed")?;
+            let key_range = KeyRange::new(RangeKey(slice.0), RangeKey(last)).map_err(error_text)?;
+            let owner = slice.1.map(|index| {
+                let name = self.servers.get(index).ok_or("an owner is not listed")?;
                 name.parse::<ServerName>()
                     .map_err(|_| "an owner's name is malformed")
             });
             slices.push(Slice {
-                range: keys,
+                range: key_range,
                 owner: owner.transpose()?,
                 epoch: Epoch(slice.2),
                 handover: slice.3.clone(),
--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        demand::Demands,
+        demand::DemandTracker,
         heartbeat, members,
-        metrics::Counts,
-        moves::Outbox,
+        metrics::ControlMetrics,
+        moves::MoveOutbox,
         peers::Peers,
         planner, refresh, relay,
-        replica::Mirror,
+        replica::TableReplica,
         watch::{self, CONFIG, RANGES, SERVERS, WATCHED},
     },
     crate::{
@@ -49,32 +49,32 @@
 };
 
 /// How often entries whose time is over are looked for.
-const TICK: Duration = Duration::from_millis(200);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 /// One start of an instance that plans, or planned.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder {
+pub struct PlannerId {
     /// The instance.
     pub instance: InstanceId,
     /// Its start.
-    pub start: u64,
+    pub incarnation: u64,
 }
 
 /// Who plans, and the version of the row that says so.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
     /// The planner.
-    pub holder: Holder,
+    pub planner: PlannerId,
     /// Those before it that may not have stopped yet.
-    pub before: Vec<Holder>,
+    pub predecessors: Vec<PlannerId>,
     /// Version of the row.
     pub version: u64,
 }
 
 /// Everything that control knows.
 #[derive(Debug)]
-pub struct State {
+pub struct ControlState {
     /// Copies of the watched tables, in the order of [`WATCHED`].
-    pub mirrors: [Mirror; 3],
+    pub replicas: [TableReplica; 3],
     /// Servers.
     pub registry: Registry,
     /// The newest configuration.
@@ -86,27 +86,27 @@
     /// Other instances.
     pub peers: Peers,
     /// Whether this instance acts as the planner.
-    pub planning: bool,
+    pub is_planning: bool,
     /// When the store last told what the maps and the leadership are: the begin of
     /// the call. Answers about other tables do not tell a planner that it still is.
-    pub confirmed: Time,
+    pub ranges_confirmed_at: Time,
     /// Planners that were replaced, and when each has surely stopped.
-    pub formers: BTreeMap<Holder, StoreTime>,
+    pub former_planners: BTreeMap<PlannerId, StoreTime>,
     /// The store's clock.
-    pub times: StoreClock,
+    pub store_clock: StoreClock,
     /// Whether the store answers.
-    pub health: StoreHealth,
+    pub store_health: StoreHealth,
     /// As of when the watched tables are known.
-    pub fresh: Freshness<{ WATCHED.len() }>,
+    pub freshness: Freshness<{ WATCHED.len() }>,
     /// The newest configuration that was heard of.
-    pub newest: VersionTracker,
+    pub config_versions: VersionTracker,
     /// Who sends to cold servers, once the other instances are known.
-    pub group: Option<Arc<Group>>,
+    pub slow_start_group: Option<Arc<Group>>,
 }
 
 /// The control thread's centre.
 #[derive(Debug)]
-pub struct Node<A> {
+pub struct Controller<A> {
     /// The platform.
     pub adapter: A,
     /// The settings.
@@ -114,35 +114,35 @@
     /// The clock.
     pub clock: Clock,
     /// What is shared with traffic.
-    pub board: Arc<SharedState>,
+    pub shared: Arc<SharedState>,
     /// Drawn at each start of the process.
-    pub start: u64,
+    pub incarnation: u64,
     /// What is known.
-    pub state: RefCell<State>,
+    pub state: RefCell<ControlState>,
     /// Whether the store answers.
-    pub store: latest::Sender<bool>,
+    pub store_up: latest::Sender<bool>,
     /// When this instance was entered among the members, and knew them.
-    pub enlisted: Cell<Option<Time>>,
+    pub registered_at: Cell<Option<Time>>,
     /// Questions to the store that are open.
-    pub questions: refresh::Questions,
+    pub long_polls: refresh::LongPolls,
     /// What callers ask for, if this instance plans.
-    pub demands: RefCell<Demands>,
+    pub demands: RefCell<DemandTracker>,
     /// Tables that are on their way here.
     pub fetches: RefCell<Fetches<{ WATCHED.len() }>>,
     /// Tables asked for from others.
     pub relay: relay::Relay,
     /// Keys on their way, to be told to others.
-    pub outbox: Outbox,
+    pub move_outbox: MoveOutbox,
     /// How many instances were heard for the first time, or again, since the last view.
-    pub heard_anew: Cell<usize>,
+    pub new_peers: Cell<usize>,
     /// Edits of the other instances that the group goes by.
-    grouped: Cell<u64>,
+    grouped_edits: Cell<u64>,
     /// Wakes the planner.
-    pub wake: Notify,
+    pub plan_trigger: Notify,
     /// Wakes the sender of heartbeats.
-    pub hurry: Notify,
+    pub heartbeat_trigger: Notify,
     /// What is counted.
-    pub counts: Counts,
+    pub metrics: ControlMetrics,
 }
 
 /// Runs control until the process ends.
@@ -153,193 +153,214 @@
     adapter: A,
     settings: EdgeSettings,
     clock: Clock,
-    board: Arc<SharedState>,
+    shared: Arc<SharedState>,
     registry: &prometheus::Registry,
 ) -> Result<(), EdgeError> {
-    let counts = Counts::new(registry)?;
-    let node = Rc::new(Node::new(adapter, settings, clock, board, counts));
+    let metrics = ControlMetrics::new(registry)?;
+    let controller = Rc::new(Controller::new(adapter, settings, clock, shared, metrics));
     let local = LocalSet::new();
-    for (at, table) in WATCHED.into_iter().enumerate() {
-        local.spawn_local(watch::follow(Rc::clone(&node), at, table));
+    for (table, row_table) in WATCHED.into_iter().enumerate() {
+        local.spawn_local(watch::follow_table(
+            Rc::clone(&controller),
+            table,
+            row_table,
+        ));
     }
-    local.spawn_local(refresh::run(Rc::clone(&node)));
-    local.spawn_local(members::enlist(Rc::clone(&node)));
-    local.spawn_local(expire(Rc::clone(&node)));
-    local.spawn_local(planner::run(Rc::clone(&node)));
-    let listener = http_server::listen(node.settings.peer).await?;
-    let tables = Rc::clone(&node);
-    let answer = move |request: &Request<_>| relay::table(&tables, request.uri().path());
-    local.spawn_local(http_server::serve(listener, answer));
-    let socket = heartbeat::bind(node.settings.peer).await?;
-    local.run_until(heartbeat::run(node, socket)).await;
+    local.spawn_local(refresh::run(Rc::clone(&controller)));
+    local.spawn_local(members::register(Rc::clone(&controller)));
+    local.spawn_local(expire_loop(Rc::clone(&controller)));
+    local.spawn_local(planner::run(Rc::clone(&controller)));
+    let listener = http_server::listen(controller.settings.peer_address).await?;
+    let handler_controller = Rc::clone(&controller);
+    let handler =
+        move |request: &Request<_>| relay::serve_table(&handler_controller, request.uri().path());
+    local.spawn_local(http_server::serve(listener, handler));
+    let socket = heartbeat::bind(controller.settings.peer_address).await?;
+    local.run_until(heartbeat::run(controller, socket)).await;
     Ok(())
 }
 
-async fn expire<A: Adapter>(node: Rc<Node<A>>) {
+async fn expire_loop<A: Adapter>(controller: Rc<Controller<A>>) {
     loop {
-        sleep(TICK).await;
-        let changed = node.state.borrow_mut().registry.tick(node.clock.now());
-        if (node.regroup() || node.heard_anew.get() > 0) && !changed {
-            node.publish();
+        sleep(EXPIRY_INTERVAL).await;
+        let changed = controller
+            .state
+            .borrow_mut()
+            .registry
+            .tick(controller.clock.now());
+        if (controller.update_slow_start_group() || controller.new_peers.get() > 0) && !changed {
+            controller.publish_view();
         }
         if changed {
             // Each start of a server has a name of its own: kept for ever, their
             // loads would add up.
-            let state = node.state.borrow();
-            let known = |name: &ServerName| state.registry.get(name).is_some();
-            node.board.loads().retain(known);
+            let state = controller.state.borrow();
+            let is_registered = |name: &ServerName| state.registry.get(name).is_some();
+            controller.shared.loads().retain(is_registered);
             drop(state);
-            node.publish();
+            controller.publish_view();
         }
     }
 }
 
-impl<A: Adapter> Node<A> {
+impl<A: Adapter> Controller<A> {
     fn new(
         adapter: A,
         settings: EdgeSettings,
         clock: Clock,
-        board: Arc<SharedState>,
-        counts: Counts,
+        shared: Arc<SharedState>,
+        metrics: ControlMetrics,
     ) -> Self {
-        let state = State {
-            mirrors: Default::default(),
-            registry: Registry::new(RegistryTimes::for_drain(settings.drain)),
+        let state = ControlState {
+            replicas: Default::default(),
+            registry: Registry::new(RegistryTimes::for_drain(settings.drain_period)),
             config: None,
             maps: BTreeMap::new(),
             leadership: None,
             peers: Peers::new(settings.domain.clone()),
-            planning: false,
-            confirmed: Time::ZERO,
-            formers: BTreeMap::new(),
-            times: StoreClock::default(),
-            health: StoreHealth::default(),
-            fresh: Freshness::new(FreshnessTimes::STANDARD),
-            newest: VersionTracker::new(FreshnessTimes::STANDARD),
-            group: None,
+            is_planning: false,
+            ranges_confirmed_at: Time::ZERO,
+            former_planners: BTreeMap::new(),
+            store_clock: StoreClock::default(),
+            store_health: StoreHealth::default(),
+            freshness: Freshness::new(FreshnessTimes::STANDARD),
+            config_versions: VersionTracker::new(FreshnessTimes::STANDARD),
+            slow_start_group: None,
         };
         Self {
             adapter,
             settings,
             clock,
-            board,
-            start: rand::random(),
+            shared,
+            incarnation: rand::random(),
             state: RefCell::new(state),
-            store: latest::Sender::new(false),
-            enlisted: Cell::default(),
-            questions: refresh::Questions::default(),
+            store_up: latest::Sender::new(false),
+            registered_at: Cell::default(),
+            long_polls: refresh::LongPolls::default(),
             demands: RefCell::default(),
             fetches: RefCell::new(Fetches::new(FetchTimes::STANDARD)),
             relay: relay::Relay::default(),
-            outbox: Outbox::default(),
-            heard_anew: Cell::default(),
-            grouped: Cell::default(),
-            wake: Notify::new(),
-            hurry: Notify::new(),
-            counts,
+            move_outbox: MoveOutbox::default(),
+            new_peers: Cell::default(),
+            grouped_edits: Cell::default(),
+            plan_trigger: Notify::new(),
+            heartbeat_trigger: Notify::new(),
+            metrics,
         }
     }
 
     /// Whether the instance was asked to leave.
-    pub fn leaving(&self) -> bool {
-        *self.board.leaving().borrow()
+    pub fn is_leaving(&self) -> bool {
+        *self.shared.subscribe_leaving().borrow()
     }
 
     /// Whether this instance plans under this version of the planner's row.
-    pub fn is_leader(&self, version: u64) -> bool {
+    pub fn is_planning_under(&self, version: u64) -> bool {
         let state = self.state.borrow();
-        let known = state.leadership.as_ref().map(|row| row.version);
-        state.planning && known == Some(version)
+        let version_in_force = state.leadership.as_ref().map(|row| row.version);
+        state.is_planning && version_in_force == Some(version)
     }
 
     /// The store told what the maps and the leadership are, or took a write on the
     /// condition of them, in a call that began at `begun`.
-    pub fn confirmed(&self, begun: Time) {
+    pub fn confirm_ranges(&self, call_started: Time) {
         let mut state = self.state.borrow_mut();
-        state.confirmed = state.confirmed.max(begun);
+        state.ranges_confirmed_at = state.ranges_confirmed_at.max(call_started);
     }
 
     /// The store answered a call that began at `begun`, and may have told its time.
-    pub fn store_answered(&self, begun: Time, told: Option<StoreTime>) {
-        self.counts.count_call(true);
+    pub fn on_store_success(&self, call_started: Time, store_time: Option<StoreTime>) {
+        self.metrics.count_store_call(true);
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        if let Some(told) = told {
-            state.times.heard(begun, now, told);
+        if let Some(store_time) = store_time {
+            state.store_clock.heard(call_started, now, store_time);
         }
-        state.health.record_answer(now);
+        state.store_health.record_answer(now);
         drop(state);
-        self.store
-            .send_if_modified(|answers| !std::mem::replace(answers, true));
+        self.store_up
+            .send_if_modified(|is_up| !std::mem::replace(is_up, true));
     }
 
     /// The store answered a question about a table that began at `begun`; `whole` if
     /// it told all rows there are.
-    pub fn on_table_read(&self, at: usize, set: RowSet, whole: bool, begun: Time) {
-        self.store_answered(begun, set.now);
-        if at == RANGES {
-            self.confirmed(begun);
+    pub fn on_table_read(
+        &self,
+        table: usize,
+        row_set: RowSet,
+        is_snapshot: bool,
+        call_started: Time,
+    ) {
+        self.on_store_success(call_started, row_set.now);
+        if table == RANGES {
+            self.confirm_ranges(call_started);
         }
-        self.known_as_of(at, begun);
+        self.record_store_read(table, call_started);
         for other in 0..WATCHED.len() {
             // Nothing at all was written since that one was read.
-            if self.state.borrow().mirrors[other].version == set.version {
-                self.known_as_of(other, begun);
+            if self.state.borrow().replicas[other].version == row_set.version {
+                self.record_store_read(other, call_started);
             }
         }
-        self.take(at, set, whole);
-        (0..WATCHED.len()).for_each(|at| self.note_known(at));
+        self.apply_store_rows(table, row_set, is_snapshot);
+        (0..WATCHED.len()).for_each(|table| self.publish_freshness(table));
     }
 
     /// A table is known as of a moment. To be called before what it tells is taken in:
     /// entries that are missing after an outage may have lapsed in it.
-    fn known_as_of(&self, at: usize, moment: Time) {
-        let outage = self.state.borrow_mut().fresh.record_read(at, moment);
-        self.outage_over(at, outage);
+    fn record_store_read(&self, table: usize, as_of: Time) {
+        let outage = self.state.borrow_mut().freshness.record_read(table, as_of);
+        self.on_outage_end(table, outage);
     }
 
     /// Another instance, whose table is the same, said then how old it is.
-    pub fn record_peer_age(&self, at: usize, age: Option<Duration>, said: Time) {
-        self.known_from(at, age, said);
-        self.note_known(at);
+    pub fn record_peer_age(&self, table: usize, age: Option<Duration>, said_at: Time) {
+        self.merge_peer_age(table, age, said_at);
+        self.publish_freshness(table);
     }
 
     /// As [`Self::known_elsewhere`], before the other's table is taken in.
-    pub fn known_from(&self, at: usize, age: Option<Duration>, said: Time) {
-        let outage = self.state.borrow_mut().fresh.record_peer_age(at, age, said);
-        self.outage_over(at, outage);
+    pub fn merge_peer_age(&self, table: usize, age: Option<Duration>, said_at: Time) {
+        let outage = self
+            .state
+            .borrow_mut()
+            .freshness
+            .record_peer_age(table, age, said_at);
+        self.on_outage_end(table, outage);
     }
 
     /// Tells traffic how current a table is. To be called once what is known is in
     /// force: traffic would deny requests by the old table as if it were the new one.
-    pub fn note_known(&self, at: usize) {
+    pub fn publish_freshness(&self, table: usize) {
         let mut state = self.state.borrow_mut();
-        if at == CONFIG {
-            let mirror = &state.mirrors[CONFIG];
-            let known = mirror.version.max(mirror.changed);
-            state.newest.apply(known);
-            self.note_lag(&state);
+        if table == CONFIG {
+            let replica = &state.replicas[CONFIG];
+            let newest_version = replica.version.max(replica.newest_change);
+            state.config_versions.apply(newest_version);
+            self.publish_lag(&state);
         }
-        if let Some(moment) = state.fresh.as_of(at) {
-            self.board.as_of().note(at, moment);
+        if let Some(as_of) = state.freshness.as_of(table) {
+            self.shared.freshness().set_as_of(table, as_of);
         }
     }
 
     /// Another instance says which configuration it has.
-    pub fn hear_newest(&self, heartbeat: &Heartbeat) {
+    pub fn record_peer_config_version(&self, heartbeat: &Heartbeat) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        state.newest.advertise(heartbeat.versions[CONFIG], now);
-        self.note_lag(&state);
+        state
+            .config_versions
+            .advertise(heartbeat.versions[CONFIG], now);
+        self.publish_lag(&state);
     }
 
-    fn note_lag(&self, state: &State) {
-        let newer = state.newest.lag(state.fresh.as_of(CONFIG));
-        self.board.as_of().note_lag(newer);
+    fn publish_lag(&self, state: &ControlState) {
+        let lag = state.config_versions.lag(state.freshness.as_of(CONFIG));
+        self.shared.freshness().set_lag(lag);
     }
 
-    fn outage_over(&self, at: usize, outage: Option<StoreOutage>) {
-        let Some(outage) = outage.filter(|_| at == SERVERS) else {
+    fn on_outage_end(&self, table: usize, outage: Option<StoreOutage>) {
+        let Some(outage) = outage.filter(|_| table == SERVERS) else {
             return;
         };
         self.state.borrow_mut().registry.store_back(outage.end);
@@ -347,25 +368,25 @@
     }
 
     /// A call to the store failed.
-    pub fn store_failed(&self, what: &str, error: &StoreError) {
-        self.counts.count_call(false);
+    pub fn on_store_failure(&self, call: &str, error: &StoreError) {
+        self.metrics.count_store_call(false);
         let mut state = self.state.borrow_mut();
-        state.health.record_failure(self.clock.now());
-        let up = state.health.is_up();
+        state.store_health.record_failure(self.clock.now());
+        let is_up = state.store_health.is_up();
         drop(state);
-        if up {
-            return log::info!("{} {what}: {error}", events::CALL_FAILED);
+        if is_up {
+            return log::info!("{} {call}: {error}", events::CALL_FAILED);
         }
-        let answered = self
-            .store
-            .send_if_modified(|answers| std::mem::replace(answers, false));
-        if answered {
-            log::warn!("{} {what}: {error}", events::STORE_LOST);
+        let was_up = self
+            .store_up
+            .send_if_modified(|is_up| std::mem::replace(is_up, false));
+        if was_up {
+            log::warn!("{} {call}: {error}", events::STORE_LOST);
         }
     }
 
     /// Takes in parts of a map that this instance has just written.
-    pub fn committed(&self, service: &ServiceName, parts: &[MapPart], version: u64) {
+    pub fn apply_committed_parts(&self, service: &ServiceName, parts: &[MapPart], version: u64) {
         let mut state = self.state.borrow_mut();
         let map = state.maps.entry(service.clone()).or_default();
         let map = Arc::make_mut(map);
@@ -377,67 +398,67 @@
             });
         }
         drop(state);
-        self.publish();
+        self.publish_view();
     }
 
     /// Hands what is known to traffic, once there is a configuration and servers
     /// have been read.
-    pub fn publish(&self) {
-        let heard = self.heard_anew.take();
-        if heard > heartbeat::LOGGED_MAX {
-            log::info!("{} {heard} instances", events::PEER_HEARD);
+    pub fn publish_view(&self) {
+        let new_peers = self.new_peers.take();
+        if new_peers > heartbeat::LOGGED_PEERS_MAX {
+            log::info!("{} {new_peers} instances", events::PEER_HEARD);
         }
         let servers = self.state.borrow_mut().registry.lists().clone();
         let state = self.state.borrow();
         let Some(config) = &state.config else { return };
-        if state.mirrors[1].version == 0 {
+        if state.replicas[1].version == 0 {
             return;
         }
         let now = self.clock.now();
-        let reporting = state.peers.reporting(&self.settings.domain, now);
+        let reporting_count = state.peers.reporting_count(&self.settings.domain, now);
         let version = i64::try_from(config.version.0).unwrap_or(i64::MAX);
-        self.counts.version.set(version);
-        self.counts
+        self.metrics.config_version.set(version);
+        self.metrics
             .instances
             .set(1 + state.peers.live(now).count() as i64);
-        self.board.publish(View {
+        self.shared.publish(View {
             config: Arc::clone(config),
             servers,
             maps: state.maps.clone(),
-            instances: state.peers.count(now),
-            reporting,
-            reports: HeartbeatSchedule::among(reporting).period(Sender::Near),
-            group: state.group.clone(),
+            instance_count: state.peers.instance_count(now),
+            reporting_count,
+            report_interval: HeartbeatSchedule::among(reporting_count).period(Sender::Near),
+            slow_start_group: state.slow_start_group.clone(),
         });
     }
 
     /// Works out anew who sends to cold servers; whether that has changed.
-    fn regroup(&self) -> bool {
+    fn update_slow_start_group(&self) -> bool {
         let now = self.clock.now();
-        let settled = |enlisted| now - enlisted > COLD_WINDOW;
-        if !self.enlisted.get().is_some_and(settled) {
+        let is_settled = |registered_at| now - registered_at > COLD_WINDOW;
+        if !self.registered_at.get().is_some_and(is_settled) {
             return false;
         }
         let mut state = self.state.borrow_mut();
-        let edits = state.peers.edits();
-        if state.group.is_some() && self.grouped.replace(edits) == edits {
+        let edits = state.peers.membership_edits();
+        if state.slow_start_group.is_some() && self.grouped_edits.replace(edits) == edits {
             return false;
         }
-        let me = &self.settings.instance;
+        let instance = &self.settings.instance;
         let mut members = state.peers.members();
-        members.insert(me.clone(), self.settings.domain.clone());
-        let former = state.group.as_ref();
-        if former.is_some_and(|group| *group.members() == members) {
+        members.insert(instance.clone(), self.settings.domain.clone());
+        let group = state.slow_start_group.as_ref();
+        if group.is_some_and(|group| *group.members() == members) {
             return false;
         }
-        let number = former.map_or(0, |group| group.number()) + 1;
-        state.group = Some(Arc::new(Group::new(me.clone(), members, number)));
+        let number = group.map_or(0, |group| group.number()) + 1;
+        state.slow_start_group = Some(Arc::new(Group::new(instance.clone(), members, number)));
         true
     }
 
-    fn crashes(&self) -> Option<CrashesWire> {
-        let mut crashes = self.board.crashes();
-        let report = (!crashes.is_empty()).then(|| crashes.report(self.clock.now()));
+    fn crash_report(&self) -> Option<CrashesWire> {
+        let mut crash_log = self.shared.crashes();
+        let report = (!crash_log.is_empty()).then(|| crash_log.report(self.clock.now()));
         report
             .filter(|report| !report.counts.is_empty() || !report.lifts.is_empty())
             .map(Into::into)
@@ -446,27 +467,27 @@
     /// What this instance tells others now.
     pub fn heartbeat(&self) -> Heartbeat {
         let now = self.clock.now();
-        let loads = self.board.loads().own(now);
+        let loads = self.shared.loads().own(now);
         let state = self.state.borrow();
-        let ages = state.fresh.ages(now);
-        self.counts.count_ages(&ages);
-        self.counts.planning.set(i64::from(state.planning));
+        let ages = state.freshness.ages(now);
+        self.metrics.set_table_age(&ages);
+        self.metrics.planning.set(i64::from(state.is_planning));
         Heartbeat {
             instance: self.settings.instance.to_string(),
-            start: self.start,
+            start: self.incarnation,
             domain: self.settings.domain.to_string(),
-            leaving: self.leaving(),
-            cpu: self.settings.cpu,
-            planning: state.planning,
-            store: *self.store.borrow(),
-            versions: [0, 1, 2].map(|at: usize| state.mirrors[at].changed),
+            leaving: self.is_leaving(),
+            cpu: self.settings.cpu_percent,
+            planning: state.is_planning,
+            store: *self.store_up.borrow(),
+            versions: [0, 1, 2].map(|table: usize| state.replicas[table].newest_change),
             ages: ages.map(AgeWire::from),
             leadership: state
                 .leadership
                 .as_ref()
                 .map_or(0, |leadership| leadership.version),
             loads: loads.into_iter().map(Into::into).collect(),
-            crashes: self.crashes(),
+            crashes: self.crash_report(),
         }
     }
 }
--- a/crates/citronproxy/src/edge/control/demand.rs
+++ b/crates/citronproxy/src/edge/control/demand.rs
@@ -11,12 +11,12 @@
 
 /// Demand of each service whose servers hold keys.
 #[derive(Debug, Default)]
-pub struct Demands {
+pub struct DemandTracker {
     services: BTreeMap<ServiceName, DemandWindows>,
-    sudden: bool,
+    has_sudden_change: bool,
 }
 
-impl Demands {
+impl DemandTracker {
     /// Counts a request.
     pub fn add(&mut self, service: &ServiceName, key: RangeKey, now: Time) {
         if !self.services.contains_key(service) {
@@ -29,16 +29,16 @@
     }
 
     /// Looks whether other keys of a service are asked for all of a sudden.
-    pub fn look(&mut self, service: &ServiceName, now: Time) -> bool {
+    pub fn check_sudden_change(&mut self, service: &ServiceName, now: Time) -> bool {
         let windows = self.services.get_mut(service);
-        let sudden = windows.is_some_and(|windows| windows.look(now));
-        self.sudden |= sudden;
-        sudden
+        let is_sudden = windows.is_some_and(|windows| windows.look(now));
+        self.has_sudden_change |= is_sudden;
+        is_sudden
     }
 
     /// Whether that was so since the last call.
-    pub fn take_sudden(&mut self) -> bool {
-        std::mem::take(&mut self.sudden)
+    pub fn take_sudden_change(&mut self) -> bool {
+        std::mem::take(&mut self.has_sudden_change)
     }
 
     /// Whether too little is known yet of a change.
@@ -48,12 +48,12 @@
     }
 
     /// Whether callers have asked for keys of a service.
-    pub fn is_asked(&self, service: &ServiceName) -> bool {
+    pub fn is_requested(&self, service: &ServiceName) -> bool {
         self.services.contains_key(service)
     }
 
     /// The demand that plans go by.
-    pub fn seen(&self, service: &ServiceName, now: Time) -> Demand {
+    pub fn current(&self, service: &ServiceName, now: Time) -> Demand {
         let windows = self.services.get(service);
         windows.map_or_else(Demand::default, |windows| windows.seen(now))
     }
--- a/crates/citronproxy/src/edge/control/election.rs
+++ b/crates/citronproxy/src/edge/control/election.rs
@@ -6,7 +6,7 @@
 
 use {
     super::{
-        controller::{Holder, State},
+        controller::{ControlState, PlannerId},
         peers::Peer,
     },
     crate::edge::EdgeSettings,
@@ -17,14 +17,14 @@
 
 /// Pause between the claims of two instances, by their rank: the first one's is
 /// written and known to all meanwhile.
-const RANK: Duration = Duration::from_millis(150);
+const CLAIM_STAGGER: Duration = Duration::from_millis(150);
 /// How long a planner that the store does not answer is left its leadership: it may
 /// still renew, and only lacks moves.
-const STORELESS: Duration = Duration::from_secs(2);
+const STORE_OUTAGE_GRACE: Duration = Duration::from_secs(2);
 
 /// How long the first instances of a deployment wait before one of them claims: by then they
 /// have heard which of them has the most of a processor.
-const FIRST_CLAIM: Duration = Duration::from_secs(1);
+const FIRST_CLAIM_DELAY: Duration = Duration::from_secs(1);
 
 /// An instance that may claim the leadership.
 #[derive(Debug)]
@@ -32,108 +32,120 @@
     /// Its settings.
     pub settings: &'a EdgeSettings,
     /// Its start.
-    pub start: u64,
+    pub incarnation: u64,
     /// When it was entered among the members.
-    pub enlisted: Option<Time>,
+    pub registered_at: Option<Time>,
 }
 
 /// Watches the leadership.
 #[derive(Debug)]
 pub struct Election {
-    begun: Time,
-    vacant: Option<Time>,
-    silence: HolderSilence,
+    started_at: Time,
+    vacant_since: Option<Time>,
+    planner_silence: HolderSilence,
 }
 
 impl Election {
     /// For an instance that started now.
     pub fn new(now: Time) -> Self {
         Self {
-            begun: now,
-            vacant: None,
-            silence: HolderSilence::new(now),
+            started_at: now,
+            vacant_since: None,
+            planner_silence: HolderSilence::new(now),
         }
     }
 
     /// Whether this instance should claim the leadership now.
-    pub fn claims(&mut self, state: &State, me: &Claimant<'_>, now: Time) -> bool {
+    pub fn should_claim(
+        &mut self,
+        state: &ControlState,
+        claimant: &Claimant<'_>,
+        now: Time,
+    ) -> bool {
         let version = state.leadership.as_ref().map_or(0, |row| row.version);
-        self.silence.observe(version, now);
-        if !self.is_vacant(state, me, now) {
-            self.vacant = None;
+        self.planner_silence.observe(version, now);
+        if !self.is_vacant(state, claimant, now) {
+            self.vacant_since = None;
             return false;
         }
-        if !hears_planner(state, me.settings, now) {
+        if !receives_planner_heartbeats(state, claimant.settings, now) {
             return false;
         }
-        let since = *self.vacant.get_or_insert(now);
-        now - since >= RANK * rank(state, me.settings, now)
+        let vacant_since = *self.vacant_since.get_or_insert(now);
+        now - vacant_since >= CLAIM_STAGGER * claim_rank(state, claimant.settings, now)
     }
 
     /// After a claim that was not the first: others are given time.
-    pub fn wait(&mut self, now: Time) {
-        self.vacant = Some(now);
+    pub fn restart_claim_delay(&mut self, now: Time) {
+        self.vacant_since = Some(now);
     }
 
-    fn is_vacant(&self, state: &State, me: &Claimant<'_>, now: Time) -> bool {
+    fn is_vacant(&self, state: &ControlState, claimant: &Claimant<'_>, now: Time) -> bool {
         let Some(leadership) = &state.leadership else {
-            return now - self.begun > FIRST_CLAIM;
+            return now - self.started_at > FIRST_CLAIM_DELAY;
         };
-        let holder = &leadership.holder;
-        if holder.instance == me.settings.instance {
+        let planner = &leadership.planner;
+        if planner.instance == claimant.settings.instance {
             // This start is named and does not plan if the answer to its claim was lost.
-            return holder.start != me.start || !state.planning;
+            return planner.incarnation != claimant.incarnation || !state.is_planning;
         }
-        if has_ended(state, holder) {
+        if has_ended(state, planner) {
             return true;
         }
         // Before others know this instance they cannot tell it anything.
-        let Some(enlisted) = me.enlisted else {
+        let Some(registered_at) = claimant.registered_at else {
             return false;
         };
-        let peer = state.peers.get(&holder.instance);
-        let heard = peer.and_then(|peer| peer.heard);
-        if self.silence.is_lost(heard.max(Some(enlisted)), now) {
+        let peer = state.peers.get(&planner.instance);
+        let last_heard = peer.and_then(|peer| peer.last_heard);
+        if self
+            .planner_silence
+            .is_lost(last_heard.max(Some(registered_at)), now)
+        {
             return true;
         }
         let Some(heartbeat) = peer.and_then(|peer| peer.heartbeat.as_ref()) else {
             return false;
         };
-        heartbeat.leaving || (!heartbeat.store && now - self.begun > STORELESS)
+        heartbeat.leaving || (!heartbeat.store && now - self.started_at > STORE_OUTAGE_GRACE)
     }
 }
 
 /// Whether a start has surely ended.
-pub fn has_ended(state: &State, holder: &Holder) -> bool {
-    let peer = state.peers.get(&holder.instance);
+pub fn has_ended(state: &ControlState, planner: &PlannerId) -> bool {
+    let peer = state.peers.get(&planner.instance);
     let heartbeat = peer.and_then(|peer| peer.heartbeat.as_ref());
-    heartbeat.is_some_and(|heartbeat| heartbeat.start != holder.start)
+    heartbeat.is_some_and(|heartbeat| heartbeat.start != planner.incarnation)
 }
 
 /// Whether a former planner has surely stopped, now that `version` of the row
 /// names another.
-pub fn has_stopped(state: &State, holder: &Holder, version: u64) -> bool {
-    let peer = state.peers.get(&holder.instance);
+pub fn has_stopped_planning(state: &ControlState, planner: &PlannerId, version: u64) -> bool {
+    let peer = state.peers.get(&planner.instance);
     let heartbeat = peer.and_then(|peer| peer.heartbeat.as_ref());
-    let stopped = |heartbeat: &Heartbeat| !heartbeat.planning && heartbeat.leadership >= version;
-    has_ended(state, holder) || heartbeat.is_some_and(stopped)
+    let stopped_planning =
+        |heartbeat: &Heartbeat| !heartbeat.planning && heartbeat.leadership >= version;
+    has_ended(state, planner) || heartbeat.is_some_and(stopped_planning)
 }
 
 /// Whether a planner's heartbeats reach this instance: with many instances only in
 /// its failure domain, and the first one of each other.
-fn hears_planner(state: &State, me: &EdgeSettings, now: Time) -> bool {
-    let near = |peer: &Peer| peer.domain.as_ref() == Some(&me.domain);
+fn receives_planner_heartbeats(state: &ControlState, settings: &EdgeSettings, now: Time) -> bool {
+    let same_domain = |peer: &Peer| peer.domain.as_ref() == Some(&settings.domain);
     let mut live = state.peers.live(now);
-    let first = !live.any(|(name, peer)| *name < me.instance && near(peer));
+    let is_first = !live.any(|(name, peer)| *name < settings.instance && same_domain(peer));
     let planner = state
         .leadership
         .as_ref()
-        .and_then(|leadership| state.peers.get(&leadership.holder.instance));
-    first || state.peers.hears_all() || planner.is_some_and(near)
+        .and_then(|leadership| state.peers.get(&leadership.planner.instance));
+    is_first || state.peers.is_full_mesh() || planner.is_some_and(same_domain)
 }
 
 /// Live instances that come before this one.
-fn rank(state: &State, me: &EdgeSettings, now: Time) -> u32 {
-    let before = state.peers.before(&me.instance, me.cpu, now).count();
-    u32::try_from(before).unwrap_or(u32::MAX)
+fn claim_rank(state: &ControlState, settings: &EdgeSettings, now: Time) -> u32 {
+    let preferred = state
+        .peers
+        .preferred_with_store(&settings.instance, settings.cpu_percent, now)
+        .count();
+    u32::try_from(preferred).unwrap_or(u32::MAX)
 }
--- a/crates/citronproxy/src/edge/control/heartbeat.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between instances, over UDP.
 
 use {
-    super::{controller::Node, key_report, moves, peers::Round, refresh, relay},
+    super::{controller::Controller, key_report, moves, peers::HeartbeatRound, refresh, relay},
     crate::{edge::EdgeError, events},
     citron_core::{
         freshness::{HeartbeatSchedule, PropagationTimes, Sender},
@@ -15,12 +15,12 @@
 };
 
 /// Instances heard anew together, up to which each has a log line.
-pub const LOGGED_MAX: usize = 8;
+pub const LOGGED_PEERS_MAX: usize = 8;
 /// Datagrams that are taken before other tasks have their turn.
-const BATCH: usize = 64;
+const RECEIVE_BATCH_MAX: usize = 64;
 /// Datagrams that are read longer after the socket was empty count as sent then: the
 /// process was suspended or starved, and they may have waited since.
-const QUEUED_MAX: Duration = Duration::from_millis(200);
+const QUEUE_DELAY_MAX: Duration = Duration::from_millis(200);
 
 /// Listens for datagrams.
 ///
@@ -35,113 +35,132 @@
 }
 
 /// Sends and takes datagrams for good.
-pub async fn run<A: Adapter>(node: Rc<Node<A>>, socket: UdpSocket) {
+pub async fn run<A: Adapter>(controller: Rc<Controller<A>>, socket: UdpSocket) {
     tokio::join!(
-        send(&node, &socket),
-        key_report::report(&node, &socket),
-        moves::report(&node, &socket),
-        receive(&node, &socket)
+        send_loop(&controller, &socket),
+        key_report::run(&controller, &socket),
+        moves::run(&controller, &socket),
+        receive_loop(&controller, &socket)
     );
 }
 
-async fn send<A: Adapter>(node: &Rc<Node<A>>, socket: &UdpSocket) {
-    let mut number = 0;
+async fn send_loop<A: Adapter>(controller: &Rc<Controller<A>>, socket: &UdpSocket) {
+    let mut round_number = 0;
     loop {
-        let now = node.clock.now();
-        send_heartbeats(node, socket, number).await;
-        number += 1;
+        let now = controller.clock.now();
+        send_heartbeats(controller, socket, round_number).await;
+        round_number += 1;
         let pause = {
-            let state = node.state.borrow();
-            let reporting = state.peers.reporting(&node.settings.domain, now);
-            let sender = match state.planning {
+            let state = controller.state.borrow();
+            let reporting_count = state
+                .peers
+                .reporting_count(&controller.settings.domain, now);
+            let sender = match state.is_planning {
                 true => Sender::Planner,
                 false => Sender::Near,
             };
-            HeartbeatSchedule::among(reporting).period(sender)
+            HeartbeatSchedule::among(reporting_count).period(sender)
         };
-        if timeout(pause, node.hurry.notified()).await.is_ok() {
+        if timeout(pause, controller.heartbeat_trigger.notified())
+            .await
+            .is_ok()
+        {
             // Something that all should know at once.
-            number = 0;
+            round_number = 0;
         }
     }
 }
 
-async fn send_heartbeats<A: Adapter>(node: &Node<A>, socket: &UdpSocket, number: u64) {
-    let due = {
-        let state = node.state.borrow();
-        let round = Round {
+async fn send_heartbeats<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket, number: u64) {
+    let recipients = {
+        let state = controller.state.borrow();
+        let round = HeartbeatRound {
             number,
-            domain: &node.settings.domain,
+            domain: &controller.settings.domain,
             planner: state
                 .leadership
                 .as_ref()
-                .map(|leadership| &leadership.holder.instance),
-            planning: state.planning,
+                .map(|leadership| &leadership.planner.instance),
+            is_planner: state.is_planning,
         };
-        state.peers.due(&round, node.clock.now())
+        state.peers.recipients(&round, controller.clock.now())
     };
-    if due.is_empty() {
+    if recipients.is_empty() {
         return;
     }
-    let heartbeat = node.heartbeat();
-    let short = Heartbeat {
+    let heartbeat = controller.heartbeat();
+    let without_loads = Heartbeat {
         loads: Vec::new(),
         ..heartbeat.clone()
     };
-    let (Some(short), Some(whole)) = (short.encode_fitting(), heartbeat.encode_fitting()) else {
+    let (Some(without_loads), Some(full)) =
+        (without_loads.encode_fitting(), heartbeat.encode_fitting())
+    else {
         return log::error!("{} a heartbeat is too long", events::DATAGRAM_REFUSED);
     };
-    for to in due {
-        let bytes = if to.loads { &whole } else { &short };
-        send_to(socket, bytes, to.address).await;
+    for recipient in recipients {
+        let bytes = if recipient.with_loads {
+            &full
+        } else {
+            &without_loads
+        };
+        send_datagram(socket, bytes, recipient.address).await;
     }
 }
 
 /// Sends a datagram; what is lost is sent again with the next one.
-pub async fn send_to(socket: &UdpSocket, bytes: &[u8], address: SocketAddr) {
+pub async fn send_datagram(socket: &UdpSocket, bytes: &[u8], address: SocketAddr) {
     if let Err(error) = socket.send_to(bytes, address).await {
         log::debug!("a datagram to {address}: {error}");
     }
 }
 
-async fn receive<A: Adapter>(node: &Rc<Node<A>>, socket: &UdpSocket) {
+async fn receive_loop<A: Adapter>(controller: &Rc<Controller<A>>, socket: &UdpSocket) {
     // When no datagram was waiting.
-    let mut empty = node.clock.now();
+    let mut drained_at = controller.clock.now();
     loop {
-        let begun = node.clock.now();
+        let wait_started = controller.clock.now();
         match timeout(PropagationTimes::STANDARD.poll_interval, socket.readable()).await {
-            Ok(Ok(())) => empty = take_waiting(node, socket, empty),
+            Ok(Ok(())) => drained_at = receive_batch(controller, socket, drained_at),
             Ok(Err(error)) => log::debug!("receive datagrams: {error}"),
-            Err(_) => empty = begun,
+            Err(_) => drained_at = wait_started,
         }
     }
 }
 
 /// Takes datagrams that have come since a moment; when none was waiting any more.
-fn take_waiting<A: Adapter>(node: &Rc<Node<A>>, socket: &UdpSocket, empty: Time) -> Time {
+fn receive_batch<A: Adapter>(
+    controller: &Rc<Controller<A>>,
+    socket: &UdpSocket,
+    drained_at: Time,
+) -> Time {
     let mut buffer = [0; DATAGRAM_MAX + 1];
-    for _ in 0..BATCH {
-        let now = node.clock.now();
+    for _ in 0..RECEIVE_BATCH_MAX {
+        let now = controller.clock.now();
         match socket.try_recv_from(&mut buffer) {
             Ok((size, from)) => {
-                let sent = if now - empty > QUEUED_MAX { empty } else { now };
-                if take(node, from, &buffer[..size], sent) {
-                    greet(node, socket, from);
+                let sent = if now - drained_at > QUEUE_DELAY_MAX {
+                    drained_at
+                } else {
+                    now
+                };
+                if handle_datagram(controller, from, &buffer[..size], sent) {
+                    reply_to_new_peer(controller, socket, from);
                 }
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => return now,
             Err(error) => log::debug!("receive a datagram: {error}"),
         }
     }
-    empty
+    drained_at
 }
 
 /// Answers the first heartbeat of an instance. Only that one is told: after a start of
 /// all at once, a round to all for each that is heard would be their number squared.
-fn greet<A: Adapter>(node: &Node<A>, socket: &UdpSocket, to: SocketAddr) {
+fn reply_to_new_peer<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket, to: SocketAddr) {
     let heartbeat = Heartbeat {
         loads: Vec::new(),
-        ..node.heartbeat()
+        ..controller.heartbeat()
     };
     let Some(bytes) = heartbeat.encode_fitting() else {
         return log::error!("{} a heartbeat is too long", events::DATAGRAM_REFUSED);
@@ -153,15 +172,22 @@
 
 /// Takes a datagram that was sent then, as far as is known; whether its sender was not
 /// known, or lost, before.
-fn take<A: Adapter>(node: &Rc<Node<A>>, from: SocketAddr, bytes: &[u8], sent: Time) -> bool {
+fn handle_datagram<A: Adapter>(
+    controller: &Rc<Controller<A>>,
+    from: SocketAddr,
+    bytes: &[u8],
+    sent: Time,
+) -> bool {
     match Datagram::decode(bytes) {
-        Some(Datagram::Heartbeat(heartbeat)) => return hear(node, from, heartbeat, sent),
+        Some(Datagram::Heartbeat(heartbeat)) => {
+            return handle_heartbeat(controller, from, heartbeat, sent);
+        }
         Some(Datagram::Keys(keys)) => {
-            for part in keys {
-                node.note_keys(&part.service, &part.keys);
+            for report in keys {
+                controller.record_keys(&report.service, &report.keys);
             }
         }
-        Some(Datagram::Moves(moves)) => node.hear_moves(moves),
+        Some(Datagram::Moves(moves)) => controller.apply_moves(moves),
         None => {
             let size = bytes.len();
             log::warn!("{} {size} bytes from {from}", events::DATAGRAM_REFUSED);
@@ -170,8 +196,8 @@
     false
 }
 
-fn hear<A: Adapter>(
-    node: &Rc<Node<A>>,
+fn handle_heartbeat<A: Adapter>(
+    controller: &Rc<Controller<A>>,
     from: SocketAddr,
     heartbeat: Heartbeat,
     sent: Time,
@@ -179,45 +205,49 @@
     let Ok(name) = heartbeat.instance.parse::<InstanceId>() else {
         return false;
     };
-    if name == node.settings.instance {
+    if name == controller.settings.instance {
         return false;
     }
-    let now = node.clock.now();
-    if node.hears_loads(&heartbeat) {
+    let now = controller.clock.now();
+    if controller.reports_loads(&heartbeat) {
         let loads = heartbeat.loads.iter();
         let loads = loads.filter_map(|load| load.clone().try_into().ok());
-        let mut book = node.board.loads();
-        book.report(name.clone(), loads.collect(), now);
+        let mut load_book = controller.shared.loads();
+        load_book.report(name.clone(), loads.collect(), now);
     }
     if let Some(crashes) = heartbeat.crashes.clone() {
         let sender = (name.clone(), Incarnation(heartbeat.start));
-        node.board.crashes().merge(sender, crashes.into(), now);
+        controller
+            .shared
+            .crashes()
+            .merge(sender, crashes.into(), now);
     }
-    node.hear_newest(&heartbeat);
-    refresh::hear_ages(node, &heartbeat, sent);
-    relay::catch_up(node, from, &heartbeat);
-    let new = node
+    controller.record_peer_config_version(&heartbeat);
+    refresh::apply_peer_ages(controller, &heartbeat, sent);
+    relay::fetch_newer_tables(controller, from, &heartbeat);
+    let is_new = controller
         .state
         .borrow_mut()
         .peers
-        .heard(&name, from, heartbeat, now);
-    if new {
-        let heard = node.heard_anew.get() + 1;
-        node.heard_anew.set(heard);
-        if heard <= LOGGED_MAX {
+        .apply_heartbeat(&name, from, heartbeat, now);
+    if is_new {
+        let count = controller.new_peers.get() + 1;
+        controller.new_peers.set(count);
+        if count <= LOGGED_PEERS_MAX {
             log::info!("{} {name} at {from}", events::PEER_HEARD);
         }
     }
-    new
+    is_new
 }
 
-impl<A: Adapter> Node<A> {
+impl<A: Adapter> Controller<A> {
     /// Whether a heartbeat tells its sender's loads. Without any it may say that there
     /// are none, or only that this instance is not told.
-    fn hears_loads(&self, heartbeat: &Heartbeat) -> bool {
+    fn reports_loads(&self, heartbeat: &Heartbeat) -> bool {
         if !heartbeat.loads.is_empty() {
             return true;
         }
-        heartbeat.domain == self.settings.domain.as_str() || self.state.borrow().peers.hears_all()
+        heartbeat.domain == self.settings.domain.as_str()
+            || self.state.borrow().peers.is_full_mesh()
     }
 }
--- a/crates/citronproxy/src/edge/control/key_report.rs
+++ b/crates/citronproxy/src/edge/control/key_report.rs
@@ -1,7 +1,7 @@
 //! The keys that callers ask for, on their way to the planner.
 
 use {
-    super::{controller::Node, heartbeat::send_to},
+    super::{controller::Controller, heartbeat::send_datagram},
     citron_core::ranges::RangeKey,
     citron_ports::Adapter,
     citron_wire::heartbeat::{Datagram, KeysWire},
@@ -11,20 +11,20 @@
 
 /// Time between two reports. A range of keys that turns hot loses its callers for so
 /// long; with hundreds of instances heartbeats are rarer.
-const EVERY: Duration = Duration::from_millis(150);
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 /// Keys in one datagram at most.
-const KEYS: usize = 400;
+const KEYS_PER_DATAGRAM_MAX: usize = 400;
 
 /// Tells the planner of the keys that callers ask for, for good.
-pub async fn report<A: Adapter>(node: &Node<A>, socket: &UdpSocket) {
+pub async fn run<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket) {
     loop {
-        send(node, socket).await;
-        sleep(EVERY).await;
+        send_keys(controller, socket).await;
+        sleep(REPORT_INTERVAL).await;
     }
 }
 
-async fn send<A: Adapter>(node: &Node<A>, socket: &UdpSocket) {
-    let keys = node.board.take_keys();
+async fn send_keys<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket) {
+    let keys = controller.shared.take_keys();
     if keys.is_empty() {
         return;
     }
@@ -32,43 +32,45 @@
     for (service, key) in keys {
         services.entry(service.to_string()).or_default().push(key.0);
     }
-    if node.state.borrow().planning {
+    if controller.state.borrow().is_planning {
         for (service, keys) in services {
-            node.note_keys(&service, &keys);
+            controller.record_keys(&service, &keys);
         }
         return;
     }
-    let planner = {
-        let state = node.state.borrow();
+    let planner_address = {
+        let state = controller.state.borrow();
         let leadership = state.leadership.as_ref();
         leadership
-            .and_then(|leadership| state.peers.get(&leadership.holder.instance))
+            .and_then(|leadership| state.peers.get(&leadership.planner.instance))
             .map(|peer| peer.address)
     };
-    let Some(planner) = planner else { return };
+    let Some(planner_address) = planner_address else {
+        return;
+    };
     for (service, keys) in services {
-        for part in keys.chunks(KEYS) {
+        for chunk in keys.chunks(KEYS_PER_DATAGRAM_MAX) {
             let service = service.clone();
-            let keys = part.to_vec();
+            let keys = chunk.to_vec();
             if let Some(bytes) = Datagram::Keys(vec![KeysWire { service, keys }]).encode() {
-                send_to(socket, &bytes, planner).await;
+                send_datagram(socket, &bytes, planner_address).await;
             }
         }
     }
 }
 
-impl<A: Adapter> Node<A> {
+impl<A: Adapter> Controller<A> {
     /// Counts requests for keys, if this instance plans. A sudden change is looked at
     /// at once.
-    pub fn note_keys(&self, service: &str, keys: &[u16]) {
+    pub fn record_keys(&self, service: &str, keys: &[u16]) {
         let Ok(service) = service.parse() else { return };
         let now = self.clock.now();
         let mut demands = self.demands.borrow_mut();
         for key in keys {
             demands.add(&service, RangeKey(*key), now);
         }
-        if demands.look(&service, now) {
-            self.wake.notify_one();
+        if demands.check_sudden_change(&service, now) {
+            self.plan_trigger.notify_one();
         }
     }
 }
--- a/crates/citronproxy/src/edge/control/members.rs
+++ b/crates/citronproxy/src/edge/control/members.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         codec::MemberWire,
-        controller::Node,
-        watch::{CALL_TIME, jitter},
+        controller::Controller,
+        watch::{READ_RESPONSE_TIMEOUT, jitter_factor},
     },
     crate::events,
     citron_core::freshness::{FreshnessTimes, Role},
@@ -16,86 +16,96 @@
 
 /// Delay of a call that was throttled, in seconds: some hundred instances start at the same
 /// moment then, and the store takes the writes of a second or so at a time.
-const THROTTLED_DELAY: Range<f64> = 0.5..4.5;
+const THROTTLED_DELAY_SECS: Range<f64> = 0.5..4.5;
 
 /// Enters this instance into the table of members and learns of the others. Read after it
 /// was written, so that of two which start at once at least one learns of the other; an
 /// instance whose write is turned away makes itself known to those that it finds meanwhile.
-pub async fn enlist<A: Adapter>(node: Rc<Node<A>>) {
-    let own = MemberWire {
-        address: node.settings.peer,
-        domain: node.settings.domain.to_string(),
+pub async fn register<A: Adapter>(controller: Rc<Controller<A>>) {
+    let member = MemberWire {
+        address: controller.settings.peer_address,
+        domain: controller.settings.domain.to_string(),
     };
-    let Ok(value) = serde_json::to_vec(&own) else {
+    let Ok(value) = serde_json::to_vec(&member) else {
         return;
     };
     let commit = RowCommit {
-        writes: vec![(RowTable::Members, node.settings.instance.to_string(), value)],
+        writes: vec![(
+            RowTable::Members,
+            controller.settings.instance.to_string(),
+            value,
+        )],
         ..RowCommit::default()
     };
-    let written = write(&node, &commit).await;
-    let known = read_all(&node).await;
-    node.enlisted.set(Some(node.clock.now()));
-    node.hurry.notify_one();
-    let Err(error) = written else { return };
-    let mut retry = Retry::default();
-    retry.after(&node, &error).await;
-    while let Err(error) = write(&node, &commit).await {
-        retry.after(&node, &error).await;
+    let result = write_member(&controller, &commit).await;
+    let known_version = read_members(&controller).await;
+    controller.registered_at.set(Some(controller.clock.now()));
+    controller.heartbeat_trigger.notify_one();
+    let Err(error) = result else { return };
+    let mut retry = RetryDelay::default();
+    retry.wait_after(&controller, &error).await;
+    while let Err(error) = write_member(&controller, &commit).await {
+        retry.wait_after(&controller, &error).await;
     }
-    read_since(&node, known).await;
-    node.hurry.notify_one();
+    read_members_since(&controller, known_version).await;
+    controller.heartbeat_trigger.notify_one();
 }
 
-async fn write<A: Adapter>(node: &Node<A>, commit: &RowCommit) -> Result<(), StoreError> {
-    let begun = node.clock.now();
-    node.adapter.store().commit(commit).await?;
-    node.store_answered(begun, None);
+async fn write_member<A: Adapter>(
+    controller: &Controller<A>,
+    commit: &RowCommit,
+) -> Result<(), StoreError> {
+    let call_started = controller.clock.now();
+    controller.adapter.store().commit(commit).await?;
+    controller.on_store_success(call_started, None);
     Ok(())
 }
 
 /// Reads all members; the version as of which they are known.
-async fn read_all<A: Adapter>(node: &Node<A>) -> u64 {
-    let mut retry = Retry::default();
+async fn read_members<A: Adapter>(controller: &Controller<A>) -> u64 {
+    let mut retry = RetryDelay::default();
     loop {
-        let begun = node.clock.now();
-        let mut idle = IdleTimeout::new(CALL_TIME, CALL_TIME);
-        let read = node.adapter.store().rows(RowTable::Members, &mut idle);
+        let call_started = controller.clock.now();
+        let mut idle = IdleTimeout::new(READ_RESPONSE_TIMEOUT, READ_RESPONSE_TIMEOUT);
+        let read = controller
+            .adapter
+            .store()
+            .rows(RowTable::Members, &mut idle);
         match read.await {
-            Ok(set) => {
-                node.store_answered(begun, set.now);
-                add(node, &set.rows);
-                return set.version;
+            Ok(row_set) => {
+                controller.on_store_success(call_started, row_set.now);
+                add_peers(controller, &row_set.rows);
+                return row_set.version;
             }
-            Err(error) => retry.after(node, &error).await,
+            Err(error) => retry.wait_after(controller, &error).await,
         }
     }
 }
 
 /// Reads the members that were entered after a version.
-async fn read_since<A: Adapter>(node: &Node<A>, version: u64) {
-    let mut retry = Retry::default();
+async fn read_members_since<A: Adapter>(controller: &Controller<A>, version: u64) {
+    let mut retry = RetryDelay::default();
     loop {
-        let begun = node.clock.now();
-        let mut idle = IdleTimeout::new(CALL_TIME, CALL_TIME);
-        let store = node.adapter.store();
+        let call_started = controller.clock.now();
+        let mut idle = IdleTimeout::new(READ_RESPONSE_TIMEOUT, READ_RESPONSE_TIMEOUT);
+        let store = controller.adapter.store();
         let read = store.changes(RowTable::Members, version, Duration::ZERO, &mut idle);
         match read.await {
-            Ok(set) => {
-                node.store_answered(begun, set.now);
-                return add(node, &set.rows);
+            Ok(row_set) => {
+                controller.on_store_success(call_started, row_set.now);
+                return add_peers(controller, &row_set.rows);
             }
             Err(StoreError::Forgotten) => {
-                read_all(node).await;
+                read_members(controller).await;
                 return;
             }
-            Err(error) => retry.after(node, &error).await,
+            Err(error) => retry.wait_after(controller, &error).await,
         }
     }
 }
 
-fn add<A: Adapter>(node: &Node<A>, rows: &[Row]) {
-    let now = node.clock.now();
+fn add_peers<A: Adapter>(controller: &Controller<A>, rows: &[Row]) {
+    let now = controller.clock.now();
     for row in rows {
         let value = row.value.as_deref().unwrap_or_default();
         let (Ok(name), Ok(member)) = (row.key.parse(), serde_json::from_slice::<MemberWire>(value))
@@ -103,9 +113,9 @@
             log::error!("{} member {}", events::MAP_REFUSED, row.key);
             continue;
         };
-        if name != node.settings.instance {
+        if name != controller.settings.instance {
             let domain = member.domain.parse().ok();
-            let mut state = node.state.borrow_mut();
+            let mut state = controller.state.borrow_mut();
             state.peers.add(name, member.address, domain, now);
         }
     }
@@ -114,21 +124,21 @@
 /// Delays between the tries of a call. Instances that start together retry together, and the
 /// store takes so many writes a second.
 #[derive(Debug, Default)]
-struct Retry {
+struct RetryDelay {
     failures: u32,
 }
 
-impl Retry {
-    async fn after<A: Adapter>(&mut self, node: &Node<A>, error: &StoreError) {
-        node.store_failed("members", error);
+impl RetryDelay {
+    async fn wait_after<A: Adapter>(&mut self, controller: &Controller<A>, error: &StoreError) {
+        controller.on_store_failure("members", error);
         let delay = match error {
             StoreError::Throttled => {
-                let part = rand::rng().random_range(THROTTLED_DELAY);
-                Duration::from_secs_f64(part)
+                let seconds = rand::rng().random_range(THROTTLED_DELAY_SECS);
+                Duration::from_secs_f64(seconds)
             }
             _ => {
                 let delay = FreshnessTimes::STANDARD.backoff(Role::Follower, self.failures);
-                delay.mul_f64(jitter())
+                delay.mul_f64(jitter_factor())
             }
         };
         self.failures += 1;
--- a/crates/citronproxy/src/edge/control/metrics.rs
+++ b/crates/citronproxy/src/edge/control/metrics.rs
@@ -9,26 +9,26 @@
 
 /// Counters and gauges of control, registered with those of traffic.
 #[derive(Debug)]
-pub struct Counts {
+pub struct ControlMetrics {
     /// Calls to the store, by result.
-    store: IntCounterVec,
+    store_calls: IntCounterVec,
     /// Tables fetched from other instances, by result.
-    fetches: IntCounterVec,
+    table_fetches: IntCounterVec,
     /// Orders, by kind and result.
-    orders: IntCounterVec,
+    key_orders: IntCounterVec,
     /// Seconds since the moment as of which the oldest watched table is known.
-    age: Gauge,
+    oldest_table_age: Gauge,
     /// The version of the configuration in force.
-    pub version: IntGauge,
+    pub config_version: IntGauge,
     /// 1 while this instance plans.
     pub planning: IntGauge,
     /// Instances heard of lately, this one included.
     pub instances: IntGauge,
     /// Failure domains that are evacuated.
-    pub evacuated: IntGauge,
+    pub evacuated_domains: IntGauge,
 }
 
-impl Counts {
+impl ControlMetrics {
     /// All at zero.
     ///
     /// # Errors
@@ -39,29 +39,29 @@
         };
         let gauge = |name: &str, help: &str| register(registry, IntGauge::new(name, help)?);
         Ok(Self {
-            store: counter(
+            store_calls: counter(
                 "citron_store_calls_total",
                 "Calls to the outside platform's store.",
                 &["result"],
             )?,
-            fetches: counter(
+            table_fetches: counter(
                 "citron_table_fetches_total",
                 "Tables fetched from other instances.",
                 &["result"],
             )?,
-            orders: counter(
+            key_orders: counter(
                 "citron_key_orders_total",
                 "Grants, releases and commits of the planner.",
                 &["order", "result"],
             )?,
-            age: register(
+            oldest_table_age: register(
                 registry,
                 Gauge::new(
                     "citron_table_age_seconds",
                     "Seconds since the moment as of which the oldest table is known.",
                 )?,
             )?,
-            version: gauge(
+            config_version: gauge(
                 "citron_configuration_version",
                 "Version of the configuration in force.",
             )?,
@@ -70,7 +70,7 @@
                 "citron_instances",
                 "Instances heard of lately, this one included.",
             )?,
-            evacuated: gauge(
+            evacuated_domains: gauge(
                 "citron_evacuated_domains",
                 "Failure domains to whose servers nothing is sent.",
             )?,
@@ -78,19 +78,24 @@
     }
 
     /// Counts a call to the store.
-    pub fn count_call(&self, answered: bool) {
-        self.store.with_label_values(&[result(answered)]).inc();
+    pub fn count_store_call(&self, answered: bool) {
+        self.store_calls
+            .with_label_values(&[result_label(answered)])
+            .inc();
     }
 
     /// Counts a table that was asked for at another instance.
-    pub fn count_fetch(&self, fetched: bool) {
-        self.fetches.with_label_values(&[result(fetched)]).inc();
+    pub fn count_table_fetch(&self, fetched: bool) {
+        self.table_fetches
+            .with_label_values(&[result_label(fetched)])
+            .inc();
     }
 
     /// Shows how old the watched tables are.
-    pub fn count_ages(&self, ages: &[Age]) {
+    pub fn set_table_age(&self, ages: &[Age]) {
         let oldest = ages.iter().flatten().max();
-        self.age.set(oldest.map_or(0.0, Duration::as_secs_f64));
+        self.oldest_table_age
+            .set(oldest.map_or(0.0, Duration::as_secs_f64));
     }
 
     /// Counts an order.
@@ -100,10 +105,12 @@
             Order::Release { .. } => "release",
             Order::Commit(_) => "commit",
         };
-        self.orders.with_label_values(&[kind, result(done)]).inc();
+        self.key_orders
+            .with_label_values(&[kind, result_label(done)])
+            .inc();
     }
 }
 
-fn result(done: bool) -> &'static str {
+fn result_label(done: bool) -> &'static str {
     if done { "ok" } else { "failed" }
 }
--- a/crates/citronproxy/src/edge/control/moves.rs
+++ b/crates/citronproxy/src/edge/control/moves.rs
@@ -1,7 +1,7 @@
 //! Keys on their way, told to all instances ahead of the map.
 
 use {
-    super::{controller::Node, heartbeat::send_to},
+    super::{controller::Controller, heartbeat::send_datagram},
     crate::events,
     citron_core::{
         id::ServiceName,
@@ -14,37 +14,45 @@
 };
 
 /// Pieces of news in one datagram at most; fewer if their names are long.
-const NEWS: usize = 40;
+const MOVES_PER_DATAGRAM_MAX: usize = 40;
 
 /// How long news waits for more: hundreds of grants end within some milliseconds.
-const GATHER: Duration = Duration::from_millis(15);
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
 /// News that wait to be sent.
 #[derive(Debug, Default)]
-pub struct Outbox {
-    waiting: RefCell<Vec<(ServiceName, MoveNews)>>,
-    filled: Notify,
+pub struct MoveOutbox {
+    pending: RefCell<Vec<(ServiceName, MoveNews)>>,
+    pending_added: Notify,
 }
 
 /// Sends news to all instances for good.
-pub async fn report<A: Adapter>(node: &Node<A>, socket: &UdpSocket) {
+pub async fn run<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket) {
     loop {
-        node.outbox.filled.notified().await;
-        sleep(GATHER).await;
-        let mut waiting = node.outbox.waiting.take();
-        waiting.sort_by(|(a, _), (b, _)| a.cmp(b));
-        for part in waiting.chunk_by(|(a, _), (b, _)| a == b) {
-            for news in part.chunks(NEWS) {
-                send(node, socket, news).await;
+        controller.move_outbox.pending_added.notified().await;
+        sleep(BATCH_DELAY).await;
+        let mut pending = controller.move_outbox.pending.take();
+        pending.sort_by(|(a, _), (b, _)| a.cmp(b));
+        for part in pending.chunk_by(|(a, _), (b, _)| a == b) {
+            for updates in part.chunks(MOVES_PER_DATAGRAM_MAX) {
+                broadcast(controller, socket, updates).await;
             }
         }
     }
 }
 
 /// Sends news of one service in as many datagrams as it takes.
-async fn send<A: Adapter>(node: &Node<A>, socket: &UdpSocket, news: &[(ServiceName, MoveNews)]) {
-    let others = node.state.borrow().peers.addresses(node.clock.now());
-    let mut parts = vec![news];
+async fn broadcast<A: Adapter>(
+    controller: &Controller<A>,
+    socket: &UdpSocket,
+    updates: &[(ServiceName, MoveNews)],
+) {
+    let recipients = controller
+        .state
+        .borrow()
+        .peers
+        .active_addresses(controller.clock.now());
+    let mut parts = vec![updates];
     while let Some(part) = parts.pop() {
         let Some(bytes) = encode(part) else {
             match part.len() {
@@ -53,15 +61,15 @@
             }
             continue;
         };
-        for to in &others {
-            send_to(socket, &bytes, *to).await;
+        for recipient in &recipients {
+            send_datagram(socket, &bytes, *recipient).await;
         }
     }
 }
 
-fn encode(news: &[(ServiceName, MoveNews)]) -> Option<Vec<u8>> {
-    let (service, _) = news.first()?;
-    let moves = news.iter().map(|(_, news)| news.clone().into());
+fn encode(updates: &[(ServiceName, MoveNews)]) -> Option<Vec<u8>> {
+    let (service, _) = updates.first()?;
+    let moves = updates.iter().map(|(_, update)| update.clone().into());
     let wire = MovesWire {
         service: service.to_string(),
         moves: moves.collect(),
@@ -69,17 +77,17 @@
     Datagram::Moves(wire).encode()
 }
 
-impl<A: Adapter> Node<A> {
+impl<A: Adapter> Controller<A> {
     /// Tells all instances, this one included, which keys their owners give up.
     pub fn announce_releases(&self, orders: &[(ServiceName, Order)]) {
         let releases = orders.iter().filter_map(|(service, order)| match order {
             Order::Release { range, epoch, .. } => {
-                let news = MoveNews {
+                let update = MoveNews {
                     range: *range,
                     epoch: *epoch,
                     place: OwnerHint::Released,
                 };
-                Some((service.clone(), news))
+                Some((service.clone(), update))
             }
             Order::Grant(_) | Order::Commit(_) => None,
         });
@@ -89,35 +97,35 @@
     /// Tells all instances that a server holds the keys of a slice now.
     pub fn announce_owner(&self, service: &ServiceName, slice: &Slice) {
         let Some(owner) = &slice.owner else { return };
-        let news = MoveNews {
+        let update = MoveNews {
             range: slice.range,
             epoch: slice.epoch,
             place: OwnerHint::Owned(owner.clone()),
         };
-        self.announce(vec![(service.clone(), news)]);
+        self.announce(vec![(service.clone(), update)]);
     }
 
-    fn announce(&self, news: Vec<(ServiceName, MoveNews)>) {
-        if news.is_empty() {
+    fn announce(&self, updates: Vec<(ServiceName, MoveNews)>) {
+        if updates.is_empty() {
             return;
         }
         let now = self.clock.now();
-        for (service, news) in &news {
-            self.board.note_move(service, news.clone(), now);
+        for (service, update) in &updates {
+            self.shared.record_move(service, update.clone(), now);
         }
-        self.outbox.waiting.borrow_mut().extend(news);
-        self.outbox.filled.notify_one();
+        self.move_outbox.pending.borrow_mut().extend(updates);
+        self.move_outbox.pending_added.notify_one();
     }
 
     /// Takes in what the planner tells.
-    pub fn hear_moves(&self, wire: MovesWire) {
+    pub fn apply_moves(&self, wire: MovesWire) {
         let Ok(service) = wire.service.parse() else {
             return;
         };
         let now = self.clock.now();
-        for news in wire.moves {
-            match MoveNews::try_from(news) {
-                Ok(news) => self.board.note_move(&service, news, now),
+        for update in wire.moves {
+            match MoveNews::try_from(update) {
+                Ok(update) => self.shared.record_move(&service, update, now),
                 Err(error) => log::warn!("{} {error}", events::DATAGRAM_REFUSED),
             }
         }
--- a/crates/citronproxy/src/edge/control/peers.rs
+++ b/crates/citronproxy/src/edge/control/peers.rs
@@ -12,10 +12,10 @@
 };
 
 /// After so long it is left alone but for a heartbeat now and then.
-const SILENT: Duration = Duration::from_secs(10);
+const SILENT_AFTER: Duration = Duration::from_secs(10);
 
 /// From so many others on heartbeats go by failure domain.
-const MANY: usize = 16;
+const PARTIAL_MESH_MIN: usize = 16;
 
 /// Another instance.
 #[derive(Debug, Clone)]
@@ -25,10 +25,10 @@
     /// Its failure domain, if known.
     pub domain: Option<DomainName>,
     /// When it was last heard.
-    pub heard: Option<Time>,
+    pub last_heard: Option<Time>,
     /// The last it said.
     pub heartbeat: Option<Heartbeat>,
-    added: Time,
+    added_at: Time,
 }
 
 /// All others.
@@ -38,9 +38,9 @@
     domain: DomainName,
     peers: BTreeMap<InstanceId, Peer>,
     /// How many of them are in the same failure domain.
-    near: usize,
+    same_domain_count: usize,
     /// How often an instance was added or has changed its failure domain.
-    edits: u64,
+    membership_edits: u64,
 }
 
 impl Peers {
@@ -49,8 +49,8 @@
         Self {
             domain,
             peers: BTreeMap::new(),
-            near: 0,
-            edits: 0,
+            same_domain_count: 0,
+            membership_edits: 0,
         }
     }
 
@@ -62,34 +62,34 @@
         domain: Option<DomainName>,
         now: Time,
     ) {
-        let edits = &mut self.edits;
+        let edits = &mut self.membership_edits;
         let peer = self.peers.entry(name).or_insert_with(|| {
             *edits += 1;
             Peer {
                 address,
                 domain: None,
-                heard: None,
+                last_heard: None,
                 heartbeat: None,
-                added: now,
+                added_at: now,
             }
         });
         peer.address = address;
         if domain.is_some() && domain != peer.domain {
-            self.near -= usize::from(peer.domain.as_ref() == Some(&self.domain));
-            self.near += usize::from(domain.as_ref() == Some(&self.domain));
-            self.edits += 1;
+            self.same_domain_count -= usize::from(peer.domain.as_ref() == Some(&self.domain));
+            self.same_domain_count += usize::from(domain.as_ref() == Some(&self.domain));
+            self.membership_edits += 1;
             peer.domain = domain;
         }
     }
 
     /// Changes with each instance that is added or has changed its failure domain.
-    pub fn edits(&self) -> u64 {
-        self.edits
+    pub fn membership_edits(&self) -> u64 {
+        self.membership_edits
     }
 
     /// Takes in a heartbeat; whether the sender was lost, unknown or another
     /// start before.
-    pub fn heard(
+    pub fn apply_heartbeat(
         &mut self,
         name: &InstanceId,
         from: SocketAddr,
@@ -98,16 +98,16 @@
     ) -> bool {
         let domain = heartbeat.domain.parse().ok();
         self.add(name.clone(), from, domain, now);
-        let known = self.peers.get(name);
-        let live = known.is_some_and(|peer| self.spans().is_live(peer, now));
+        let known_peer = self.peers.get(name);
+        let was_live = known_peer.is_some_and(|peer| self.loss_timeouts().is_live(peer, now));
         let Some(peer) = self.peers.get_mut(name) else {
             return false;
         };
-        let former = peer.heartbeat.as_ref().map(|heartbeat| heartbeat.start);
-        let new = former != Some(heartbeat.start) || !live;
-        peer.heard = Some(now);
+        let last_start = peer.heartbeat.as_ref().map(|heartbeat| heartbeat.start);
+        let is_new = last_start != Some(heartbeat.start) || !was_live;
+        peer.last_heard = Some(now);
         peer.heartbeat = Some(heartbeat);
-        new
+        is_new
     }
 
     /// One instance.
@@ -117,23 +117,23 @@
 
     /// Those that were heard of lately.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&InstanceId, &Peer)> {
-        let spans = self.spans();
+        let timeouts = self.loss_timeouts();
         self.peers
             .iter()
-            .filter(move |(_, peer)| spans.is_live(peer, now))
+            .filter(move |(_, peer)| timeouts.is_live(peer, now))
     }
 
     /// After which silence others count as lost.
-    fn spans(&self) -> Spans<'_> {
-        let heard = match self.hears_all() {
+    fn loss_timeouts(&self) -> LossTimeouts<'_> {
+        let reporting_count = match self.is_full_mesh() {
             true => self.peers.len(),
-            false => self.near,
+            false => self.same_domain_count,
         };
-        let beats = HeartbeatSchedule::among(1 + heard);
-        Spans {
-            domain: (!self.hears_all()).then_some(&self.domain),
-            near: beats.lost_after(Sender::Near),
-            far: beats.lost_after(Sender::Far),
+        let schedule = HeartbeatSchedule::among(1 + reporting_count);
+        LossTimeouts {
+            domain: (!self.is_full_mesh()).then_some(&self.domain),
+            same_domain: schedule.lost_after(Sender::Near),
+            other_domain: schedule.lost_after(Sender::Far),
         }
     }
 
@@ -142,64 +142,79 @@
     /// instances hear each other, the planner hears all, and one instance of each
     /// other domain hears without loads: what an instance sends and takes in must
     /// not grow with the number of all.
-    pub fn due(&self, round: &Round<'_>, now: Time) -> Vec<Recipient> {
-        let many = self.peers.len() >= MANY;
-        let leads = self.leads(round.domain, now);
-        let due = |(name, peer): (&InstanceId, &Peer)| {
-            let near = peer.domain.as_ref() == Some(round.domain);
-            let planner = round.planner == Some(name);
-            let known = peer.heard.unwrap_or(peer.added);
-            let silent = now - known > SILENT && (near || !many);
-            let often = match silent {
+    pub fn recipients(&self, round: &HeartbeatRound<'_>, now: Time) -> Vec<Recipient> {
+        let is_partial_mesh = self.peers.len() >= PARTIAL_MESH_MIN;
+        let first_of_domains = self.first_of_other_domains(round.domain, now);
+        let to_recipient = |(name, peer): (&InstanceId, &Peer)| {
+            let is_near = peer.domain.as_ref() == Some(round.domain);
+            let is_planner = round.planner == Some(name);
+            let last_heard = peer.last_heard.unwrap_or(peer.added_at);
+            let is_silent = now - last_heard > SILENT_AFTER && (is_near || !is_partial_mesh);
+            let every_rounds = match is_silent {
                 true => 20,
-                false if near || round.planning => 1,
+                false if is_near || round.is_planner => 1,
                 false => u64::from(PropagationTimes::STANDARD.cross_domain_factor),
             };
-            let listens = !many || near || planner || round.planning || leads.contains(&name);
-            (listens && round.number.is_multiple_of(often)).then_some(Recipient {
+            let is_recipient = !is_partial_mesh
+                || is_near
+                || is_planner
+                || round.is_planner
+                || first_of_domains.contains(&name);
+            (is_recipient && round.number.is_multiple_of(every_rounds)).then_some(Recipient {
                 address: peer.address,
-                loads: !many || near || planner,
+                with_loads: !is_partial_mesh || is_near || is_planner,
             })
         };
-        self.peers.iter().filter_map(due).collect()
+        self.peers.iter().filter_map(to_recipient).collect()
     }
 
     /// The first instance of each other failure domain.
-    fn leads(&self, domain: &DomainName, now: Time) -> Vec<&InstanceId> {
-        let mut leads: BTreeMap<&DomainName, &InstanceId> = BTreeMap::new();
+    fn first_of_other_domains(&self, domain: &DomainName, now: Time) -> Vec<&InstanceId> {
+        let mut first_by_domain: BTreeMap<&DomainName, &InstanceId> = BTreeMap::new();
         for (name, peer) in &self.peers {
-            let gone = peer.heard.is_some_and(|heard| now - heard > SILENT);
-            if let Some(of) = peer.domain.as_ref().filter(|of| *of != domain && !gone) {
-                leads.entry(of).or_insert(name);
+            let is_lost = peer
+                .last_heard
+                .is_some_and(|last_heard| now - last_heard > SILENT_AFTER);
+            if let Some(peer_domain) = peer
+                .domain
+                .as_ref()
+                .filter(|peer_domain| *peer_domain != domain && !is_lost)
+            {
+                first_by_domain.entry(peer_domain).or_insert(name);
             }
         }
-        leads.into_values().collect()
+        first_by_domain.into_values().collect()
     }
 
     /// Live instances that the store answers and that should do a task before
     /// this one: those with more of a processor, and the first by name.
-    pub fn before(
+    pub fn preferred_with_store(
         &self,
-        me: &InstanceId,
-        cpu: u32,
+        instance: &InstanceId,
+        cpu_percent: u32,
         now: Time,
     ) -> impl Iterator<Item = (&InstanceId, &Peer)> {
-        let answered = |peer: &Peer| peer.heartbeat.as_ref().is_some_and(|told| told.store);
-        let ahead = self.ahead(me, cpu, now);
-        ahead.filter(move |(_, peer)| answered(peer))
+        let reaches_store = |peer: &Peer| {
+            peer.heartbeat
+                .as_ref()
+                .is_some_and(|heartbeat| heartbeat.store)
+        };
+        let preferred = self.preferred_over(instance, cpu_percent, now);
+        preferred.filter(move |(_, peer)| reaches_store(peer))
     }
 
     /// The same, whether the store answers them or not.
-    pub fn ahead(
+    pub fn preferred_over(
         &self,
-        me: &InstanceId,
-        cpu: u32,
+        instance: &InstanceId,
+        cpu_percent: u32,
         now: Time,
     ) -> impl Iterator<Item = (&InstanceId, &Peer)> {
         self.live(now).filter(move |(name, peer)| {
             peer.heartbeat.as_ref().is_some_and(|heartbeat| {
-                let first = heartbeat.cpu > cpu || (heartbeat.cpu == cpu && *name < me);
-                first && !heartbeat.leaving
+                let is_preferred = heartbeat.cpu > cpu_percent
+                    || (heartbeat.cpu == cpu_percent && *name < instance);
+                is_preferred && !heartbeat.leaving
             })
         })
     }
@@ -208,50 +223,55 @@
     /// those whose failure domain is not known.
     pub fn members(&self) -> Members {
         let peers = self.peers.iter();
-        let known = peers.filter_map(|(name, peer)| Some((name.clone(), peer.domain.clone()?)));
-        known.collect()
+        let known_peers =
+            peers.filter_map(|(name, peer)| Some((name.clone(), peer.domain.clone()?)));
+        known_peers.collect()
     }
 
     /// Where all others are reached that were not silent for long.
-    pub fn addresses(&self, now: Time) -> Vec<SocketAddr> {
+    pub fn active_addresses(&self, now: Time) -> Vec<SocketAddr> {
         let peers = self.peers.values();
-        let counted = peers.filter(|peer| self.is_counted(peer, now));
-        counted.map(|peer| peer.address).collect()
+        let active = peers.filter(|peer| self.is_active(peer, now));
+        active.map(|peer| peer.address).collect()
     }
 
     /// Whether others of this instance's failure domain are known.
-    pub fn has_near(&self) -> bool {
-        self.near > 0
+    pub fn has_same_domain_peers(&self) -> bool {
+        self.same_domain_count > 0
     }
 
     /// Whether heartbeats of all instances reach this one.
-    pub fn hears_all(&self) -> bool {
-        self.peers.len() < MANY
+    pub fn is_full_mesh(&self) -> bool {
+        self.peers.len() < PARTIAL_MESH_MIN
     }
 
     /// How many instances there are, this one included: those that are live or
     /// were not heard yet, and with many those of other failure domains.
-    pub fn count(&self, now: Time) -> usize {
+    pub fn instance_count(&self, now: Time) -> usize {
         let peers = self.peers.values();
-        1 + peers.filter(|peer| self.is_counted(peer, now)).count()
+        1 + peers.filter(|peer| self.is_active(peer, now)).count()
     }
 
-    fn is_counted(&self, peer: &Peer, now: Time) -> bool {
-        let far = peer.domain.as_ref() != Some(&self.domain);
-        let lately = now - peer.heard.unwrap_or(peer.added) < SILENT;
-        lately || (far && !self.hears_all())
+    fn is_active(&self, peer: &Peer, now: Time) -> bool {
+        let is_far = peer.domain.as_ref() != Some(&self.domain);
+        let heard_lately = now - peer.last_heard.unwrap_or(peer.added_at) < SILENT_AFTER;
+        heard_lately || (is_far && !self.is_full_mesh())
     }
 
     /// How many instances report their loads to this one, itself included.
-    pub fn reporting(&self, domain: &DomainName, now: Time) -> usize {
-        let near = |peer: &Peer| peer.domain.as_ref() == Some(domain) || self.hears_all();
-        1 + self.live(now).filter(|(_, peer)| near(peer)).count()
+    pub fn reporting_count(&self, domain: &DomainName, now: Time) -> usize {
+        let reports_here =
+            |peer: &Peer| peer.domain.as_ref() == Some(domain) || self.is_full_mesh();
+        1 + self
+            .live(now)
+            .filter(|(_, peer)| reports_here(peer))
+            .count()
     }
 }
 
 /// One round of heartbeats.
 #[derive(Debug)]
-pub struct Round<'a> {
+pub struct HeartbeatRound<'a> {
     /// Its number.
     pub number: u64,
     /// The sender's failure domain.
@@ -259,7 +279,7 @@
     /// The instance that plans.
     pub planner: Option<&'a InstanceId>,
     /// Whether that is the sender.
-    pub planning: bool,
+    pub is_planner: bool,
 }
 
 /// Where a heartbeat goes.
@@ -268,23 +288,28 @@
     /// The address.
     pub address: SocketAddr,
     /// Whether it is told of loads.
-    pub loads: bool,
+    pub with_loads: bool,
 }
 
 /// After which silence others count as lost.
-struct Spans<'a> {
+struct LossTimeouts<'a> {
     /// This instance's failure domain, if heartbeats go by them.
     domain: Option<&'a DomainName>,
     /// In the same failure domain.
-    near: Duration,
+    same_domain: Duration,
     /// In others, whose heartbeats are rarer.
-    far: Duration,
+    other_domain: Duration,
 }
 
-impl Spans<'_> {
+impl LossTimeouts<'_> {
     fn is_live(&self, peer: &Peer, now: Time) -> bool {
-        let near = self.domain.is_none() || peer.domain.as_ref() == self.domain;
-        let span = if near { self.near } else { self.far };
-        peer.heard.is_some_and(|heard| now - heard < span)
+        let is_near = self.domain.is_none() || peer.domain.as_ref() == self.domain;
+        let timeout = if is_near {
+            self.same_domain
+        } else {
+            self.other_domain
+        };
+        peer.last_heard
+            .is_some_and(|last_heard| now - last_heard < timeout)
     }
 }
--- a/crates/citronproxy/src/edge/control/planner/claim.rs
+++ b/crates/citronproxy/src/edge/control/planner/claim.rs
@@ -7,8 +7,8 @@
     },
     crate::{
         edge::control::{
-            codec::{LeadershipWire, PLANNER},
-            controller::{Holder, Node},
+            codec::{LeadershipWire, PLANNER_KEY},
+            controller::{Controller, PlannerId},
             election::{Claimant, Election},
             refresh,
         },
@@ -21,109 +21,119 @@
 };
 
 /// Whether this instance should plan from now on.
-pub fn wants_leadership<A: Adapter>(node: &Node<A>, election: &mut Election) -> bool {
-    let state = node.state.borrow();
-    let ready =
-        *node.store.borrow() && !node.leaving() && state.mirrors.iter().all(|m| m.version > 0);
-    let now = node.clock.now();
-    let me = Claimant {
-        settings: &node.settings,
-        start: node.start,
-        enlisted: node.enlisted.get(),
+pub fn should_claim_leadership<A: Adapter>(
+    controller: &Controller<A>,
+    election: &mut Election,
+) -> bool {
+    let state = controller.state.borrow();
+    let is_ready = *controller.store_up.borrow()
+        && !controller.is_leaving()
+        && state.replicas.iter().all(|replica| replica.version > 0);
+    let now = controller.clock.now();
+    let claimant = Claimant {
+        settings: &controller.settings,
+        incarnation: controller.incarnation,
+        registered_at: controller.registered_at.get(),
     };
-    ready && election.claims(&state, &me, now)
+    is_ready && election.should_claim(&state, &claimant, now)
 }
 
 /// Claims the planner's row, and begins a term if that was done.
-pub async fn take_leadership<A: Adapter>(
-    node: &Rc<Node<A>>,
+pub async fn claim_leadership<A: Adapter>(
+    controller: &Rc<Controller<A>>,
     election: &mut Election,
-    times: LeaseTimes,
+    lease_times: LeaseTimes,
 ) -> Option<Term> {
-    let former = node.state.borrow().leadership.clone();
-    let before = former_planners::still_acting(node, former.as_ref());
+    let current = controller.state.borrow().leadership.clone();
+    let predecessors = former_planners::still_acting(controller, current.as_ref());
     let wire = LeadershipWire {
-        instance: node.settings.instance.to_string(),
-        start: node.start,
-        before: before
+        instance: controller.settings.instance.to_string(),
+        start: controller.incarnation,
+        before: predecessors
             .iter()
-            .map(|holder| (holder.instance.to_string(), holder.start))
+            .map(|planner| (planner.instance.to_string(), planner.incarnation))
             .collect(),
     };
     let commit = RowCommit {
         expected: vec![(
             RowTable::Ranges,
-            PLANNER.to_string(),
-            former.as_ref().map_or(0, |leadership| leadership.version),
+            PLANNER_KEY.to_string(),
+            current.as_ref().map_or(0, |leadership| leadership.version),
         )],
         writes: vec![(
             RowTable::Ranges,
-            PLANNER.to_string(),
+            PLANNER_KEY.to_string(),
             serde_json::to_vec(&wire).ok()?,
         )],
         removes: Vec::new(),
     };
-    let claimed = node.adapter.store().commit(&commit).await;
-    election.wait(node.clock.now());
-    match claimed {
+    let result = controller.adapter.store().commit(&commit).await;
+    election.restart_claim_delay(controller.clock.now());
+    match result {
         Ok(_) | Err(StoreError::Conflict) => {}
         Err(error) => {
-            node.store_failed("claim", &error);
+            controller.on_store_failure("claim", &error);
             return None;
         }
     }
     // Whoever planned before may have written maps up to the claim.
-    let begun = node.clock.now();
-    if !refresh::read_maps(node).await {
+    let call_started = controller.clock.now();
+    if !refresh::read_maps(controller).await {
         return None;
     }
-    let term = begin_term(node, before, times)?;
-    if !term.before.is_empty() {
-        let (leadership, before) = (term.leadership.clone(), term.before.clone());
-        let node = Rc::clone(node);
-        spawn_local(former_planners::note(
-            node,
+    let term = begin_term(controller, predecessors, lease_times)?;
+    if !term.predecessors.is_empty() {
+        let (leadership, predecessors) = (term.leadership.clone(), term.predecessors.clone());
+        let controller = Rc::clone(controller);
+        spawn_local(former_planners::store_stop_times(
+            controller,
             leadership,
-            before,
-            begun,
-            times.blind,
+            predecessors,
+            call_started,
+            lease_times.blind,
         ));
     }
     Some(term)
 }
 
-fn begin_term<A: Adapter>(node: &Node<A>, before: Vec<Holder>, times: LeaseTimes) -> Option<Term> {
-    let mut state = node.state.borrow_mut();
+fn begin_term<A: Adapter>(
+    controller: &Controller<A>,
+    predecessors: Vec<PlannerId>,
+    lease_times: LeaseTimes,
+) -> Option<Term> {
+    let mut state = controller.state.borrow_mut();
     let leadership = state.leadership.clone()?;
-    if leadership.holder.instance != node.settings.instance || leadership.holder.start != node.start
+    if leadership.planner.instance != controller.settings.instance
+        || leadership.planner.incarnation != controller.incarnation
     {
         return None;
     }
-    let now = node.clock.now();
-    let foreign = former_planners::stopped_by(&state, &before, times.blind, now);
+    let now = controller.clock.now();
+    let foreign_leases_end =
+        former_planners::stopped_by(&state, &predecessors, lease_times.blind, now);
     let maps = state.maps.iter();
     let plans = maps.filter_map(|(service, map)| {
-        let book = LeaseBook::new(times, foreign);
+        let book = LeaseBook::new(lease_times, foreign_leases_end);
         let mut reconciler = Reconciler::new(map.whole()?, book);
-        for news in node.board.move_news(service, now) {
-            reconciler.note_release(&news);
+        for update in controller.shared.recent_moves(service, now) {
+            reconciler.note_release(&update);
         }
         let demand = Demand::default();
         let plan = ServicePlan { reconciler, demand };
         Some((service.clone(), plan))
     });
     let plans = plans.collect();
-    state.planning = true;
+    state.is_planning = true;
     log::info!(
         "{} this instance plans, row version {}",
         events::PLANNER,
         leadership.version
     );
-    node.hurry.notify_one();
+    controller.heartbeat_trigger.notify_one();
     Some(Term {
         leadership,
-        before,
+        predecessors,
         plans,
-        even: EvenClock::new(now),
+        balance_clock: EvenClock::new(now),
     })
 }
--- a/crates/citronproxy/src/edge/control/planner/commit.rs
+++ b/crates/citronproxy/src/edge/control/planner/commit.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         edge::control::{
-            codec::{MapKey, MapWire, PLANNER},
-            controller::Node,
+            codec::{MapKey, MapWire, PLANNER_KEY},
+            controller::Controller,
             refresh, watch,
         },
         events,
@@ -19,39 +19,48 @@
 };
 
 /// What became of a commit, and the version of the newest row then.
-pub type Committed = (OrderEnd, u64);
+pub type CommitOutcome = (OrderEnd, u64);
 
 /// How long a commit may be unanswered before it is sent again under the same
 /// condition; above what a store takes that is sixty times slower than usual.
-const UNANSWERED: Duration = Duration::from_millis(800);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after the store has not accepted a map: the next one may be smaller.
-const INVALID_PAUSE: Duration = Duration::from_secs(1);
+const INVALID_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Bytes of a row for each slice that it may hold: a slice with its owner's name and a
 /// handover is a quarter of that, and parts grow between two commits.
-const SLICE_BYTES: usize = 256;
+const ROW_BYTES_PER_SLICE: usize = 256;
 /// Slices of a part at most: every instance reads the parts that a commit changes, whole.
-const SLICES_MAX: usize = 64;
+const SLICES_PER_PART_MAX: usize = 64;
 /// Entries of a transaction that the store takes.
-const ENTRIES_MAX: usize = 100;
+const TRANSACTION_ENTRIES_MAX: usize = 100;
 /// Parts in one transaction: each is a condition and a write.
-const PARTS_MAX: usize = 40;
+const TRANSACTION_PARTS_MAX: usize = 40;
 
 /// Writes the parts of a map that have changed, if the leadership and the rows are still as
 /// this planner knows them. A transaction whose answer is lost is sent again: its condition
 /// holds only once, and what it wrote can be read back.
-pub async fn commit<A: Adapter>(
-    node: &Node<A>,
+pub async fn commit_map<A: Adapter>(
+    controller: &Controller<A>,
     service: &ServiceName,
     map: &RangeMap,
-    leadership: u64,
-) -> Committed {
-    let stored = node.state.borrow().maps.get(service).cloned();
+    leadership_version: u64,
+) -> CommitOutcome {
+    let stored = controller.state.borrow().maps.get(service).cloned();
     let stored = stored.unwrap_or_default();
-    let most = (node.settings.row_bytes / SLICE_BYTES).clamp(1, SLICES_MAX);
+    let slices_max =
+        (controller.settings.row_bytes_max / ROW_BYTES_PER_SLICE).clamp(1, SLICES_PER_PART_MAX);
     let mut newest = stored.newest();
-    for changes in Changes::between(&stored, map, most).transactions() {
-        let commit = changes.commit(service, leadership, &stored);
-        match write(node, service, &changes.parts, &commit, leadership).await {
+    for changes in MapChanges::between(&stored, map, slices_max).into_transactions() {
+        let commit = changes.to_row_commit(service, leadership_version, &stored);
+        match write_transaction(
+            controller,
+            service,
+            &changes.parts,
+            &commit,
+            leadership_version,
+        )
+        .await
+        {
             (OrderEnd::Done { .. }, version) => newest = version,
             end => return end,
         }
@@ -60,14 +69,14 @@
 }
 
 /// What a map has that differs from the stored one.
-struct Changes {
+struct MapChanges {
     parts: Vec<MapPart>,
     removes: Vec<KeyRange>,
 }
 
-impl Changes {
-    fn between(stored: &PartedMap, map: &RangeMap, most: usize) -> Self {
-        let ranges = partition(map, stored, most);
+impl MapChanges {
+    fn between(stored: &PartedMap, map: &RangeMap, slices_max: usize) -> Self {
+        let ranges = partition(map, stored, slices_max);
         let removes = stored.ranges().filter(|range| !ranges.contains(range));
         let removes = removes.collect();
         let part = |range: KeyRange| MapPart {
@@ -81,30 +90,39 @@
     }
 
     /// As many as the store takes at a time. Rows that others replace are removed last.
-    fn transactions(self) -> Vec<Self> {
-        let mut all = Vec::new();
+    fn into_transactions(self) -> Vec<Self> {
+        let mut transactions = Vec::new();
         let mut parts = self.parts.into_iter().peekable();
         let mut removes = self.removes.into_iter().peekable();
         while parts.peek().is_some() || removes.peek().is_some() {
-            let parts: Vec<MapPart> = parts.by_ref().take(PARTS_MAX).collect();
-            let room = if parts.len() == PARTS_MAX {
+            let parts: Vec<MapPart> = parts.by_ref().take(TRANSACTION_PARTS_MAX).collect();
+            let removes_max = if parts.len() == TRANSACTION_PARTS_MAX {
                 0
             } else {
-                ENTRIES_MAX - 1 - 2 * parts.len()
+                TRANSACTION_ENTRIES_MAX - 1 - 2 * parts.len()
             };
-            let removes = removes.by_ref().take(room).collect();
-            all.push(Self { parts, removes });
+            let removes = removes.by_ref().take(removes_max).collect();
+            transactions.push(Self { parts, removes });
         }
-        all
+        transactions
     }
 
-    fn commit(&self, service: &ServiceName, leadership: u64, stored: &PartedMap) -> RowCommit {
+    fn to_row_commit(
+        &self,
+        service: &ServiceName,
+        leadership_version: u64,
+        stored: &PartedMap,
+    ) -> RowCommit {
         let key = |range: KeyRange| {
             let service = service.clone();
             MapKey { service, range }.to_string()
         };
         let mut commit = RowCommit {
-            expected: vec![(RowTable::Ranges, PLANNER.to_string(), leadership)],
+            expected: vec![(
+                RowTable::Ranges,
+                PLANNER_KEY.to_string(),
+                leadership_version,
+            )],
             ..RowCommit::default()
         };
         for part in &self.parts {
@@ -124,24 +142,24 @@
     }
 }
 
-async fn write<A: Adapter>(
-    node: &Node<A>,
+async fn write_transaction<A: Adapter>(
+    controller: &Controller<A>,
     service: &ServiceName,
     parts: &[MapPart],
     commit: &RowCommit,
-    leadership: u64,
-) -> Committed {
-    while node.is_leader(leadership) {
-        let begun = node.clock.now();
-        match send(node, commit).await {
+    leadership_version: u64,
+) -> CommitOutcome {
+    while controller.is_planning_under(leadership_version) {
+        let call_started = controller.clock.now();
+        match send_commit(controller, commit).await {
             Ok(version) => {
-                node.store_answered(begun, None);
-                node.confirmed(begun);
-                node.committed(service, parts, version);
+                controller.on_store_success(call_started, None);
+                controller.confirm_ranges(call_started);
+                controller.apply_committed_parts(service, parts, version);
                 return (OrderEnd::Done { handover: None }, version);
             }
             Err(StoreError::Conflict) => {
-                if let Some(committed) = settle(node, service, parts).await {
+                if let Some(committed) = resolve_conflict(controller, service, parts).await {
                     return committed;
                 }
             }
@@ -150,32 +168,39 @@
                 let largest = sizes.max().unwrap_or_default();
                 let event = events::ROW_REJECTED;
                 log::error!("{event} map of {service}, {largest} bytes a row: {reason}");
-                sleep(INVALID_PAUSE).await;
+                sleep(INVALID_RETRY_DELAY).await;
                 return (OrderEnd::Unknown, 0);
             }
-            Err(error) => node.store_failed("commit", &error),
+            Err(error) => controller.on_store_failure("commit", &error),
         }
-        watch::pause(node).await;
+        watch::wait_for_store(controller).await;
     }
     (OrderEnd::Unknown, 0)
 }
 
-async fn send<A: Adapter>(node: &Node<A>, commit: &RowCommit) -> Result<u64, StoreError> {
-    let sent = timeout(UNANSWERED, node.adapter.store().commit(commit)).await;
-    sent.unwrap_or_else(|_| Err(StoreError::Unknown(format!("none within {UNANSWERED:?}"))))
+async fn send_commit<A: Adapter>(
+    controller: &Controller<A>,
+    commit: &RowCommit,
+) -> Result<u64, StoreError> {
+    let result = timeout(COMMIT_TIMEOUT, controller.adapter.store().commit(commit)).await;
+    result.unwrap_or_else(|_| {
+        Err(StoreError::Unknown(format!(
+            "none within {COMMIT_TIMEOUT:?}"
+        )))
+    })
 }
 
 /// After a conflict: an earlier try of the same write may have been done
 /// without an answer. Nothing if the store does not tell.
-async fn settle<A: Adapter>(
-    node: &Node<A>,
+async fn resolve_conflict<A: Adapter>(
+    controller: &Controller<A>,
     service: &ServiceName,
     parts: &[MapPart],
-) -> Option<Committed> {
-    if !refresh::read_maps(node).await {
+) -> Option<CommitOutcome> {
+    if !refresh::read_maps(controller).await {
         return None;
     }
-    let state = node.state.borrow();
+    let state = controller.state.borrow();
     let stored = state.maps.get(service).map(Arc::clone).unwrap_or_default();
     if parts.iter().all(|part| stored.holds(part)) {
         return Some((OrderEnd::Done { handover: None }, stored.newest()));
--- a/crates/citronproxy/src/edge/control/planner/former_planners.rs
+++ b/crates/citronproxy/src/edge/control/planner/former_planners.rs
@@ -8,8 +8,8 @@
 
 use {
     crate::edge::control::{
-        codec::{FORMERS, FormersWire, PLANNER},
-        controller::{Holder, Leadership, Node, State},
+        codec::{FORMER_PLANNERS_KEY, FormerPlannersWire, PLANNER_KEY},
+        controller::{ControlState, Controller, Leadership, PlannerId},
         election::has_ended,
     },
     citron_core::time::{StoreTime, Time},
@@ -19,64 +19,90 @@
 
 /// Planners that may not know yet that another has the leadership. Not only the last
 /// one: an earlier one that is cut off may still renew when the last has ended.
-pub fn still_acting<A: Adapter>(node: &Node<A>, former: Option<&Leadership>) -> Vec<Holder> {
-    let Some(former) = former else {
+pub fn still_acting<A: Adapter>(
+    controller: &Controller<A>,
+    current: Option<&Leadership>,
+) -> Vec<PlannerId> {
+    let Some(current) = current else {
         return Vec::new();
     };
-    let state = node.state.borrow();
-    let now = node.clock.now();
-    let me = &node.settings.instance;
-    let mut before = former.before.clone();
-    before.push(former.holder.clone());
-    before.retain(|holder| {
-        let until = state.formers.get(holder);
-        let stopped = until.is_some_and(|until| state.times.is_past(*until, now));
-        holder.instance != *me && !stopped && !has_ended(&state, holder)
+    let state = controller.state.borrow();
+    let now = controller.clock.now();
+    let own_name = &controller.settings.instance;
+    let mut predecessors = current.predecessors.clone();
+    predecessors.push(current.planner.clone());
+    predecessors.retain(|planner| {
+        let stopped_by = state.former_planners.get(planner);
+        let has_stopped = stopped_by.is_some_and(|time| state.store_clock.is_past(*time, now));
+        planner.instance != *own_name && !has_stopped && !has_ended(&state, planner)
     });
-    before
+    predecessors
 }
 
 /// When the last of these has surely stopped, if they were replaced by now; `blind`
 /// is how long a planner acts without the store.
-pub fn stopped_by(state: &State, before: &[Holder], blind: Duration, now: Time) -> Time {
-    let left = |holder: &Holder| {
-        let until = state.formers.get(holder);
-        let left = until.and_then(|until| state.times.left(*until, now));
-        left.unwrap_or(blind).min(blind)
+pub fn stopped_by(
+    state: &ControlState,
+    predecessors: &[PlannerId],
+    offline_max: Duration,
+    now: Time,
+) -> Time {
+    let time_left = |planner: &PlannerId| {
+        let stopped_by = state.former_planners.get(planner);
+        let left = stopped_by.and_then(|time| state.store_clock.left(*time, now));
+        left.unwrap_or(offline_max).min(offline_max)
     };
-    now + before.iter().map(left).max().unwrap_or_default()
+    now + predecessors.iter().map(time_left).max().unwrap_or_default()
 }
 
 /// Writes down until when these may still act; they were replaced before a call
 /// that began at `read` was answered.
-pub async fn note<A: Adapter>(
-    node: Rc<Node<A>>,
+pub async fn store_stop_times<A: Adapter>(
+    controller: Rc<Controller<A>>,
     leadership: Leadership,
-    before: Vec<Holder>,
-    read: Time,
-    blind: Duration,
+    predecessors: Vec<PlannerId>,
+    read_started: Time,
+    offline_max: Duration,
 ) {
-    let Some(value) = noted(&node.state.borrow(), &before, read, blind) else {
+    let Some(value) = encode_stop_times(
+        &controller.state.borrow(),
+        &predecessors,
+        read_started,
+        offline_max,
+    ) else {
         return;
     };
     let commit = RowCommit {
-        expected: vec![(RowTable::Ranges, PLANNER.to_string(), leadership.version)],
-        writes: vec![(RowTable::Ranges, FORMERS.to_string(), value)],
+        expected: vec![(
+            RowTable::Ranges,
+            PLANNER_KEY.to_string(),
+            leadership.version,
+        )],
+        writes: vec![(RowTable::Ranges, FORMER_PLANNERS_KEY.to_string(), value)],
         removes: Vec::new(),
     };
     // Without it the next planner waits longer, and nothing else.
-    if let Err(error) = node.adapter.store().commit(&commit).await {
-        node.store_failed("formers", &error);
+    if let Err(error) = controller.adapter.store().commit(&commit).await {
+        controller.on_store_failure("formers", &error);
     }
 }
 
-fn noted(state: &State, before: &[Holder], read: Time, blind: Duration) -> Option<Vec<u8>> {
-    let now = state.times.after(read)?;
-    let until = |holder: &Holder| {
-        let known: Option<StoreTime> = state.formers.get(holder).copied();
-        let until = known.unwrap_or(now + blind);
-        (holder.instance.to_string(), holder.start, until.0)
+fn encode_stop_times(
+    state: &ControlState,
+    predecessors: &[PlannerId],
+    read_started: Time,
+    offline_max: Duration,
+) -> Option<Vec<u8>> {
+    let now = state.store_clock.after(read_started)?;
+    let entry = |planner: &PlannerId| {
+        let known: Option<StoreTime> = state.former_planners.get(planner).copied();
+        let stopped_by = known.unwrap_or(now + offline_max);
+        (
+            planner.instance.to_string(),
+            planner.incarnation,
+            stopped_by.0,
+        )
     };
-    let wire = FormersWire(before.iter().map(until).collect());
+    let wire = FormerPlannersWire(predecessors.iter().map(entry).collect());
     serde_json::to_vec(&wire).ok()
 }
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        claim::{take_leadership, wants_leadership},
-        commit::commit,
-        orders::Orders,
-        term::{Ended, Term},
+        claim::{claim_leadership, should_claim_leadership},
+        commit::commit_map,
+        orders::OrderClient,
+        term::{OrderResult, Term},
     },
     crate::{
-        edge::control::{controller::Node, election::Election},
+        edge::control::{controller::Controller, election::Election},
         events,
     },
     citron_core::{
@@ -28,149 +28,161 @@
 /// Pause after a plan or a look, as a multiple of what it took: hundreds of orders end
 /// within some milliseconds, and a look after each of them would take a small processor
 /// for seconds.
-const REST: u32 = 3;
+const IDLE_FACTOR: u32 = 3;
 /// The longest such pause: callers wait for keys on their way.
-const REST_MOST: Duration = Duration::from_millis(25);
+const IDLE_MAX: Duration = Duration::from_millis(25);
 
 /// Watches the leadership, and plans while this instance has it.
-pub async fn run<A: Adapter>(node: Rc<Node<A>>) {
-    let times = LeaseTimes::within(node.settings.lease);
-    let orders = Rc::new(Orders::default());
-    let (ended, mut results) = mpsc::unbounded_channel::<Ended>();
-    let mut election = Election::new(node.clock.now());
+pub async fn run<A: Adapter>(controller: Rc<Controller<A>>) {
+    let lease_times = LeaseTimes::within(controller.settings.lease_max);
+    let orders = Rc::new(OrderClient::default());
+    let (result_sender, mut results) = mpsc::unbounded_channel::<OrderResult>();
+    let mut election = Election::new(controller.clock.now());
     let mut term: Option<Term> = None;
-    let mut rested = Time::ZERO;
-    let mut planned = Time::ZERO;
-    let mut next = node.clock.now();
+    let mut idle_until = Time::ZERO;
+    let mut planned_at = Time::ZERO;
+    let mut next_wake = controller.clock.now();
     loop {
-        let event = timeout(next - node.clock.now(), next_event(&node, &mut results));
+        let event = timeout(
+            next_wake - controller.clock.now(),
+            next_event(&controller, &mut results),
+        );
         let event = event.await.unwrap_or(Event::Timer);
-        resign_if_lost(&node, &mut term);
-        if term.is_none() && wants_leadership(&node, &mut election) {
-            term = take_leadership(&node, &mut election, times).await;
-            planned = Time::ZERO;
+        resign_if_lost(&controller, &mut term);
+        if term.is_none() && should_claim_leadership(&controller, &mut election) {
+            term = claim_leadership(&controller, &mut election, lease_times).await;
+            planned_at = Time::ZERO;
         }
         let Some(term) = &mut term else {
-            next = node.clock.now() + PLAN_INTERVAL;
+            next_wake = controller.clock.now() + PLAN_INTERVAL;
             continue;
         };
         match event {
-            Event::Changed => planned = Time::ZERO,
-            Event::Ended(first) => {
-                let more = std::iter::from_fn(|| results.try_recv().ok());
-                let ended = std::iter::once(*first).chain(more);
-                ended.for_each(|ended| term.take(ended, &node));
+            Event::InputChanged => planned_at = Time::ZERO,
+            Event::OrderFinished(first_result) => {
+                let more_results = std::iter::from_fn(|| results.try_recv().ok());
+                let finished = std::iter::once(*first_result).chain(more_results);
+                finished.for_each(|result| term.apply_order_result(result, &controller));
             }
             Event::Timer => {}
         }
-        let begun = node.clock.now();
-        if begun < rested {
-            next = rested;
+        let iteration_start = controller.clock.now();
+        if iteration_start < idle_until {
+            next_wake = idle_until;
             continue;
         }
-        term.settle_former(&node);
-        if Term::may_act(&node, &times) {
-            if begun - planned >= PLAN_INTERVAL {
-                term.plan(&node, times);
-                drop_unused(&node, &orders);
-                planned = begun;
+        term.settle_predecessors(&controller);
+        if Term::may_act(&controller, &lease_times) {
+            if iteration_start - planned_at >= PLAN_INTERVAL {
+                term.plan(&controller, lease_times);
+                drop_unused_connections(&controller, &orders);
+                planned_at = iteration_start;
             }
-            let due = term.orders(&node);
-            node.announce_releases(&due);
-            for (service, order) in due {
-                let task = Task {
-                    node: Rc::clone(&node),
+            let due_orders = term.due_orders(&controller);
+            controller.announce_releases(&due_orders);
+            for (service, order) in due_orders {
+                let task = OrderTask {
+                    controller: Rc::clone(&controller),
                     orders: Rc::clone(&orders),
-                    leadership: term.leadership.version,
-                    begun,
+                    leadership_version: term.leadership.version,
+                    decided_at: iteration_start,
                 };
-                spawn_local(task.carry_out(service, order, times, ended.clone()));
+                spawn_local(task.run(service, order, lease_times, result_sender.clone()));
             }
         }
-        let now = node.clock.now();
-        next = now + ORDER_INTERVAL;
-        rested = now + ((now - begun) * REST).min(REST_MOST);
+        let now = controller.clock.now();
+        next_wake = now + ORDER_INTERVAL;
+        idle_until = now + ((now - iteration_start) * IDLE_FACTOR).min(IDLE_MAX);
     }
 }
 
 /// What wakes the planner.
 enum Event {
     /// An order has ended.
-    Ended(Box<Ended>),
+    OrderFinished(Box<OrderResult>),
     /// What plans go by has changed.
-    Changed,
+    InputChanged,
     /// Nothing happened for a while.
     Timer,
 }
 
 async fn next_event<A: Adapter>(
-    node: &Node<A>,
-    results: &mut mpsc::UnboundedReceiver<Ended>,
+    controller: &Controller<A>,
+    results: &mut mpsc::UnboundedReceiver<OrderResult>,
 ) -> Event {
     tokio::select! {
-        () = node.wake.notified() => Event::Changed,
+        () = controller.plan_trigger.notified() => Event::InputChanged,
         result = results.recv() => match result {
-            Some(ended) => Event::Ended(Box::new(ended)),
+            Some(result) => Event::OrderFinished(Box::new(result)),
             None => Event::Timer,
         },
     }
 }
 
 /// One order under way.
-struct Task<A> {
-    node: Rc<Node<A>>,
-    orders: Rc<Orders>,
-    leadership: u64,
-    begun: Time,
+struct OrderTask<A> {
+    controller: Rc<Controller<A>>,
+    orders: Rc<OrderClient>,
+    leadership_version: u64,
+    decided_at: Time,
 }
 
-impl<A: Adapter> Task<A> {
-    async fn carry_out(
+impl<A: Adapter> OrderTask<A> {
+    async fn run(
         self,
         service: ServiceName,
         order: Order,
-        times: LeaseTimes,
-        ended: mpsc::UnboundedSender<Ended>,
+        lease_times: LeaseTimes,
+        result_sender: mpsc::UnboundedSender<OrderResult>,
     ) {
         let (end, version) = match &order {
             // The process stood still since the order was decided. Leases are
             // counted from then: sent now, a grant would outlast its count.
-            _ if self.node.clock.now() - self.begun > times.start => (OrderEnd::NotSent, 0),
-            Order::Commit(map) => commit(&self.node, &service, map, self.leadership).await,
-            order => (self.orders.send(&self.node, order, &times).await, 0),
+            _ if self.controller.clock.now() - self.decided_at > lease_times.start => {
+                (OrderEnd::NotSent, 0)
+            }
+            Order::Commit(map) => {
+                commit_map(&self.controller, &service, map, self.leadership_version).await
+            }
+            order => (
+                self.orders
+                    .send(&self.controller, order, &lease_times)
+                    .await,
+                0,
+            ),
         };
-        let done = matches!(end, OrderEnd::Done { .. });
-        self.node.counts.count_order(&order, done);
-        let result = Ended {
+        let is_done = matches!(end, OrderEnd::Done { .. });
+        self.controller.metrics.count_order(&order, is_done);
+        let result = OrderResult {
             service,
-            leadership: self.leadership,
+            leadership_version: self.leadership_version,
             order,
             end,
             version,
         };
         // The planner's loop never ends before its tasks.
-        let _ = ended.send(result);
+        let _ = result_sender.send(result);
     }
 }
 
-fn drop_unused<A: Adapter>(node: &Node<A>, orders: &Orders) {
-    let state = node.state.borrow();
+fn drop_unused_connections<A: Adapter>(controller: &Controller<A>, orders: &OrderClient) {
+    let state = controller.state.borrow();
     orders.retain(|address| state.registry.at(address).next().is_some());
 }
 
 /// Gives up once another start has the leadership, or this one leaves.
-fn resign_if_lost<A: Adapter>(node: &Node<A>, term: &mut Option<Term>) {
+fn resign_if_lost<A: Adapter>(controller: &Controller<A>, term: &mut Option<Term>) {
     let Some(held) = term else { return };
-    let mut state = node.state.borrow_mut();
-    let other = state
+    let mut state = controller.state.borrow_mut();
+    let is_replaced = state
         .leadership
         .as_ref()
         .is_some_and(|leadership| leadership.version > held.leadership.version);
-    if other || node.leaving() {
-        state.planning = false;
+    if is_replaced || controller.is_leaving() {
+        state.is_planning = false;
         drop(state);
         *term = None;
         log::info!("{} this instance plans no more", events::PLANNER);
-        node.hurry.notify_one();
+        controller.heartbeat_trigger.notify_one();
     }
 }
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -1,11 +1,11 @@
 //! The work of one term.
 
 use {
-    super::capacity::{capacities, have_shown_up},
+    super::capacity::{capacities, is_server_set_complete},
     crate::{
         edge::control::{
-            controller::{Holder, Leadership, Node},
-            election::has_stopped,
+            controller::{Controller, Leadership, PlannerId},
+            election::has_stopped_planning,
         },
         events,
     },
@@ -23,11 +23,11 @@
 
 /// What became of an order of one service.
 #[derive(Debug)]
-pub struct Ended {
+pub struct OrderResult {
     /// The service.
     pub service: ServiceName,
     /// Version of the planner's row under which it was given.
-    pub leadership: u64,
+    pub leadership_version: u64,
     /// The order.
     pub order: Order,
     /// What became of it.
@@ -51,20 +51,24 @@
     /// The planner's row.
     pub leadership: Leadership,
     /// Planners before, while they may still act.
-    pub before: Vec<Holder>,
+    pub predecessors: Vec<PlannerId>,
     /// By service.
     pub plans: BTreeMap<ServiceName, ServicePlan>,
     /// When keys are moved for balance.
-    pub even: EvenClock,
+    pub balance_clock: EvenClock,
 }
 
 impl Term {
     /// Takes in what became of an order.
-    pub fn take<A: Adapter>(&mut self, result: Ended, node: &Node<A>) {
-        if result.leadership != self.leadership.version {
+    pub fn apply_order_result<A: Adapter>(
+        &mut self,
+        result: OrderResult,
+        controller: &Controller<A>,
+    ) {
+        if result.leadership_version != self.leadership.version {
             return;
         }
-        let now = node.clock.now();
+        let now = controller.clock.now();
         let Some(plan) = self.plans.get_mut(&result.service) else {
             return;
         };
@@ -82,7 +86,7 @@
                 }
                 OrderEnd::Outdated => {
                     // Something else lies in the store: it counts.
-                    let state = node.state.borrow();
+                    let state = controller.state.borrow();
                     let map = state.maps.get(&result.service);
                     if let Some(map) = map.and_then(|map| map.whole()) {
                         plan.reconciler.reload(map);
@@ -94,45 +98,50 @@
         if plan.reconciler.ended(&result.order, result.end, now)
             && let Order::Grant(slice) = &result.order
         {
-            node.announce_owner(&result.service, slice);
+            controller.announce_owner(&result.service, slice);
         }
     }
 
     /// Once the planners before have stopped, leases of theirs need no longer wait.
-    pub fn settle_former<A: Adapter>(&mut self, node: &Node<A>) {
-        if self.before.is_empty() {
+    pub fn settle_predecessors<A: Adapter>(&mut self, controller: &Controller<A>) {
+        if self.predecessors.is_empty() {
             return;
         }
-        let state = node.state.borrow();
+        let state = controller.state.borrow();
         let version = self.leadership.version;
-        self.before
-            .retain(|holder| !has_stopped(&state, holder, version));
-        if self.before.is_empty() {
+        self.predecessors
+            .retain(|planner| !has_stopped_planning(&state, planner, version));
+        if self.predecessors.is_empty() {
             for plan in self.plans.values_mut() {
-                plan.reconciler.book().settle_foreign(node.clock.now());
+                plan.reconciler
+                    .book()
+                    .settle_foreign(controller.clock.now());
             }
         }
     }
 
     /// Whether the store confirmed the leadership lately. Otherwise another may have it by
     /// now, and counts on this one's silence.
-    pub fn may_act<A: Adapter>(node: &Node<A>, times: &LeaseTimes) -> bool {
-        node.clock.now() - node.state.borrow().confirmed <= times.blind
+    pub fn may_act<A: Adapter>(controller: &Controller<A>, lease_times: &LeaseTimes) -> bool {
+        controller.clock.now() - controller.state.borrow().ranges_confirmed_at <= lease_times.blind
     }
 
     /// Decides which keys move.
-    pub fn plan<A: Adapter>(&mut self, node: &Node<A>, times: LeaseTimes) {
-        let now = node.clock.now();
-        let lists = node.state.borrow_mut().registry.lists().clone();
-        let state = node.state.borrow();
+    pub fn plan<A: Adapter>(&mut self, controller: &Controller<A>, lease_times: LeaseTimes) {
+        let now = controller.clock.now();
+        let lists = controller.state.borrow_mut().registry.lists().clone();
+        let state = controller.state.borrow();
         let Some(config) = &state.config else { return };
-        let sudden = node.demands.borrow_mut().take_sudden();
-        let may = *node.store.borrow() && !node.demands.borrow().is_settling(now);
-        let even = self.even.is_due(sudden, may, now);
+        let has_sudden_change = controller.demands.borrow_mut().take_sudden_change();
+        let may_balance =
+            *controller.store_up.borrow() && !controller.demands.borrow().is_settling(now);
+        let even = self
+            .balance_clock
+            .is_due(has_sudden_change, may_balance, now);
         for service in config.services().filter(|service| service.keyed) {
             let name = &service.name;
             let plan = self.plans.entry(name.clone()).or_insert_with(|| {
-                let book = LeaseBook::new(times, now);
+                let book = LeaseBook::new(lease_times, now);
                 ServicePlan {
                     reconciler: Reconciler::new(RangeMap::new(), book),
                     demand: Demand::default(),
@@ -141,17 +150,23 @@
             let servers = lists.get(name).map_or(&[][..], |list| list.as_slice());
             let servers = servers.iter().map(|known| &**known);
             let open: Vec<&Known> = servers.filter(|known| known.is_open()).collect();
-            let is_asked = node.demands.borrow().is_asked(name);
-            let deal = have_shown_up(&open, is_asked, now);
-            let capacities = capacities(&open, service.slow_start, &node.board.loads(), now);
+            let is_requested = controller.demands.borrow().is_requested(name);
+            let deal = is_server_set_complete(&open, is_requested, now);
+            let capacities = capacities(&open, service.slow_start, &controller.shared.loads(), now);
             if even {
-                plan.demand = node.demands.borrow().seen(name, now);
+                plan.demand = controller.demands.borrow().current(name, now);
             }
             let limits = BalanceLimits::STANDARD;
             let mut balance = Balance::new(limits, &capacities, &plan.demand);
             let scope = Scope { deal, even };
             let reconciler = &mut plan.reconciler;
-            reconciler.plan(now, &state.times, &state.registry, &mut balance, scope);
+            reconciler.plan(
+                now,
+                &state.store_clock,
+                &state.registry,
+                &mut balance,
+                scope,
+            );
             if even {
                 log::info!(
                     "{} service={name} highest={:.2} moves={} slices={} rate={:.0}",
@@ -166,14 +181,17 @@
     }
 
     /// The orders that are due.
-    pub fn orders<A: Adapter>(&mut self, node: &Node<A>) -> Vec<(ServiceName, Order)> {
-        let now = node.clock.now();
-        let state = node.state.borrow();
+    pub fn due_orders<A: Adapter>(
+        &mut self,
+        controller: &Controller<A>,
+    ) -> Vec<(ServiceName, Order)> {
+        let now = controller.clock.now();
+        let state = controller.state.borrow();
         let mut orders = Vec::new();
         for (service, plan) in &mut self.plans {
             let reconciler = &mut plan.reconciler;
-            let due = reconciler.orders(now, &state.times, &state.registry);
-            orders.extend(due.into_iter().map(|order| (service.clone(), order)));
+            let due_orders = reconciler.orders(now, &state.store_clock, &state.registry);
+            orders.extend(due_orders.into_iter().map(|order| (service.clone(), order)));
         }
         orders
     }
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        controller::Node,
-        transfer::Arrival,
-        watch::{self, CONFIG, RANGES, SERVERS, WATCHED, jitter},
+        controller::Controller,
+        transfer::TableTransfer,
+        watch::{self, CONFIG, RANGES, SERVERS, WATCHED, jitter_factor},
     },
     crate::events,
     citron_core::{
@@ -19,12 +19,12 @@
 
 /// How long the begin of an answer may take: the store answers in some milliseconds,
 /// and in a quarter of a second when it is slow.
-const CALL_TIME: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// The longest time between two looks, as the role may change meanwhile.
-const LOOK_MOST: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL_MAX: Duration = Duration::from_millis(200);
 /// An open question whose news came on another way for so long counts as swallowed:
 /// its own answer cannot be that far behind.
-const SWALLOWED: Duration = PropagationTimes::STANDARD.call;
+const STALLED_AFTER: Duration = PropagationTimes::STANDARD.call;
 
 /// Questions to the store that stay open until there is news, one for each table.
 ///
@@ -32,114 +32,125 @@
 /// later change reaches this failure domain late, from another one. News that came on
 /// another way proves it.
 #[derive(Debug, Default)]
-pub struct Questions {
-    open: [Question; WATCHED.len()],
+pub struct LongPolls {
+    polls: [LongPoll; WATCHED.len()],
 }
 
 #[derive(Debug, Default)]
-struct Question {
+struct LongPoll {
     /// When it was asked.
-    asked: Cell<Option<Time>>,
+    started_at: Cell<Option<Time>>,
     /// When news came that it should have told.
-    missed: Cell<Option<Time>>,
-    dropped: Notify,
+    overtaken_at: Cell<Option<Time>>,
+    cancel: Notify,
 }
 
-impl Questions {
+impl LongPolls {
     /// Asks a question; nothing if it was found to be swallowed.
-    pub async fn ask<T>(
+    pub async fn run<T>(
         &self,
-        at: usize,
-        begun: Time,
-        question: impl Future<Output = T>,
+        table: usize,
+        call_started: Time,
+        read: impl Future<Output = T>,
     ) -> Option<T> {
-        let open = &self.open[at];
-        open.asked.set(Some(begun));
-        open.missed.set(None);
+        let poll = &self.polls[table];
+        poll.started_at.set(Some(call_started));
+        poll.overtaken_at.set(None);
         let answer = tokio::select! {
-            answer = question => Some(answer),
-            () = open.dropped.notified() => None,
+            answer = read => Some(answer),
+            () = poll.cancel.notified() => None,
         };
-        open.asked.set(None);
+        poll.started_at.set(None);
         answer
     }
 
     /// News of a table came as the answer to a call that began at `begun`.
-    pub fn missed(&self, at: usize, begun: Time) {
-        let open = &self.open[at];
-        let earlier = open.asked.get().is_some_and(|asked| asked < begun);
-        if earlier && open.missed.get().is_none() {
-            open.missed.set(Some(begun));
+    pub fn record_change(&self, table: usize, call_started: Time) {
+        let poll = &self.polls[table];
+        let is_earlier = poll
+            .started_at
+            .get()
+            .is_some_and(|started_at| started_at < call_started);
+        if is_earlier && poll.overtaken_at.get().is_none() {
+            poll.overtaken_at.set(Some(call_started));
         }
     }
 
     /// Drops questions that were swallowed, so that they are asked anew.
-    fn drop_swallowed(&self, now: Time) {
-        for (open, table) in self.open.iter().zip(WATCHED) {
-            let missed = open.missed.get();
-            if missed.is_none_or(|missed| now - missed < SWALLOWED) {
+    fn cancel_stalled(&self, now: Time) {
+        for (poll, row_table) in self.polls.iter().zip(WATCHED) {
+            let overtaken_at = poll.overtaken_at.get();
+            if overtaken_at.is_none_or(|overtaken_at| now - overtaken_at < STALLED_AFTER) {
                 continue;
             }
-            open.missed.set(None);
-            if let Some(asked) = open.asked.get() {
-                let open_for = now - asked;
-                log::warn!("{} {table:?}, asked {open_for:?} ago", events::SWALLOWED);
-                open.dropped.notify_one();
+            poll.overtaken_at.set(None);
+            if let Some(started_at) = poll.started_at.get() {
+                let open_for = now - started_at;
+                log::warn!(
+                    "{} {row_table:?}, asked {open_for:?} ago",
+                    events::SWALLOWED
+                );
+                poll.cancel.notify_one();
             }
         }
     }
 }
 
 /// Looks after the ages of tables for good.
-pub async fn run<A: Adapter>(node: Rc<Node<A>>) {
+pub async fn run<A: Adapter>(controller: Rc<Controller<A>>) {
     loop {
-        let left = node.until_due();
-        sleep(left.clamp(PropagationTimes::STANDARD.poll_interval, LOOK_MOST)).await;
-        node.questions.drop_swallowed(node.clock.now());
-        if node.until_due().is_zero() && node.state.borrow().mirrors[RANGES].version > 0 {
-            refresh(&node).await;
+        let delay = controller.time_until_refresh();
+        sleep(delay.clamp(PropagationTimes::STANDARD.poll_interval, CHECK_INTERVAL_MAX)).await;
+        controller.long_polls.cancel_stalled(controller.clock.now());
+        if controller.time_until_refresh().is_zero()
+            && controller.state.borrow().replicas[RANGES].version > 0
+        {
+            refresh_tables(&controller).await;
         }
     }
 }
 
 /// Another instance's heartbeat says how old its tables were when it was sent.
-pub fn hear_ages<A: Adapter>(node: &Node<A>, heartbeat: &Heartbeat, sent: Time) {
-    for (at, age) in heartbeat.ages.into_iter().enumerate() {
-        if heartbeat.versions[at] == node.state.borrow().mirrors[at].changed {
-            node.record_peer_age(at, age.into(), sent);
+pub fn apply_peer_ages<A: Adapter>(controller: &Controller<A>, heartbeat: &Heartbeat, sent: Time) {
+    for (table, age) in heartbeat.ages.into_iter().enumerate() {
+        if heartbeat.versions[table] == controller.state.borrow().replicas[table].newest_change {
+            controller.record_peer_age(table, age.into(), sent);
         }
     }
 }
 
 /// Brings all tables up to date. The answer about one tells the newest version of
 /// all: as long as nothing is written, one call does.
-async fn refresh<A: Adapter>(node: &Rc<Node<A>>) {
-    let Some(newest) = ask(node, RANGES).await else {
+async fn refresh_tables<A: Adapter>(controller: &Rc<Controller<A>>) {
+    let Some(newest) = refresh_table(controller, RANGES).await else {
         return;
     };
-    let older = |at: usize| {
-        let version = node.state.borrow().mirrors[at].version;
-        version > 0 && version < newest && !node.is_arriving(at)
+    let is_older = |table: usize| {
+        let version = controller.state.borrow().replicas[table].version;
+        version > 0 && version < newest && !controller.is_transferring(table)
     };
-    let ask_if = async |at| {
-        if older(at) {
-            ask(node, at).await;
+    let refresh_if_older = async |table| {
+        if is_older(table) {
+            refresh_table(controller, table).await;
         }
     };
-    tokio::join!(ask_if(CONFIG), ask_if(SERVERS));
+    tokio::join!(refresh_if_older(CONFIG), refresh_if_older(SERVERS));
     // Others are told at once how old their tables are.
-    node.hurry.notify_one();
+    controller.heartbeat_trigger.notify_one();
 }
 
 /// Reads all maps and the leadership; whether the store told them.
-pub async fn read_maps<A: Adapter>(node: &Node<A>) -> bool {
-    let begun = node.clock.now();
-    let mut arrival = Arrival::of_store(node, RANGES, watch::CALL_TIME);
-    let read = node.adapter.store().rows(RowTable::Ranges, &mut arrival);
+pub async fn read_maps<A: Adapter>(controller: &Controller<A>) -> bool {
+    let call_started = controller.clock.now();
+    let mut transfer = TableTransfer::from_store(controller, RANGES, watch::READ_RESPONSE_TIMEOUT);
+    let read = controller
+        .adapter
+        .store()
+        .rows(RowTable::Ranges, &mut transfer);
     match read.await {
-        Ok(set) => node.on_table_read(RANGES, set, true, begun),
+        Ok(row_set) => controller.on_table_read(RANGES, row_set, true, call_started),
         Err(error) => {
-            node.store_failed("maps", &error);
+            controller.on_store_failure("maps", &error);
             return false;
         }
     }
@@ -147,77 +158,104 @@
 }
 
 /// Brings a table up to date, and waits for no change; the store's version.
-async fn ask<A: Adapter>(node: &Rc<Node<A>>, at: usize) -> Option<u64> {
-    let begun = node.clock.now();
-    match read(node, at).await {
-        Ok((set, whole)) => Some(answered(node, at, set, whole, begun)),
-        Err(error) => failed(node, at, &error),
+async fn refresh_table<A: Adapter>(controller: &Rc<Controller<A>>, table: usize) -> Option<u64> {
+    let call_started = controller.clock.now();
+    match read_table(controller, table).await {
+        Ok((row_set, is_snapshot)) => Some(apply_read(
+            controller,
+            table,
+            row_set,
+            is_snapshot,
+            call_started,
+        )),
+        Err(error) => on_read_failure(controller, table, &error),
     }
 }
 
 /// What has changed in a table, or all there is, if so. What an instance knows that
 /// hears of changes from others may be older than the store's history, though nothing
 /// has changed since.
-async fn read<A: Adapter>(node: &Node<A>, at: usize) -> Result<(RowSet, bool), StoreError> {
-    let store = node.adapter.store();
-    let after = node.state.borrow().mirrors[at].version;
-    let mut arrival = Arrival::of_store(node, at, CALL_TIME);
-    let changes = store.changes(WATCHED[at], after, Duration::ZERO, &mut arrival);
+async fn read_table<A: Adapter>(
+    controller: &Controller<A>,
+    table: usize,
+) -> Result<(RowSet, bool), StoreError> {
+    let store = controller.adapter.store();
+    let after = controller.state.borrow().replicas[table].version;
+    let mut transfer = TableTransfer::from_store(controller, table, RESPONSE_TIMEOUT);
+    let changes = store.changes(WATCHED[table], after, Duration::ZERO, &mut transfer);
     match changes.await {
         Err(StoreError::Forgotten) => {
-            let mut arrival = Arrival::of_store(node, at, CALL_TIME);
-            Ok((store.rows(WATCHED[at], &mut arrival).await?, true))
+            let mut transfer = TableTransfer::from_store(controller, table, RESPONSE_TIMEOUT);
+            Ok((store.rows(WATCHED[table], &mut transfer).await?, true))
         }
         changes => Ok((changes?, false)),
     }
 }
 
-fn answered<A: Adapter>(node: &Node<A>, at: usize, set: RowSet, whole: bool, begun: Time) -> u64 {
-    let version = set.version;
-    if !whole && !set.rows.is_empty() {
-        node.questions.missed(at, begun);
+fn apply_read<A: Adapter>(
+    controller: &Controller<A>,
+    table: usize,
+    row_set: RowSet,
+    is_snapshot: bool,
+    call_started: Time,
+) -> u64 {
+    let version = row_set.version;
+    if !is_snapshot && !row_set.rows.is_empty() {
+        controller.long_polls.record_change(table, call_started);
     }
-    node.on_table_read(at, set, whole, begun);
+    controller.on_table_read(table, row_set, is_snapshot, call_started);
     version
 }
 
-fn failed<A: Adapter>(node: &Node<A>, at: usize, error: &StoreError) -> Option<u64> {
-    let now = node.clock.now();
-    let role = node.role();
-    node.state.borrow_mut().fresh.failed(role, jitter(), now);
-    let table = WATCHED[at];
-    log::warn!("{} {table:?} of the store: {error}", events::TABLE_LOST);
-    node.store_failed(&format!("{table:?}"), error);
+fn on_read_failure<A: Adapter>(
+    controller: &Controller<A>,
+    table: usize,
+    error: &StoreError,
+) -> Option<u64> {
+    let now = controller.clock.now();
+    let role = controller.role();
+    controller
+        .state
+        .borrow_mut()
+        .freshness
+        .failed(role, jitter_factor(), now);
+    let row_table = WATCHED[table];
+    log::warn!("{} {row_table:?} of the store: {error}", events::TABLE_LOST);
+    controller.on_store_failure(&format!("{row_table:?}"), error);
     None
 }
 
-impl<A: Adapter> Node<A> {
+impl<A: Adapter> Controller<A> {
     /// How long until the store should be asked.
-    fn until_due(&self) -> Duration {
+    fn time_until_refresh(&self) -> Duration {
         // The planner must hear from the store itself that it still has the leadership.
-        let arriving = [0, 1, 2].map(|at| at != RANGES && self.is_arriving(at));
+        let in_transfer = [0, 1, 2].map(|table| table != RANGES && self.is_transferring(table));
         let state = self.state.borrow();
         let now = self.clock.now();
         state
-            .fresh
-            .time_until_due_except(arriving, self.role(), now)
+            .freshness
+            .time_until_due_except(in_transfer, self.role(), now)
     }
 
     /// Whether parts of a table are coming.
-    pub fn is_arriving(&self, at: usize) -> bool {
+    pub fn is_transferring(&self, table: usize) -> bool {
         let now = self.clock.now();
-        self.fetches.borrow().is_arriving(at, now)
+        self.fetches.borrow().is_arriving(table, now)
     }
 
     fn role(&self) -> Role {
-        if self.state.borrow().planning {
+        if self.state.borrow().is_planning {
             return Role::Planner;
         }
         // Where the store answers nobody, all of a domain would read it.
-        let reads = match *self.store.borrow() {
-            true => self.leads(),
-            false => self.is_first(),
+        let reads_store = match *self.store_up.borrow() {
+            true => self.is_domain_reader(),
+            false => self.is_first_in_domain(),
         };
-        if reads { Role::Reader } else { Role::Follower }
+        if reads_store {
+            Role::Reader
+        } else {
+            Role::Follower
+        }
     }
 }
--- a/crates/citronproxy/src/edge/control/relay.rs
+++ b/crates/citronproxy/src/edge/control/relay.rs
@@ -8,9 +8,9 @@
 //! that they leave.
 
 use {
-    super::{controller::Node, transfer::Arrival, watch::WATCHED},
+    super::{controller::Controller, transfer::TableTransfer, watch::WATCHED},
     crate::{
-        edge::http_server::{Page, page},
+        edge::http_server::{HttpResponse, response},
         events,
     },
     bytes::Bytes,
@@ -24,14 +24,14 @@
 };
 
 /// The largest table that is read, packed or not.
-const TABLE_MAX: usize = 8 << 20;
+const TABLE_BYTES_MAX: usize = 8 << 20;
 /// Pause after a failure.
-const PAUSE: Duration = Duration::from_millis(150);
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Tables asked for from others, and handed to them.
 #[derive(Debug)]
 pub struct Relay {
-    lag: RefCell<LagTimer<{ WATCHED.len() }>>,
+    lag_timer: RefCell<LagTimer<{ WATCHED.len() }>>,
     clients: RefCell<BTreeMap<SocketAddr, KeptClient>>,
     packer: RefCell<Packer<{ WATCHED.len() }>>,
 }
@@ -39,7 +39,7 @@
 impl Default for Relay {
     fn default() -> Self {
         Self {
-            lag: RefCell::new(LagTimer::new(PropagationTimes::STANDARD.lag_grace)),
+            lag_timer: RefCell::new(LagTimer::new(PropagationTimes::STANDARD.lag_grace)),
             clients: RefCell::default(),
             packer: RefCell::default(),
         }
@@ -48,36 +48,42 @@
 
 impl Relay {
     /// A table has taken changes in.
-    pub fn caught_up(&self, at: usize) {
-        self.lag.borrow_mut().caught_up(at);
+    pub fn caught_up(&self, table: usize) {
+        self.lag_timer.borrow_mut().caught_up(table);
     }
 }
 
 /// Hands out a table.
-pub fn table<A: Adapter>(node: &Node<A>, path: &str) -> Page {
-    let question = path.parse::<TableQuestion>().ok();
-    let question = question.filter(|question| question.table < WATCHED.len());
-    match question.and_then(|question| answer(node, question).ok()) {
-        Some(bytes) => page(StatusCode::OK, bytes),
-        None => page(StatusCode::NOT_FOUND, ""),
+pub fn serve_table<A: Adapter>(controller: &Controller<A>, path: &str) -> HttpResponse {
+    let query = path.parse::<TableQuestion>().ok();
+    let query = query.filter(|query| query.table < WATCHED.len());
+    match query.and_then(|query| encode_table(controller, query).ok()) {
+        Some(bytes) => response(StatusCode::OK, bytes),
+        None => response(StatusCode::NOT_FOUND, ""),
     }
 }
 
-fn answer<A: Adapter>(node: &Node<A>, question: TableQuestion) -> Result<Bytes, RelayError> {
-    let state = node.state.borrow();
-    let mirror = &state.mirrors[question.table];
-    let part = mirror.part(question.after, question.digest);
+fn encode_table<A: Adapter>(
+    controller: &Controller<A>,
+    query: TableQuestion,
+) -> Result<Bytes, RelayError> {
+    let state = controller.state.borrow();
+    let replica = &state.replicas[query.table];
+    let part = replica.part_since(query.after, query.digest);
     let head = HeadWire {
-        version: mirror.version,
+        version: replica.version,
         whole: part == Part::Whole,
-        changed: mirror.changed,
-        age: state.fresh.age(question.table, node.clock.now()).into(),
+        changed: replica.newest_change,
+        age: state
+            .freshness
+            .age(query.table, controller.clock.now())
+            .into(),
     };
-    let rows = || mirror.rows(part);
-    match question.format {
+    let rows = || replica.rows_in(part);
+    match query.format {
         Format::Packed => {
-            let mut packer = node.relay.packer.borrow_mut();
-            head.with(&packer.body(question.table, mirror.edits, part, rows)?)
+            let mut packer = controller.relay.packer.borrow_mut();
+            head.with(&packer.body(query.table, replica.edit_count, part, rows)?)
         }
         Format::Plain => TableWire { head, rows: rows() }.to_plain(),
     }
@@ -85,74 +91,86 @@
 
 /// Asks another instance for tables that are newer there, unless this one should
 /// hear of the change by itself in time.
-pub fn catch_up<A: Adapter>(node: &Rc<Node<A>>, from: SocketAddr, heartbeat: &Heartbeat) {
-    for at in due(node, heartbeat) {
-        let fetch = node.fetches.borrow_mut().begin(at, node.clock.now());
+pub fn fetch_newer_tables<A: Adapter>(
+    controller: &Rc<Controller<A>>,
+    from: SocketAddr,
+    heartbeat: &Heartbeat,
+) {
+    for table in due_fetches(controller, heartbeat) {
+        let fetch = controller
+            .fetches
+            .borrow_mut()
+            .begin(table, controller.clock.now());
         if let Some(fetch) = fetch {
-            let node = Rc::clone(node);
-            spawn_local(async move { pull(&node, from, fetch).await });
+            let controller = Rc::clone(controller);
+            spawn_local(async move { fetch_and_apply(&controller, from, fetch).await });
         }
     }
 }
 
-fn due<A: Adapter>(node: &Node<A>, heartbeat: &Heartbeat) -> Vec<usize> {
-    let now = node.clock.now();
-    let known = node
+fn due_fetches<A: Adapter>(controller: &Controller<A>, heartbeat: &Heartbeat) -> Vec<usize> {
+    let now = controller.clock.now();
+    let own_versions = controller
         .state
         .borrow()
-        .mirrors
+        .replicas
         .each_ref()
-        .map(|mirror| mirror.changed);
+        .map(|replica| replica.newest_change);
     // Others may be ahead still where this one is not; their own heartbeats tell.
-    let is_newer = |at: &usize| heartbeat.versions[*at] > known[*at];
-    let newer: Vec<usize> = (0..known.len()).filter(is_newer).collect();
+    let is_newer = |table: &usize| heartbeat.versions[*table] > own_versions[*table];
+    let newer: Vec<usize> = (0..own_versions.len()).filter(is_newer).collect();
     if newer.is_empty() {
         return newer;
     }
-    let near = heartbeat.domain == node.settings.domain.as_str();
-    let reads = node.reads() && *node.store.borrow();
+    let is_near = heartbeat.domain == controller.settings.domain.as_str();
+    let reads_store = controller.reads_store() && *controller.store_up.borrow();
     // The planner tells one instance of each failure domain.
-    let told = heartbeat.planning && node.leads() && node.hears_planner();
-    let waits = !told && (!near || reads);
-    let mut lag = node.relay.lag.borrow_mut();
-    let is_due = |at: &usize| lag.should_fetch(*at, waits, now);
+    let from_planner = heartbeat.planning
+        && controller.is_domain_reader()
+        && controller.receives_planner_heartbeats();
+    let may_wait = !from_planner && (!is_near || reads_store);
+    let mut lag_timer = controller.relay.lag_timer.borrow_mut();
+    let is_due = |table: &usize| lag_timer.should_fetch(*table, may_wait, now);
     newer.into_iter().filter(is_due).collect()
 }
 
-async fn pull<A: Adapter>(node: &Node<A>, from: SocketAddr, fetch: Fetch) {
-    let at = fetch.table;
-    let mut arrival = Arrival::of_fetch(node, fetch);
-    let begun = node.clock.now();
-    let question = {
-        let mirror = &node.state.borrow().mirrors[at];
-        TableQuestion::new(at, mirror.changed).having(mirror.digest())
+async fn fetch_and_apply<A: Adapter>(controller: &Controller<A>, from: SocketAddr, fetch: Fetch) {
+    let table = fetch.table;
+    let mut transfer = TableTransfer::from_peer(controller, fetch);
+    let call_started = controller.clock.now();
+    let query = {
+        let replica = &controller.state.borrow().replicas[table];
+        TableQuestion::new(table, replica.newest_change).having(replica.digest())
     };
     let client = {
-        let mut clients = node.relay.clients.borrow_mut();
+        let mut clients = controller.relay.clients.borrow_mut();
         let client = clients.entry(from);
         client
-            .or_insert_with(|| KeptClient::new(from, TABLE_MAX))
+            .or_insert_with(|| KeptClient::new(from, TABLE_BYTES_MAX))
             .clone()
     };
-    let called = fetch_table(&client, question, &mut arrival).await;
-    node.counts.count_fetch(called.is_ok());
-    let answer = match called {
-        Ok(answer) => answer,
+    let result = fetch_table(&client, query, &mut transfer).await;
+    controller.metrics.count_table_fetch(result.is_ok());
+    let response = match result {
+        Ok(response) => response,
         Err(error) => {
             log::warn!(
                 "{} {:?} of {from}: {error}",
                 events::TABLE_LOST,
-                WATCHED[at]
+                WATCHED[table]
             );
-            sleep(PAUSE).await;
+            sleep(FETCH_RETRY_DELAY).await;
             return;
         }
     };
-    match answer.read(TABLE_MAX) {
+    match response.read(TABLE_BYTES_MAX) {
         Ok(wire) => {
-            node.relay.caught_up(at);
-            node.take_over(at, wire, begun);
+            controller.relay.caught_up(table);
+            controller.apply_peer_table(table, wire, call_started);
         }
-        Err(error) => log::warn!("{} table {at} of {from}: {error}", events::DATAGRAM_REFUSED),
+        Err(error) => log::warn!(
+            "{} table {table} of {from}: {error}",
+            events::DATAGRAM_REFUSED
+        ),
     }
 }
--- a/crates/citronproxy/src/edge/control/transfer.rs
+++ b/crates/citronproxy/src/edge/control/transfer.rs
@@ -1,7 +1,7 @@
 //! A table that is being transferred to this instance.
 
 use {
-    super::controller::Node,
+    super::controller::Controller,
     citron_core::{freshness::Fetch, time::Time},
     citron_ports::{Adapter, ReadTimeout},
     std::time::Duration,
@@ -10,49 +10,49 @@
 /// Limits a transfer by its progress, and counts it among the instance's transfers from
 /// its first part on.
 #[derive(Debug)]
-pub struct Arrival<'a, A: Adapter> {
-    node: &'a Node<A>,
+pub struct TableTransfer<'a, A: Adapter> {
+    controller: &'a Controller<A>,
     table: usize,
     /// By then the store's answer must have begun.
-    until: Time,
+    response_deadline: Time,
     /// The transfer, once it is counted.
     fetch: Option<Fetch>,
 }
 
-impl<'a, A: Adapter> Arrival<'a, A> {
+impl<'a, A: Adapter> TableTransfer<'a, A> {
     /// A table that is asked for at the store, which must answer within a span.
-    pub fn of_store(node: &'a Node<A>, table: usize, span: Duration) -> Self {
+    pub fn from_store(controller: &'a Controller<A>, table: usize, timeout: Duration) -> Self {
         Self {
-            node,
+            controller,
             table,
-            until: node.clock.now() + span,
+            response_deadline: controller.clock.now() + timeout,
             fetch: None,
         }
     }
 
     /// A table that is fetched from another instance.
-    pub fn of_fetch(node: &'a Node<A>, fetch: Fetch) -> Self {
+    pub fn from_peer(controller: &'a Controller<A>, fetch: Fetch) -> Self {
         Self {
-            node,
+            controller,
             table: fetch.table,
-            until: node.clock.now(),
+            response_deadline: controller.clock.now(),
             fetch: Some(fetch),
         }
     }
 }
 
-impl<A: Adapter> ReadTimeout for Arrival<'_, A> {
+impl<A: Adapter> ReadTimeout for TableTransfer<'_, A> {
     fn remaining(&self) -> Duration {
-        let now = self.node.clock.now();
+        let now = self.controller.clock.now();
         match self.fetch {
-            Some(fetch) => self.node.fetches.borrow().remaining(fetch, now),
-            None => self.until - now,
+            Some(fetch) => self.controller.fetches.borrow().remaining(fetch, now),
+            None => self.response_deadline - now,
         }
     }
 
     fn progressed(&mut self) {
-        let now = self.node.clock.now();
-        let mut fetches = self.node.fetches.borrow_mut();
+        let now = self.controller.clock.now();
+        let mut fetches = self.controller.fetches.borrow_mut();
         let fetch = *self
             .fetch
             .get_or_insert_with(|| fetches.add(self.table, now));
@@ -60,11 +60,11 @@
     }
 }
 
-impl<A: Adapter> Drop for Arrival<'_, A> {
+impl<A: Adapter> Drop for TableTransfer<'_, A> {
     /// A call that is cancelled must not count as a transfer any more.
     fn drop(&mut self) {
         if let Some(fetch) = self.fetch {
-            self.node.fetches.borrow_mut().end(fetch);
+            self.controller.fetches.borrow_mut().end(fetch);
         }
     }
 }
--- a/crates/citronproxy/src/edge/freshness.rs
+++ b/crates/citronproxy/src/edge/freshness.rs
@@ -18,25 +18,25 @@
 /// Written with release after the view that they describe, [`Lag`] before the moments;
 /// read with acquire in the opposite order.
 #[derive(Debug, Default)]
-pub struct AsOf {
+pub struct SharedFreshness {
     /// Microseconds plus one; 0 if the table was never read.
-    moments: [AtomicU64; 3],
+    as_of_micros: [AtomicU64; 3],
     lag: AtomicU8,
 }
 
-impl AsOf {
+impl SharedFreshness {
     /// A table, by its place among the watched ones, is known as of a moment.
-    pub fn note(&self, table: usize, moment: Time) {
-        self.moments[table].store(moment.as_micros() + 1, Ordering::Release);
+    pub fn set_as_of(&self, table: usize, as_of: Time) {
+        self.as_of_micros[table].store(as_of.as_micros() + 1, Ordering::Release);
     }
 
     /// Whether the configuration lags behind a known version.
-    pub fn note_lag(&self, lag: Lag) {
+    pub fn set_lag(&self, lag: Lag) {
         self.lag.store(lag as u8, Ordering::Release);
     }
 
     /// How current the configuration is.
-    pub fn config(&self, now: Time) -> Standing {
+    pub fn config_standing(&self, now: Time) -> Standing {
         let age = self.ages(now).config;
         let lag = match self.lag.load(Ordering::Acquire) {
             advertised if advertised == Lag::Advertised as u8 => Lag::Advertised,
@@ -47,13 +47,13 @@
     }
 
     /// How old what is known is.
-    pub fn ages(&self, now: Time) -> Ages {
-        let age = |moment: &AtomicU64| {
-            let micros = moment.load(Ordering::Acquire).checked_sub(1)?;
+    pub fn ages(&self, now: Time) -> TableAges {
+        let age = |as_of: &AtomicU64| {
+            let micros = as_of.load(Ordering::Acquire).checked_sub(1)?;
             Some(now - Time::from_micros(micros))
         };
-        let [config, servers, keys] = self.moments.each_ref().map(age);
-        Ages {
+        let [config, servers, keys] = self.as_of_micros.each_ref().map(age);
+        TableAges {
             config,
             servers,
             keys,
@@ -63,7 +63,7 @@
 
 /// How old what is known is.
 #[derive(Debug, Clone, Copy)]
-pub struct Ages {
+pub struct TableAges {
     /// The configuration.
     pub config: Age,
     /// The servers' entries.
@@ -72,9 +72,9 @@
     pub keys: Age,
 }
 
-impl fmt::Display for Ages {
+impl fmt::Display for TableAges {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let millis = |age: Age| age.map_or("-".to_string(), shown);
+        let millis = |age: Age| age.map_or("-".to_string(), format_millis);
         let [config, servers, keys] = [self.config, self.servers, self.keys].map(millis);
         write!(
             f,
@@ -83,6 +83,6 @@
     }
 }
 
-fn shown(age: Duration) -> String {
+fn format_millis(age: Duration) -> String {
     format!("{}ms", age.as_millis())
 }
--- a/crates/citronproxy/src/edge/http_server.rs
+++ b/crates/citronproxy/src/edge/http_server.rs
@@ -12,39 +12,42 @@
 };
 
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A page, or the reason why there is none.
-pub type Page = Response<Full<Bytes>>;
+pub type HttpResponse = Response<Full<Bytes>>;
 
 /// Listens at an address.
 ///
 /// # Errors
 /// If it is taken, or is not this machine's.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, EdgeError> {
-    let bound = TcpListener::bind(address).await;
-    bound.map_err(|source| EdgeError::Listen {
+    let result = TcpListener::bind(address).await;
+    result.map_err(|source| EdgeError::Listen {
         address: address.to_string(),
         source,
     })
 }
 
 /// Answers for good.
-pub async fn serve(listener: TcpListener, answer: impl Fn(&Request<Incoming>) -> Page + 'static) {
-    let answer = Rc::new(answer);
+pub async fn serve(
+    listener: TcpListener,
+    handler: impl Fn(&Request<Incoming>) -> HttpResponse + 'static,
+) {
+    let handler = Rc::new(handler);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let answer = Rc::clone(&answer);
+        let handler = Rc::clone(&handler);
         spawn_local(async move {
             let service = service_fn(move |request| {
-                let page = answer(&request);
-                async move { Ok::<_, Infallible>(page) }
+                let response = handler(&request);
+                async move { Ok::<_, Infallible>(response) }
             });
-            let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            if let Err(error) = served.await {
+            let result = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            if let Err(error) = result.await {
                 log::debug!("a connection to a page ended: {error}");
             }
         });
@@ -52,8 +55,8 @@
 }
 
 /// A page with a status.
-pub fn page(status: StatusCode, body: impl Into<Bytes>) -> Page {
-    let mut page = Response::new(Full::new(body.into()));
-    *page.status_mut() = status;
-    page
+pub fn response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/citronproxy/src/edge/run.rs
+++ b/crates/citronproxy/src/edge/run.rs
@@ -22,45 +22,45 @@
 };
 
 /// Stack of a thread in bytes: requests are futures on the heap.
-const STACK: usize = 512 * 1_024;
+const STACK_BYTES: usize = 512 * 1_024;
 
 /// Runs an instance until a signal has asked it to leave and its requests have
 /// ended. `file` is read again when SIGHUP tells that it has changed.
 ///
 /// # Errors
 /// If a thread or a listener cannot be started.
-pub fn run<A>(adapter: A, settings: EdgeSettings, file: PathBuf) -> Result<(), EdgeError>
+pub fn run<A>(adapter: A, settings: EdgeSettings, settings_file: PathBuf) -> Result<(), EdgeError>
 where
     A: Adapter + Send,
 {
     let clock = Clock::start();
     let metrics = Metrics::new()?;
     let registry = metrics.registry().clone();
-    let board = Arc::new(SharedState::default());
+    let shared = Arc::new(SharedState::default());
     let headers = adapter.headers().clone();
     let ready_path = adapter.ready_path().to_string();
-    let (shared, known) = (Arc::clone(&board), settings.clone());
-    let (failed, mut failure) = oneshot::channel();
+    let (control_shared, control_settings) = (Arc::clone(&shared), settings.clone());
+    let (result_sender, mut control_result) = oneshot::channel();
     let builder = thread::Builder::new()
         .name("control".to_string())
-        .stack_size(STACK);
-    let control = builder.spawn(move || {
-        let controlled = control::run(adapter, known, clock, shared, &registry);
-        let ended = runtime().and_then(|runtime| runtime.block_on(controlled));
+        .stack_size(STACK_BYTES);
+    let thread = builder.spawn(move || {
+        let control = control::run(adapter, control_settings, clock, control_shared, &registry);
+        let result = runtime().and_then(|runtime| runtime.block_on(control));
         // The receiver is gone only if traffic has ended before.
-        let _ = failed.send(ended);
+        let _ = result_sender.send(result);
     });
-    control.map_err(EdgeError::Thread)?;
+    thread.map_err(EdgeError::Thread)?;
     runtime()?.block_on(LocalSet::new().run_until(async move {
         let names = Names {
             headers,
             ready: ready_path,
         };
-        let served = traffic::run(Arc::clone(&board), settings, clock, names, metrics);
+        let traffic = traffic::run(Arc::clone(&shared), settings, clock, names, metrics);
         tokio::select! {
-            served = served => served,
-            ended = &mut failure => ended.unwrap_or(Ok(())),
-            stopped = follow_signals(&board, file) => stopped,
+            traffic = traffic => traffic,
+            result = &mut control_result => result.unwrap_or(Ok(())),
+            stopped = handle_signals(&shared, settings_file) => stopped,
         }
     }))?;
     log::info!("{}", events::STOPPED);
@@ -73,30 +73,30 @@
 }
 
 /// Tells of SIGTERM and SIGHUP for good.
-async fn follow_signals(board: &SharedState, file: PathBuf) -> Result<(), EdgeError> {
-    let caught = |kind| signal(kind).map_err(EdgeError::Signals);
-    let mut terminate = caught(SignalKind::terminate())?;
-    let mut interrupt = caught(SignalKind::interrupt())?;
-    let mut hangup = caught(SignalKind::hangup())?;
+async fn handle_signals(shared: &SharedState, settings_file: PathBuf) -> Result<(), EdgeError> {
+    let subscribe = |kind| signal(kind).map_err(EdgeError::Signals);
+    let mut terminate = subscribe(SignalKind::terminate())?;
+    let mut interrupt = subscribe(SignalKind::interrupt())?;
+    let mut hangup = subscribe(SignalKind::hangup())?;
     loop {
         tokio::select! {
-            _ = terminate.recv() => leave(board),
-            _ = interrupt.recv() => leave(board),
-            _ = hangup.recv() => reload(&file),
+            _ = terminate.recv() => start_leaving(shared),
+            _ = interrupt.recv() => start_leaving(shared),
+            _ = hangup.recv() => check_settings(&settings_file),
         }
     }
 }
 
-fn leave(board: &SharedState) {
+fn start_leaving(shared: &SharedState) {
     log::info!("{}", events::LEAVING);
-    board.leave();
+    shared.start_leaving();
 }
 
 /// Addresses and names cannot change while a process runs; a file that does not
 /// hold is told of before the next start.
-fn reload(file: &Path) {
-    match EdgeSettings::load(file) {
-        Ok(_) => log::info!("{} {}", events::RELOADED, file.display()),
+fn check_settings(settings_file: &Path) {
+    match EdgeSettings::load(settings_file) {
+        Ok(_) => log::info!("{} {}", events::RELOADED, settings_file.display()),
         Err(error) => log::error!("{} {error}", events::RELOADED),
     }
 }
--- a/crates/citronproxy/src/edge/settings.rs
+++ b/crates/citronproxy/src/edge/settings.rs
@@ -11,7 +11,7 @@
 };
 
 /// The largest row that a store is taken to accept if the settings do not tell, in bytes.
-const ROW_BYTES: usize = 65_536;
+const DEFAULT_ROW_BYTES_MAX: usize = 65_536;
 
 /// How much retries may add, over all instances together.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
@@ -31,32 +31,32 @@
     /// Its failure domain.
     pub domain: DomainName,
     /// Where it takes callers' requests.
-    pub traffic: SocketAddr,
+    pub traffic_address: SocketAddr,
     /// Where balancers ask whether it takes requests.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Where it talks with other instances, over TCP and UDP.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// How long it may take to leave after SIGTERM.
-    pub leave: Duration,
+    pub leave_timeout: Duration,
     /// How long after the news that a server leaves it may still get requests.
-    pub drain: Duration,
+    pub drain_period: Duration,
     /// The same after the news that its failure domain is evacuated.
-    pub evacuate: Duration,
+    pub evacuation_period: Duration,
     /// How far cold servers may be loaded.
-    pub cold: ColdBound,
+    pub cold_bound: ColdBound,
     /// What retries may add.
-    pub retries: RetrySettings,
+    pub retry_budget: RetrySettings,
     /// Where metrics are read; nowhere if it is not set.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// The longest lease that servers take.
-    pub lease: Duration,
+    pub lease_max: Duration,
     /// The largest row that the store takes, in bytes.
-    pub row_bytes: usize,
+    pub row_bytes_max: usize,
     /// Its part of a processor, in percent: the planner and the readers of the
     /// store should be instances that have much of one.
-    pub cpu: u32,
+    pub cpu_percent: u32,
 }
 
 #[derive(Deserialize)]
@@ -113,19 +113,23 @@
         Ok(Self {
             instance: parse::name(path, "instance", &raw.instance)?,
             domain: parse::name(path, "domain", &raw.domain)?,
-            traffic: raw.traffic,
-            ready: raw.ready,
-            peer: raw.peer,
-            store: raw.store,
-            leave: parse::seconds(path, "leave_s", raw.leave_s)?,
-            drain: parse::seconds(path, "drain_s", raw.drain_s)?,
-            evacuate: parse::seconds(path, "evacuate_s", raw.evacuate_s.unwrap_or(raw.drain_s))?,
-            cold: raw.cold.into(),
-            retries: raw.retries,
-            metrics: raw.metrics,
-            lease: parse::seconds(path, "lease_max_s", raw.lease_max_s)?,
-            row_bytes: raw.row_bytes.unwrap_or(ROW_BYTES),
-            cpu: (raw.cpu_share * 100.0) as u32,
+            traffic_address: raw.traffic,
+            ready_address: raw.ready,
+            peer_address: raw.peer,
+            store_address: raw.store,
+            leave_timeout: parse::seconds(path, "leave_s", raw.leave_s)?,
+            drain_period: parse::seconds(path, "drain_s", raw.drain_s)?,
+            evacuation_period: parse::seconds(
+                path,
+                "evacuate_s",
+                raw.evacuate_s.unwrap_or(raw.drain_s),
+            )?,
+            cold_bound: raw.cold.into(),
+            retry_budget: raw.retries,
+            metrics_address: raw.metrics,
+            lease_max: parse::seconds(path, "lease_max_s", raw.lease_max_s)?,
+            row_bytes_max: raw.row_bytes.unwrap_or(DEFAULT_ROW_BYTES_MAX),
+            cpu_percent: (raw.cpu_share * 100.0) as u32,
         })
     }
 }
--- a/crates/citronproxy/src/edge/shared.rs
+++ b/crates/citronproxy/src/edge/shared.rs
@@ -1,7 +1,7 @@
 //! What the threads of an instance share.
 
 use {
-    super::{freshness::AsOf, view::View},
+    super::{freshness::SharedFreshness, view::View},
     arc_swap::ArcSwapOption,
     citron_core::{
         crash::{CrashConfig, CrashLog},
@@ -18,17 +18,17 @@
 };
 
 /// Keys that are kept for the planner at most, if it cannot be reached.
-const KEYS_MAX: usize = 4_096;
+const PENDING_KEYS_MAX: usize = 4_096;
 
 /// Handed from control to traffic and back. The locks are held for single
 /// steps on maps in memory only.
 #[derive(Debug)]
 pub struct SharedState {
     view: ArcSwapOption<View>,
-    as_of: AsOf,
-    published: watch::Sender<u64>,
+    freshness: SharedFreshness,
+    publications: watch::Sender<u64>,
     loads: Mutex<LoadBook>,
-    keys: Mutex<Vec<(ServiceName, RangeKey)>>,
+    pending_keys: Mutex<Vec<(ServiceName, RangeKey)>>,
     crashes: Mutex<CrashLog>,
     moves: Mutex<BTreeMap<ServiceName, MoveLog>>,
     leaving: watch::Sender<bool>,
@@ -38,10 +38,10 @@
     fn default() -> Self {
         Self {
             view: ArcSwapOption::empty(),
-            as_of: AsOf::default(),
-            published: watch::Sender::new(0),
+            freshness: SharedFreshness::default(),
+            publications: watch::Sender::new(0),
             loads: Mutex::default(),
-            keys: Mutex::default(),
+            pending_keys: Mutex::default(),
             crashes: Mutex::new(CrashLog::new(CrashConfig::STARTS)),
             moves: Mutex::default(),
             leaving: watch::Sender::new(false),
@@ -53,7 +53,7 @@
     /// Makes a view the one that requests are routed by.
     pub fn publish(&self, view: View) {
         self.view.store(Some(Arc::new(view)));
-        self.published.send_modify(|count| *count += 1);
+        self.publications.send_modify(|count| *count += 1);
     }
 
     /// The view in force; `None` until a configuration is known.
@@ -62,13 +62,13 @@
     }
 
     /// As of when the tables behind the view are known.
-    pub fn as_of(&self) -> &AsOf {
-        &self.as_of
+    pub fn freshness(&self) -> &SharedFreshness {
+        &self.freshness
     }
 
     /// Tells every publication of a view.
-    pub fn published(&self) -> watch::Receiver<u64> {
-        self.published.subscribe()
+    pub fn subscribe_views(&self) -> watch::Receiver<u64> {
+        self.publications.subscribe()
     }
 
     /// Loads of servers.
@@ -77,27 +77,33 @@
     }
 
     /// Notes a request for a key.
-    pub fn note_key(&self, service: &ServiceName, key: RangeKey) {
-        let mut keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
-        if keys.len() < KEYS_MAX {
+    pub fn record_key(&self, service: &ServiceName, key: RangeKey) {
+        let mut keys = self
+            .pending_keys
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if keys.len() < PENDING_KEYS_MAX {
             keys.push((service.clone(), key));
         }
     }
 
     /// Takes the keys noted since the last call.
     pub fn take_keys(&self) -> Vec<(ServiceName, RangeKey)> {
-        let mut keys = self.keys.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut keys = self
+            .pending_keys
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *keys)
     }
 
     /// Takes in what the planner says of keys on their way.
-    pub fn note_move(&self, service: &ServiceName, news: MoveNews, now: Time) {
+    pub fn record_move(&self, service: &ServiceName, update: MoveNews, now: Time) {
         let mut moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
-        moves.entry(service.clone()).or_default().note(news, now);
+        moves.entry(service.clone()).or_default().note(update, now);
     }
 
     /// What is newer about a key than its slice of the map tells.
-    pub fn moved(
+    pub fn owner_hint(
         &self,
         service: &ServiceName,
         key: RangeKey,
@@ -109,7 +115,7 @@
     }
 
     /// What was told lately of a service's keys on their way.
-    pub fn move_news(&self, service: &ServiceName, now: Time) -> Vec<MoveNews> {
+    pub fn recent_moves(&self, service: &ServiceName, now: Time) -> Vec<MoveNews> {
         let moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
         let log = moves.get(service);
         log.map_or_else(Vec::new, |log| log.recent(now).cloned().collect())
@@ -121,12 +127,12 @@
     }
 
     /// The instance was asked to leave.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.leaving.send_replace(true);
     }
 
     /// Whether the instance was asked to leave.
-    pub fn leaving(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_leaving(&self) -> watch::Receiver<bool> {
         self.leaving.subscribe()
     }
 }
--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/call.rs
@@ -237,7 +237,7 @@
     /// Waits for a server with room.
     async fn next_server(&self) -> Result<Arc<Known>, Response<AnswerBody>> {
         let front = self.front;
-        let mut published = front.board.published();
+        let mut published = front.board.subscribe_views();
         loop {
             published.borrow_and_update();
             let Some(view) = front.board.view() else {
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -6,8 +6,8 @@
         clock::Clock,
         edge::{
             EdgeError, EdgeSettings,
-            freshness::Ages,
-            http_server::{self, Page, page},
+            freshness::TableAges,
+            http_server::{self, HttpResponse, response},
             shared::SharedState,
         },
         events, logs,
@@ -99,24 +99,24 @@
 }
 
 impl Front {
-    fn metrics_page(&self, path: &str) -> Page {
+    fn metrics_page(&self, path: &str) -> HttpResponse {
         if path != METRICS_PATH {
-            return page(StatusCode::NOT_FOUND, "");
+            return response(StatusCode::NOT_FOUND, "");
         }
         self.counts.borrow_mut().flush();
         self.metrics.set_lost_lines(logs::lost());
-        page(StatusCode::OK, self.metrics.text())
+        response(StatusCode::OK, self.metrics.text())
     }
 
     /// How old what requests are decided by is.
-    pub fn ages(&self) -> Ages {
-        self.board.as_of().ages(self.clock.now())
+    pub fn ages(&self) -> TableAges {
+        self.board.freshness().ages(self.clock.now())
     }
 
     /// Why the configuration that a request was decided by may be out of date; `None`
     /// for a version if that does not matter.
     pub fn doubt(&self, decided_by: Option<ConfigVersion>) -> Option<Doubt> {
-        let standing = self.board.as_of().config(self.clock.now());
+        let standing = self.board.freshness().config_standing(self.clock.now());
         if let Some(doubt) = standing.doubt(&FreshnessTimes::STANDARD) {
             return Some(doubt);
         }
@@ -143,8 +143,8 @@
     }
 
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let instances = self.board.view().map_or(1, |view| view.instances);
-        let retries = self.settings.retries;
+        let instances = self.board.view().map_or(1, |view| view.instance_count);
+        let retries = self.settings.retry_budget;
         let burst = (retries.extra * BUDGET_PART / instances as f64).max(1.0);
         let share = retries.ratio * BUDGET_PART;
         let new = || RetryBudget::of_start(BudgetConfig { share, burst });
@@ -166,15 +166,15 @@
     names: Names,
     metrics: Metrics,
 ) -> Result<(), EdgeError> {
-    let listener = http_server::listen(settings.traffic).await?;
-    let balancers = http_server::listen(settings.ready).await?;
+    let listener = http_server::listen(settings.traffic_address).await?;
+    let balancers = http_server::listen(settings.ready_address).await?;
     let shared = Arc::clone(&board);
     let is_ready =
         move |request: &Request<_>| ready::answer(&shared, &names.ready, request.uri().path());
     spawn_local(http_server::serve(balancers, is_ready));
     let front = Rc::new(Front {
-        bounds: SendBounds::within(settings.drain, settings.evacuate),
-        leaving: board.leaving(),
+        bounds: SendBounds::within(settings.drain_period, settings.evacuation_period),
+        leaving: board.subscribe_leaving(),
         board,
         settings,
         clock,
@@ -190,7 +190,7 @@
         budgets: RefCell::default(),
     });
     serve_metrics(&front).await;
-    log::info!("{} at {}", events::STARTED, front.settings.traffic);
+    log::info!("{} at {}", events::STARTED, front.settings.traffic_address);
     serve(&front, listener).await;
     Ok(())
 }
@@ -198,7 +198,7 @@
 /// Callers matter more than counts: without the address for metrics the instance
 /// runs on.
 async fn serve_metrics(front: &Rc<Front>) {
-    let Some(address) = front.settings.metrics else {
+    let Some(address) = front.settings.metrics_address else {
         return;
     };
     match http_server::listen(address).await {
@@ -232,7 +232,7 @@
     drop(listener);
     drop(open);
     close.send_replace(true);
-    let leave = front.settings.leave;
+    let leave = front.settings.leave_timeout;
     let left = leave.saturating_sub(NOTICED + leave / LEAVE_MARGIN);
     if timeout(left, last.recv()).await.is_err() {
         log::warn!(
--- a/crates/citronproxy/src/edge/traffic/proxy.rs
+++ b/crates/citronproxy/src/edge/traffic/proxy.rs
@@ -101,7 +101,7 @@
 /// The view in force. For as long as the first one may come any moment it is waited for:
 /// callers who are refused come back once only, and later.
 async fn first_view(front: &Front) -> Option<Arc<View>> {
-    let mut published = front.board.published();
+    let mut published = front.board.subscribe_views();
     if let Some(view) = front.board.view() {
         return Some(view);
     }
@@ -130,7 +130,7 @@
         false => None,
     };
     if let Some(key) = key {
-        front.board.note_key(service, key);
+        front.board.record_key(service, key);
     }
     front.count_request(service);
     let call = Call {
--- a/crates/citronproxy/src/edge/traffic/target.rs
+++ b/crates/citronproxy/src/edge/traffic/target.rs
@@ -102,7 +102,7 @@
         return Target::None;
     };
     let now = front.clock.now();
-    let news = front.board.moved(query.service, key, slice, now);
+    let news = front.board.owner_hint(query.service, key, slice, now);
     let owner = match &news {
         Some(OwnerHint::Released) => return Target::Moving,
         Some(OwnerHint::Owned(owner)) => Some(owner),
@@ -195,10 +195,10 @@
     let Some(slow) = service.and_then(|service| service.slow_start) else {
         return true;
     };
-    let Some(group) = &view.group else {
+    let Some(group) = &view.slow_start_group else {
         return false;
     };
-    let most = front.settings.cold.most(&slow);
+    let most = front.settings.cold_bound.most(&slow);
     let entry = &known.entry;
     let mut gate = front.cold.borrow_mut();
     let share = gate.share(group, &entry.name, || match query.key {
@@ -222,11 +222,11 @@
     let limits = TimeLimits {
         objective: query.objective - now,
         deadline: query.deadline - now,
-        sample_size: sample_size(view.reports),
+        sample_size: sample_size(view.report_interval),
     };
     // Owners of keys, and servers of other failure domains, get requests from
     // instances that do not report here.
-    let unheard = view.instances as f64 / view.reporting.max(1) as f64;
+    let unheard = view.instance_count as f64 / view.reporting_count.max(1) as f64;
     let reuse = reuse(front, query.service, query.repeat);
     let candidates = servers.clone().map(|server| {
         let same_domain = server.entry.domain == front.settings.domain;
--- a/crates/citronproxy/src/edge/view.rs
+++ b/crates/citronproxy/src/edge/view.rs
@@ -21,13 +21,13 @@
     /// Owners of keys, by service.
     pub maps: BTreeMap<ServiceName, Arc<PartedMap>>,
     /// Instances that share the retry budget.
-    pub instances: usize,
+    pub instance_count: usize,
     /// Those of them whose loads this instance hears of.
-    pub reporting: usize,
+    pub reporting_count: usize,
     /// Time between two reports of each of them.
-    pub reports: Duration,
+    pub report_interval: Duration,
     /// Who sends to cold servers; nobody yet if this instance does not know the others.
-    pub group: Option<Arc<Group>>,
+    pub slow_start_group: Option<Arc<Group>>,
 }
 
 impl View {
@@ -40,7 +40,7 @@
     /// A server of a service.
     pub fn server(&self, service: &ServiceName, name: &ServerName) -> Option<&Arc<Known>> {
         let servers = self.servers(service);
-        let at = servers.binary_search_by(|known| known.entry.name.cmp(name));
-        at.ok().map(|at| &servers[at])
+        let index = servers.binary_search_by(|known| known.entry.name.cmp(name));
+        index.ok().map(|index| &servers[index])
     }
 }
