--- /dev/null
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -0,0 +1,242 @@
+//! Rows from outside, and the product's own, taken in one by one.
+
+use {
+    super::{
+        codec::{
+            FORMER_PLANNERS_KEY, FormerPlannersWire, LeadershipWire, MapKey, MapWire, PLANNER_KEY,
+        },
+        controller::{ControlState, Controller, Leadership, PlannerId},
+        watch::WATCHED,
+    },
+    crate::events,
+    citron_core::{
+        ranges::MapPart,
+        registry::Evacuation,
+        time::{StoreTime, Time},
+    },
+    citron_ports::{Adapter, Row, RowSet, RowTable},
+    citron_wire::relay::TableWire,
+    std::{collections::BTreeMap, sync::Arc},
+};
+
+/// Entries of servers that change together, up to which each has a log line.
+const LOGGED_SERVERS_MAX: usize = 16;
+
+impl<A: Adapter> Controller<A> {
+    /// Takes in what the store said of a watched table; `whole` if these are all
+    /// rows there are. Other instances hear of changes at once.
+    pub fn apply_store_rows(&self, table: usize, row_set: RowSet, is_snapshot: bool) {
+        let newest_change = if is_snapshot { row_set.version } else { 0 };
+        let changed = self.merge_rows(table, row_set, newest_change, is_snapshot);
+        if self.apply_changed_rows(table, &changed) {
+            self.heartbeat_trigger.notify_one();
+        }
+    }
+
+    /// Takes in what has changed by another instance's word, in an answer to a call
+    /// that began at `begun`.
+    pub fn apply_peer_table(&self, table: usize, wire: TableWire, call_started: Time) {
+        let (newest_change, is_snapshot) = (wire.head.changed, wire.head.whole);
+        self.merge_peer_age(table, wire.head.age.into(), call_started);
+        let changed = self.merge_rows(table, wire.into(), newest_change, is_snapshot);
+        if self.apply_changed_rows(table, &changed) {
+            self.long_polls.record_change(table, call_started);
+            if self.is_domain_reader() {
+                self.heartbeat_trigger.notify_one();
+            }
+        }
+        self.publish_freshness(table);
+    }
+
+    /// Brings the copy of a table up to date; the changed rows.
+    fn merge_rows(
+        &self,
+        table: usize,
+        row_set: RowSet,
+        newest_change: u64,
+        is_snapshot: bool,
+    ) -> Vec<Row> {
+        let replica = &mut self.state.borrow_mut().replicas[table];
+        match is_snapshot {
+            true => replica.replace(row_set, newest_change),
+            false => replica.apply(row_set, newest_change),
+        }
+    }
+
+    /// Whether there was anything to take in.
+    fn apply_changed_rows(&self, table: usize, changed: &[Row]) -> bool {
+        if changed.is_empty() {
+            return false;
+        }
+        self.relay.caught_up(table);
+        let mut state = self.state.borrow_mut();
+        let is_logged = changed.len() <= LOGGED_SERVERS_MAX;
+        if WATCHED[table] == RowTable::Servers && !is_logged {
+            let (event, count) = (events::SERVER_STATE, changed.len());
+            log::info!("{event} {count} entries at once");
+        }
+        for row in changed {
+            match WATCHED[table] {
+                RowTable::Config => self.apply_config(&mut state, row),
+                RowTable::Servers => self.apply_server(&mut state, row, is_logged),
+                RowTable::Ranges | RowTable::Members => self.apply_range_row(&mut state, row),
+            }
+        }
+        drop(state);
+        self.publish_view();
+        self.plan_trigger.notify_one();
+        true
+    }
+
+    /// The newest configuration counts, whatever comes in which order; one that
+    /// cannot be read leaves the last good one in force.
+    fn apply_config(&self, state: &mut ControlState, row: &Row) {
+        match self.adapter.evacuation(row) {
+            Ok(None) => {}
+            Ok(Some(evacuation)) => return self.apply_evacuation(state, evacuation, row.version),
+            Err(error) => return log::error!("{} {error}", events::EVACUATION_REFUSED),
+        }
+        let config = match self.adapter.config(row) {
+            Ok(Some(config)) => config,
+            Ok(None) => return,
+            Err(error) => {
+                log::error!("{} {error}", events::CONFIG_REFUSED);
+                state.config_versions.on_unreadable(row.version);
+                return;
+            }
+        };
+        state.config_versions.on_readable(row.version);
+        let current_version = state.config.as_ref().map(|config| config.version);
+        if current_version.is_none_or(|current| config.version > current) {
+            log::info!("{} version {}", events::CONFIG, config.version);
+            state.config = Some(Arc::new(config));
+        }
+    }
+
+    fn apply_evacuation(&self, state: &mut ControlState, evacuation: Evacuation, version: u64) {
+        let now = self.clock.now();
+        let (domain, change) = match &evacuation {
+            Evacuation::Begun(domain) => (domain, "begun"),
+            Evacuation::Ended(domain) => (domain, "ended"),
+        };
+        let servers = state.registry.iter();
+        let servers = servers.filter(|known| known.entry.domain == *domain);
+        let servers = servers.count();
+        let event = events::EVACUATION;
+        log::info!("{event} of {domain}: {change}, row {version}, {servers} servers known there");
+        match evacuation {
+            Evacuation::Begun(domain) => state.registry.evacuate(domain, now),
+            Evacuation::Ended(domain) => {
+                let cold_span = state.config.as_ref().map(|config| config.cold_span());
+                state
+                    .registry
+                    .restore(&domain, cold_span.unwrap_or_default(), now);
+            }
+        }
+        let evacuated = state.registry.evacuated().len();
+        self.metrics.evacuated_domains.set(evacuated as i64);
+    }
+
+    fn apply_server(&self, state: &mut ControlState, row: &Row, is_logged: bool) {
+        let now = self.clock.now();
+        if row.value.is_none() {
+            let retention = state.registry.removed(&row.key, now);
+            let (event, id, version) = (events::SERVER_STATE, &row.key, row.version);
+            if is_logged {
+                log::info!("{event} {id}: listed no more, row {version}, kept for {retention:?}");
+            }
+            return;
+        }
+        match self.adapter.server(row) {
+            Ok(entry) => {
+                let known = state.registry.get(&entry.name);
+                if is_logged && known.is_none_or(|known| known.entry.state != entry.state) {
+                    let (event, version) = (events::SERVER_STATE, row.version);
+                    log::info!("{event} {}: {:?}, row {version}", entry.name, entry.state);
+                }
+                state.registry.listed(entry, now);
+            }
+            Err(error) => {
+                log::error!("{} {error}", events::SERVER_REFUSED);
+                state.registry.unreadable(&row.key, now);
+            }
+        }
+    }
+
+    fn apply_range_row(&self, state: &mut ControlState, row: &Row) {
+        if row.key == PLANNER_KEY {
+            state.leadership = row
+                .value
+                .as_deref()
+                .and_then(|value| parse_leadership(value, row.version));
+            log::info!("{} {:?}", events::PLANNER, state.leadership);
+        }
+        if row.key == FORMER_PLANNERS_KEY {
+            state.former_planners = row
+                .value
+                .as_deref()
+                .map(parse_former_planners)
+                .unwrap_or_default();
+        }
+        if let Ok(key) = row.key.parse::<MapKey>() {
+            apply_map(state, key, row);
+        }
+    }
+}
+
+fn apply_map(state: &mut ControlState, key: MapKey, row: &Row) {
+    let (range, version) = (key.range, row.version);
+    let map = state.maps.entry(key.service).or_default();
+    let Some(value) = row.value.as_deref() else {
+        return Arc::make_mut(map).remove(range, version);
+    };
+    let wire = serde_json::from_slice::<MapWire>(value).map_err(|error| error.to_string());
+    match wire.and_then(|wire| wire.into_slices(range)) {
+        Ok(slices) => {
+            Arc::make_mut(map).put(MapPart {
+                range,
+                version,
+                slices,
+            });
+        }
+        Err(error) => log::error!("{} {}: {error}", events::MAP_REFUSED, row.key),
+    }
+}
+
+fn parse_leadership(value: &[u8], version: u64) -> Option<Leadership> {
+    let wire: LeadershipWire = serde_json::from_slice(value)
+        .inspect_err(|error| log::error!("{} {PLANNER_KEY}: {error}", events::MAP_REFUSED))
+        .ok()?;
+    let planner_id = |instance: &str, incarnation| {
+        let instance = instance.parse().ok()?;
+        Some(PlannerId {
+            instance,
+            incarnation,
+        })
+    };
+    let predecessors = wire.before.iter();
+    Some(Leadership {
+        planner: planner_id(&wire.instance, wire.start)?,
+        predecessors: predecessors
+            .filter_map(|(name, incarnation)| planner_id(name, *incarnation))
+            .collect(),
+        version,
+    })
+}
+
+fn parse_former_planners(value: &[u8]) -> BTreeMap<PlannerId, StoreTime> {
+    let wire = serde_json::from_slice::<FormerPlannersWire>(value)
+        .inspect_err(|error| log::error!("{} {FORMER_PLANNERS_KEY}: {error}", events::MAP_REFUSED));
+    let listed = wire.map_or_else(|_| Vec::new(), |wire| wire.0);
+    let parse_entry = |(instance, incarnation, stopped_by): (String, u64, u64)| {
+        let instance = instance.parse().ok()?;
+        Some((
+            PlannerId {
+                instance,
+                incarnation,
+            },
+            StoreTime(stopped_by),
+        ))
+    };
+    listed.into_iter().filter_map(parse_entry).collect()
+}
--- /dev/null
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -0,0 +1,253 @@
+//! Heartbeats between instances, over UDP.
+
+use {
+    super::{controller::Controller, key_report, moves, peers::HeartbeatRound, refresh, relay},
+    crate::{edge::EdgeError, events},
+    citron_core::{
+        freshness::{HeartbeatSchedule, PropagationTimes, Sender},
+        id::{Incarnation, InstanceId},
+        time::Time,
+    },
+    citron_ports::Adapter,
+    citron_wire::heartbeat::{DATAGRAM_MAX, Datagram, Heartbeat},
+    std::{io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration},
+    tokio::{net::UdpSocket, time::timeout},
+};
+
+/// Instances heard anew together, up to which each has a log line.
+pub const LOGGED_PEERS_MAX: usize = 8;
+/// Datagrams that are taken before other tasks have their turn.
+const RECEIVE_BATCH_MAX: usize = 64;
+/// Datagrams that are read longer after the socket was empty count as sent then: the
+/// process was suspended or starved, and they may have waited since.
+const QUEUE_DELAY_MAX: Duration = Duration::from_millis(200);
+
+/// Listens for datagrams.
+///
+/// # Errors
+/// If the address is taken.
+pub async fn bind(address: SocketAddr) -> Result<UdpSocket, EdgeError> {
+    let bound = UdpSocket::bind(address).await;
+    bound.map_err(|source| EdgeError::Listen {
+        address: address.to_string(),
+        source,
+    })
+}
+
+/// Sends and takes datagrams for good.
+pub async fn run<A: Adapter>(controller: Rc<Controller<A>>, socket: UdpSocket) {
+    tokio::join!(
+        send_loop(&controller, &socket),
+        key_report::run(&controller, &socket),
+        moves::run(&controller, &socket),
+        receive_loop(&controller, &socket)
+    );
+}
+
+async fn send_loop<A: Adapter>(controller: &Rc<Controller<A>>, socket: &UdpSocket) {
+    let mut round_number = 0;
+    loop {
+        let now = controller.clock.now();
+        send_heartbeats(controller, socket, round_number).await;
+        round_number += 1;
+        let pause = {
+            let state = controller.state.borrow();
+            let reporting_count = state
+                .peers
+                .reporting_count(&controller.settings.domain, now);
+            let sender = match state.is_planning {
+                true => Sender::Planner,
+                false => Sender::Near,
+            };
+            HeartbeatSchedule::among(reporting_count).period(sender)
+        };
+        if timeout(pause, controller.heartbeat_trigger.notified())
+            .await
+            .is_ok()
+        {
+            // Something that all should know at once.
+            round_number = 0;
+        }
+    }
+}
+
+async fn send_heartbeats<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket, number: u64) {
+    let recipients = {
+        let state = controller.state.borrow();
+        let round = HeartbeatRound {
+            number,
+            domain: &controller.settings.domain,
+            planner: state
+                .leadership
+                .as_ref()
+                .map(|leadership| &leadership.planner.instance),
+            is_planner: state.is_planning,
+        };
+        state.peers.recipients(&round, controller.clock.now())
+    };
+    if recipients.is_empty() {
+        return;
+    }
+    let heartbeat = controller.heartbeat();
+    let without_loads = Heartbeat {
+        loads: Vec::new(),
+        ..heartbeat.clone()
+    };
+    let (Some(without_loads), Some(full)) =
+        (without_loads.encode_fitting(), heartbeat.encode_fitting())
+    else {
+        return log::error!("{} a heartbeat is too long", events::DATAGRAM_REFUSED);
+    };
+    for recipient in recipients {
+        let bytes = if recipient.with_loads {
+            &full
+        } else {
+            &without_loads
+        };
+        send_datagram(socket, bytes, recipient.address).await;
+    }
+}
+
+/// Sends a datagram; what is lost is sent again with the next one.
+pub async fn send_datagram(socket: &UdpSocket, bytes: &[u8], address: SocketAddr) {
+    if let Err(error) = socket.send_to(bytes, address).await {
+        log::debug!("a datagram to {address}: {error}");
+    }
+}
+
+async fn receive_loop<A: Adapter>(controller: &Rc<Controller<A>>, socket: &UdpSocket) {
+    // When no datagram was waiting.
+    let mut drained_at = controller.clock.now();
+    loop {
+        let wait_started = controller.clock.now();
+        match timeout(PropagationTimes::STANDARD.poll_interval, socket.readable()).await {
+            Ok(Ok(())) => drained_at = receive_batch(controller, socket, drained_at),
+            Ok(Err(error)) => log::debug!("receive datagrams: {error}"),
+            Err(_) => drained_at = wait_started,
+        }
+    }
+}
+
+/// Takes datagrams that have come since a moment; when none was waiting any more.
+fn receive_batch<A: Adapter>(
+    controller: &Rc<Controller<A>>,
+    socket: &UdpSocket,
+    drained_at: Time,
+) -> Time {
+    let mut buffer = [0; DATAGRAM_MAX + 1];
+    for _ in 0..RECEIVE_BATCH_MAX {
+        let now = controller.clock.now();
+        match socket.try_recv_from(&mut buffer) {
+            Ok((size, from)) => {
+                let sent = if now - drained_at > QUEUE_DELAY_MAX {
+                    drained_at
+                } else {
+                    now
+                };
+                if handle_datagram(controller, from, &buffer[..size], sent) {
+                    reply_to_new_peer(controller, socket, from);
+                }
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return now,
+            Err(error) => log::debug!("receive a datagram: {error}"),
+        }
+    }
+    drained_at
+}
+
+/// Answers the first heartbeat of an instance. Only that one is told: after a start of
+/// all at once, a round to all for each that is heard would be their number squared.
+fn reply_to_new_peer<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket, to: SocketAddr) {
+    let heartbeat = Heartbeat {
+        loads: Vec::new(),
+        ..controller.heartbeat()
+    };
+    let Some(bytes) = heartbeat.encode_fitting() else {
+        return log::error!("{} a heartbeat is too long", events::DATAGRAM_REFUSED);
+    };
+    if let Err(error) = socket.try_send_to(&bytes, to) {
+        log::debug!("a datagram to {to}: {error}");
+    }
+}
+
+/// Takes a datagram that was sent then, as far as is known; whether its sender was not
+/// known, or lost, before.
+fn handle_datagram<A: Adapter>(
+    controller: &Rc<Controller<A>>,
+    from: SocketAddr,
+    bytes: &[u8],
+    sent: Time,
+) -> bool {
+    match Datagram::decode(bytes) {
+        Some(Datagram::Heartbeat(heartbeat)) => {
+            return handle_heartbeat(controller, from, heartbeat, sent);
+        }
+        Some(Datagram::Keys(keys)) => {
+            for report in keys {
+                controller.record_keys(&report.service, &report.keys);
+            }
+        }
+        Some(Datagram::Moves(moves)) => controller.apply_moves(moves),
+        None => {
+            let size = bytes.len();
+            log::warn!("{} {size} bytes from {from}", events::DATAGRAM_REFUSED);
+        }
+    }
+    false
+}
+
+fn handle_heartbeat<A: Adapter>(
+    controller: &Rc<Controller<A>>,
+    from: SocketAddr,
+    heartbeat: Heartbeat,
+    sent: Time,
+) -> bool {
+    let Ok(name) = heartbeat.instance.parse::<InstanceId>() else {
+        return false;
+    };
+    if name == controller.settings.instance {
+        return false;
+    }
+    let now = controller.clock.now();
+    if controller.reports_loads(&heartbeat) {
+        let loads = heartbeat.loads.iter();
+        let loads = loads.filter_map(|load| load.clone().try_into().ok());
+        let mut load_book = controller.shared.loads();
+        load_book.report(name.clone(), loads.collect(), now);
+    }
+    if let Some(crashes) = heartbeat.crashes.clone() {
+        let sender = (name.clone(), Incarnation(heartbeat.start));
+        controller
+            .shared
+            .crashes()
+            .merge(sender, crashes.into(), now);
+    }
+    controller.record_peer_config_version(&heartbeat);
+    refresh::apply_peer_ages(controller, &heartbeat, sent);
+    relay::fetch_newer_tables(controller, from, &heartbeat);
+    let is_new = controller
+        .state
+        .borrow_mut()
+        .peers
+        .apply_heartbeat(&name, from, heartbeat, now);
+    if is_new {
+        let count = controller.new_peers.get() + 1;
+        controller.new_peers.set(count);
+        if count <= LOGGED_PEERS_MAX {
+            log::info!("{} {name} at {from}", events::PEER_HEARD);
+        }
+    }
+    is_new
+}
+
+impl<A: Adapter> Controller<A> {
+    /// Whether a heartbeat tells its sender's loads. Without any it may say that there
+    /// are none, or only that this instance is not told.
+    fn reports_loads(&self, heartbeat: &Heartbeat) -> bool {
+        if !heartbeat.loads.is_empty() {
+            return true;
+        }
+        heartbeat.domain == self.settings.domain.as_str()
+            || self.state.borrow().peers.is_full_mesh()
+    }
+}
