--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,19 +1,19 @@
 //! Which instances there are, and until when each may route.
 
-mod confirmation;
 mod error;
+mod instances;
 mod member;
-mod relays;
+mod relayed_leases;
 mod report;
-mod roster;
+mod routing_lease;
 mod status;
 
 pub use {
-    confirmation::{Confirmation, Remaining},
     error::JoinError,
+    instances::{Roster, longest_leave},
     member::Member,
-    relays::Relays,
+    relayed_leases::Relays,
     report::InstanceReport,
-    roster::{Roster, longest_leave},
+    routing_lease::{Confirmation, Remaining},
     status::InstanceStatus,
 };
--- a/crates/core/src/ownership/begin.rs
+++ b/crates/core/src/ownership/begin_move.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Assignment, MoveError, Phase, Rules, Scope, Strict,
-        place::{assignment, replace, row_key, version},
+        rows::{assignment, replace, row_key, version},
     },
     crate::{
         id::{Epoch, ServerName, ServiceName, ShardId},
--- a/crates/core/src/ownership/mover.rs
+++ b/crates/core/src/ownership/mover.rs
@@ -4,8 +4,8 @@
     super::{
         Assignment, Grant, GrantKind, Member, MoveAction, MoveEvent, Phase, Rules, Scope, Spans,
         Strict,
-        place::{assignment, replace},
-        waits::{Limits, Waits},
+        release_wait::{Limits, Waits},
+        rows::{assignment, replace},
     },
     crate::{
         id::{Epoch, ServerName, ServiceName},
--- a/crates/core/src/placement/board.rs
+++ b/crates/core/src/placement/draft.rs
@@ -1,7 +1,7 @@
 //! A service while a plan is made.
 
 use {
-    super::{Candidate, Proposal, Reason, View, score::score},
+    super::{Candidate, Proposal, Reason, View, rendezvous::score},
     crate::{id::ServerName, ownership::Scope},
     std::{cmp::Reverse, collections::BTreeMap},
 };
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -4,18 +4,18 @@
 //! imbalance that has lasted. A lost owner's shards go by weighted rendezvous
 //! hashing with bounded load; balance takes the fewest shards that help.
 
-mod board;
-mod budget;
-mod hot;
+mod draft;
+mod hot_keys;
 mod load;
 mod planner;
-mod score;
-mod view;
+mod rendezvous;
+mod service_view;
+mod token_bucket;
 
 pub use {
-    budget::Budget,
-    hot::{HotChange, HotKeys, HotLimits},
+    hot_keys::{HotChange, HotKeys, HotLimits},
     load::Load,
     planner::{Planner, PlannerLimits, Proposal, Reason},
-    view::{Candidate, ScopeLoad, View, warmth},
+    service_view::{Candidate, ScopeLoad, View, warmth},
+    token_bucket::Budget,
 };
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -1,7 +1,7 @@
 //! Which shards should move now.
 
 use {
-    super::{Budget, View, board::Board},
+    super::{Budget, View, draft::Board},
     crate::{id::ServerName, ownership::Scope, time::Time},
     std::time::Duration,
 };
--- a/crates/core/src/registry/mod.rs
+++ b/crates/core/src/registry/mod.rs
@@ -1,16 +1,16 @@
 //! Which backend servers there are, by what they write of themselves.
 
+mod address_index;
 mod bounds;
 mod entry;
-mod index;
-mod known;
+mod server_record;
 mod servers;
 mod times;
 
 pub use {
     bounds::SendBounds,
     entry::{Evacuation, ServerEntry, ServerState},
-    known::{Known, Place},
+    server_record::{Known, Place},
     servers::{Registry, ServerList},
     times::RegistryTimes,
 };
--- a/crates/core/src/registry/servers.rs
+++ b/crates/core/src/registry/servers.rs
@@ -1,7 +1,7 @@
 //! The servers known, and those that were.
 
 use {
-    super::{Known, Place, RegistryTimes, ServerEntry, ServerState, index::AddressIndex},
+    super::{Known, Place, RegistryTimes, ServerEntry, ServerState, address_index::AddressIndex},
     crate::{
         id::{DomainName, ServerName, ServiceName},
         ranges::{OwnerState, Owners},
--- a/crates/core/tests/model/parties.rs
+++ b/crates/core/tests/model/actors.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         setup::{SPANS, START, time},
-        world::{INSTANCES, TableId, WriteId},
+        tables::{INSTANCES, TableId, WriteId},
     },
     citron_core::{
         id::{Epoch, Incarnation},
--- a/crates/core/tests/model/checks.rs
+++ b/crates/core/tests/model/checks.rs
@@ -3,7 +3,7 @@
 //! reuses an epoch. The snapshots hold the numbers of states.
 
 use {
-    super::{check::check, setup::Setup},
+    super::{search::check, setup::Setup},
     citron_core::ownership::Strict,
     insta::assert_snapshot,
 };
--- a/crates/core/tests/model/events.rs
+++ b/crates/core/tests/model/events.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        parties::Request,
+        actors::Request,
         setup::{GRACE, START, Setup},
         state::{Node, State},
-        world::World,
+        tables::World,
     },
     citron_core::{
         id::Revision,
@@ -59,8 +59,8 @@
     /// Whether nothing can go wrong any more: the table stays as it is, and
     /// nothing is under way that knows an older one.
     fn is_settled<R: Rules>(&self, state: &State<R>) -> bool {
-        let idle = |d: &super::parties::Driver<R>| d.mover.is_none() && d.commit.is_none();
-        let fresh = |p: &super::parties::Proc<R>| p.table == Some(state.table);
+        let idle = |d: &super::actors::Driver<R>| d.mover.is_none() && d.commit.is_none();
+        let fresh = |p: &super::actors::Proc<R>| p.table == Some(state.table);
         let all = state.left.moves == 0 && state.begun.is_none() && state.request.is_none();
         all && self.owner(state.table).2
             && state.drivers.iter().all(idle)
--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -2,15 +2,15 @@
 //! is the production code's; the model adds the platform, the servers' check of
 //! grants, messages that are late or lost, and time in ticks.
 
-mod check;
+mod actors;
 mod checks;
 mod events;
 mod mutants;
 mod mutations;
-mod parties;
 mod platform;
+mod random_walks;
+mod search;
 mod servers;
 mod setup;
 mod state;
-mod walks;
-mod world;
+mod tables;
--- a/crates/core/tests/model/mutants.rs
+++ b/crates/core/tests/model/mutants.rs
@@ -81,7 +81,7 @@
     /// The last commit is made whatever the row is by then.
     Unconditional,
     fn finish_version(_: Revision) -> Revision {
-        super::world::ANY
+        super::tables::ANY
     }
 );
 mutant!(
--- a/crates/core/tests/model/mutations.rs
+++ b/crates/core/tests/model/mutations.rs
@@ -3,8 +3,8 @@
 
 use {
     super::{
-        check::{Found, check},
         mutants::*,
+        search::{Found, check},
         setup::Setup,
     },
     citron_core::ownership::Rules,
--- a/crates/core/tests/model/platform.rs
+++ b/crates/core/tests/model/platform.rs
@@ -5,7 +5,7 @@
         events::{Model, Next, push},
         setup::{SPANS, START},
         state::{Broken, State},
-        world::{SCOPE, SERVERS, TableId, WriteId},
+        tables::{SCOPE, SERVERS, TableId, WriteId},
     },
     citron_core::{
         id::{Epoch, Revision},
--- a/crates/core/tests/model/servers.rs
+++ b/crates/core/tests/model/servers.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
+        actors::{Late, Request, Server, clock},
         events::{Model, Next, push},
-        parties::{Late, Request, Server, clock},
         setup::{GRACE, SPANS},
         state::{Broken, State},
-        world::{INSTANCES, SCOPE, SERVERS},
+        tables::{INSTANCES, SCOPE, SERVERS},
     },
     citron_core::{
         id::{Epoch, Incarnation, Revision, ServerName},
--- a/crates/core/tests/model/state.rs
+++ b/crates/core/tests/model/state.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        parties::{Driver, Late, Proc, Request, Server, before, clock},
+        actors::{Driver, Late, Proc, Request, Server, before, clock},
         setup::{SPANS, START, Setup, time},
-        world::{TableId, WriteId},
+        tables::{TableId, WriteId},
     },
     citron_core::{
         id::{Epoch, Revision},
