--- a/crates/citronproxy/examples/bench.rs
+++ b/crates/citronproxy/examples/bench.rs
@@ -5,7 +5,7 @@
 use {
     citron_core::{
         id::Revision,
-        membership::Confirmation,
+        membership::RoutingLease,
         routing::{RouteMap, Snapshot},
         table::{Changes, Row, Table},
     },
@@ -196,10 +196,10 @@
     let until = clock.now() + Duration::from_secs(3_600);
     handle.publish(Snapshot {
         map: Arc::new(RouteMap::build(&table)),
-        confirmation: Confirmation {
-            anywhere: until,
-            platform: clock.now(),
-            domain: until,
+        confirmation: RoutingLease {
+            any_domain_until: until,
+            read_started: clock.now(),
+            own_domain_until: until,
         },
         domain: "dev".parse()?,
     });
--- a/crates/citronproxy/examples/control_slopes.rs
+++ b/crates/citronproxy/examples/control_slopes.rs
@@ -9,7 +9,7 @@
     citron_core::{
         id::{Epoch, Incarnation, Revision, ServerName, ShardBits, Slots, Weight},
         membership::Member,
-        ownership::{Assignment, Boot, Grant, GrantReply, GrantResult, Lease},
+        ownership::{Assignment, BootId, Grant, GrantReply, GrantResult, ServerLease},
         table::{
             BLOCK_SHARDS, BlockId, BlockRow, Changes, Check, Commit, CommitAnswer, DomainRow,
             DomainState, Fencing, KeyRule, MoveBudget, Objectives, Row, ServerRow, ServerState,
@@ -111,13 +111,13 @@
     async fn order(
         &self,
         _: &ServerRow,
-        _: Option<Boot>,
+        _: Option<BootId>,
         grants: &[Grant],
-        _: Option<Lease>,
+        _: Option<ServerLease>,
     ) -> Result<GrantReply, PlatformError> {
         count(&self.calls.orders);
         Ok(GrantReply {
-            boot: Boot(1),
+            boot: BootId(1),
             clock: self.clock.elapsed(),
             results: vec![GrantResult::Accepted; grants.len()],
         })
--- a/crates/citronproxy/examples/upload.rs
+++ b/crates/citronproxy/examples/upload.rs
@@ -5,7 +5,7 @@
 use {
     citron_core::{
         id::Revision,
-        membership::Confirmation,
+        membership::RoutingLease,
         routing::{RouteMap, Snapshot},
         table::{Changes, Row, Table},
     },
@@ -87,10 +87,10 @@
     let workers = traffic::start("127.0.0.1:0".parse()?, 1, &handle, clock)?;
     handle.publish(Snapshot {
         map: Arc::new(RouteMap::build(&table)),
-        confirmation: Confirmation {
-            anywhere: clock.now() + HOUR,
-            platform: clock.now(),
-            domain: clock.now() + HOUR,
+        confirmation: RoutingLease {
+            any_domain_until: clock.now() + HOUR,
+            read_started: clock.now(),
+            own_domain_until: clock.now() + HOUR,
         },
         domain: "dev".parse()?,
     });
--- a/crates/citronproxy/src/control/driven.rs
+++ b/crates/citronproxy/src/control/driven.rs
@@ -3,7 +3,7 @@
 use citron_core::{
     id::{Epoch, Revision, ServerName, ServiceName},
     membership::Member,
-    ownership::{Ack, Grant, MoveAction, MoveEvent, Mover, Scope, Spans, assignment},
+    ownership::{Ack, Grant, LeaseDurations, MoveAction, MoveEvent, Mover, Scope, assignment},
     table::Table,
     time::Time,
 };
@@ -80,7 +80,7 @@
         now: Time,
     ) -> Option<Self> {
         let found = assignment(table, service, *scope)?.value;
-        let (mover, first) = Mover::take_up(table, service, *scope, Spans::default(), now)?;
+        let (mover, first) = Mover::resume(table, service, *scope, LeaseDurations::default(), now)?;
         let mut driven = Self {
             mover,
             owner: found.owner,
--- a/crates/citronproxy/src/control/exchanging.rs
+++ b/crates/citronproxy/src/control/exchanging.rs
@@ -41,7 +41,11 @@
     /// table is ignored: nobody leaves it a part.
     pub(super) fn hear(&self, report: InstanceReport) {
         let sender = &report.sender;
-        if !self.others().iter().any(|row| Member::of(row) == *sender) {
+        if !self
+            .others()
+            .iter()
+            .any(|row| Member::from_row(row) == *sender)
+        {
             return;
         }
         let from = (sender.instance.clone(), sender.incarnation);
--- a/crates/citronproxy/src/control/follower.rs
+++ b/crates/citronproxy/src/control/follower.rs
@@ -47,7 +47,7 @@
     let mut relayed = false;
     loop {
         sleep(RELAY_PAUSE).await;
-        let age = node.now() - node.look(|replica| replica.confirmation()).platform;
+        let age = node.now() - node.look(|replica| replica.confirmation()).read_started;
         if age < RELAY_AGE {
             note(relayed, false);
             relayed = false;
--- a/crates/citronproxy/src/control/granting.rs
+++ b/crates/citronproxy/src/control/granting.rs
@@ -4,7 +4,7 @@
     super::{ControlMetrics, Node, Tasks},
     citron_core::{
         id::ServerName,
-        ownership::{Granter, Order},
+        ownership::{GrantOrder, Granter},
         table::{Fencing, ServerRow, ServerState},
     },
     citron_ports::{Grants, TableStore},
@@ -60,7 +60,7 @@
         let answer = answer.await;
         ControlMetrics::count(&node.metrics().orders, answer.is_ok());
         if let Ok(reply) = &answer {
-            granter.answered(&order, reply, node.now());
+            granter.record_reply(&order, reply, node.now());
         }
         let (failed, known) = (answer.is_err(), order.boot.is_some());
         // A first order names every scope of the service; kept for the pause by
@@ -82,7 +82,7 @@
     node: &Node<S>,
     granter: &Granter,
     row: &ServerRow,
-) -> Order {
+) -> GrantOrder {
     node.look(|replica| {
         let confirmation = replica.confirmation();
         let own = row.domain == replica.domain;
@@ -91,6 +91,6 @@
             .service(&row.service)
             .map_or(Duration::ZERO, |s| s.grace);
         let leave = confirmation.end(own, grace);
-        granter.order(replica.table(), row, &confirmation, leave)
+        granter.next_order(replica.table(), row, &confirmation, leave)
     })
 }
--- a/crates/citronproxy/src/control/listing.rs
+++ b/crates/citronproxy/src/control/listing.rs
@@ -4,7 +4,7 @@
     super::{ControlError, Node},
     crate::events,
     citron_core::{
-        membership::{JoinError, Member, Roster},
+        membership::{JoinError, Member, Membership},
         table::InstanceRow,
         time::Time,
     },
@@ -38,13 +38,13 @@
         false => replica.roster.join(replica.table(), row, now).map(Some),
     });
     match planned {
-        Ok(None) | Err(JoinError::NotOver { .. }) => Ok(()),
+        Ok(None) | Err(JoinError::LeaseNotExpired { .. }) => Ok(()),
         Ok(Some(commit)) => {
             let answer = node.commit(commit).await;
             log::info!("{} {answer:?}", events::JOINED);
             Ok(())
         }
-        Err(JoinError::Taken { instance, found }) => {
+        Err(JoinError::IdInUse { instance, found }) => {
             let former = Member {
                 instance,
                 incarnation: found,
@@ -80,7 +80,7 @@
 }
 
 async fn expel<S: TableStore + 'static>(node: &Node<S>, member: &Member) {
-    let Some(commit) = node.table(|table| <Roster>::expel(table, member)) else {
+    let Some(commit) = node.table(|table| <Membership>::expel(table, member)) else {
         return;
     };
     log::warn!("{} {}", events::EXPELLED, member.instance);
@@ -100,7 +100,7 @@
 /// Takes this start off the list; it must have stopped routing.
 pub async fn strike<S: TableStore + 'static>(node: &Node<S>) {
     let me = &node.config().me;
-    if let Some(commit) = node.table(|table| <Roster>::strike(table, me)) {
+    if let Some(commit) = node.table(|table| <Membership>::remove(table, me)) {
         node.commit(commit).await;
     }
 }
@@ -122,7 +122,7 @@
             expel(&node, &member).await;
         }
         let now = node.now();
-        let commits = node.look(|replica| replica.roster.clear(replica.table(), now));
+        let commits = node.look(|replica| replica.roster.remove_expelled(replica.table(), now));
         for commit in commits {
             node.commit(commit).await;
         }
@@ -166,6 +166,6 @@
     rows.rotate_left(split);
     let ranked = rows.into_iter().zip(0..);
     ranked
-        .map(|(row, rank)| (Member::of(&row), row, rank.min(NEIGHBOURS as u32)))
+        .map(|(row, rank)| (Member::from_row(&row), row, rank.min(NEIGHBOURS as u32)))
         .collect()
 }
--- a/crates/citronproxy/src/control/moving.rs
+++ b/crates/citronproxy/src/control/moving.rs
@@ -142,7 +142,7 @@
                     driven.revoke = grants;
                 }
             }
-            MoveAction::AskAck {
+            MoveAction::RequestAck {
                 instance,
                 incarnation,
                 revision,
--- a/crates/citronproxy/src/control/node.rs
+++ b/crates/citronproxy/src/control/node.rs
@@ -11,7 +11,7 @@
     citron_core::{
         id::{InstanceId, KeyHash, Revision, ServerName, ServiceName},
         membership::{InstanceReport, InstanceStatus, Member},
-        ownership::Spans,
+        ownership::LeaseDurations,
         table::{
             Changes, Commit, CommitAnswer, InstanceRow, InstanceState, ServerRow, Table, TableError,
         },
@@ -104,8 +104,8 @@
     }
 
     /// The spans that all instances agree on.
-    pub fn spans() -> Spans {
-        Spans::default()
+    pub fn spans() -> LeaseDurations {
+        LeaseDurations::default()
     }
 
     /// Who this instance is.
@@ -205,11 +205,11 @@
         let (status, changes) = answer?;
         let times = (sent, self.now());
         let mut replica = self.inner.replica.borrow_mut();
-        let taken = replica.take_relay(times, status.left, changes);
+        let taken = replica.take_relay(times, status.remaining, changes);
         drop(replica);
         let newer = taken.map_err(|error| capnp::Error::failed(error.to_string()))?;
         self.published(newer);
-        Ok(status.left.is_some())
+        Ok(status.remaining.is_some())
     }
 
     /// Commits, then reads the table, whatever the answer; `reread` tells
--- a/crates/citronproxy/src/control/planning.rs
+++ b/crates/citronproxy/src/control/planning.rs
@@ -6,7 +6,9 @@
     citron_core::{
         id::{ServerName, ServiceName, ShardId},
         ownership::{Scope, assignment, begin_move},
-        placement::{Candidate, Load, Planner, Proposal, Reason, ScopeLoad, View, warmth},
+        placement::{
+            Candidate, Load, MoveReason, Planner, Proposal, ScopeLoad, ServiceView, warmup_percent,
+        },
         table::{Row, ServerRow, ServerState, ServiceRow, Table},
         time::Time,
     },
@@ -81,7 +83,7 @@
     };
     let mut proposals = desk.planner.plan(&view, now);
     // Only the first instance moves for balance: each has a budget of its own.
-    proposals.retain(|proposal| rank == 0 || proposal.reason == Reason::Orphan);
+    proposals.retain(|proposal| rank == 0 || proposal.reason == MoveReason::Unassigned);
     if proposals.is_empty() {
         desk.since = None;
         return;
@@ -127,14 +129,14 @@
     health: &Health,
     load: impl Fn(Scope) -> (Load, u32),
     now: Time,
-) -> Option<View> {
+) -> Option<ServiceView> {
     let row = table.service(name)?;
     let servers = table.servers().filter(|row| row.service == *name);
     let usable = servers.filter(|row| is_usable(row, health, now));
-    Some(View {
+    Some(ServiceView {
         servers: usable.map(|row| candidate(row, health, now)).collect(),
         scopes: scopes(table, row, load),
-        moves: row.moves,
+        move_budget: row.moves,
     })
 }
 
@@ -148,8 +150,8 @@
     Candidate {
         name: row.name.clone(),
         weight: row.weight,
-        warmth: back.map_or(WARM, |start| warmth(start, now)),
-        cap: row.cap,
+        warmup_percent: back.map_or(WARM, |start| warmup_percent(start, now)),
+        rate_cap: row.cap,
     }
 }
 
@@ -168,7 +170,7 @@
             owner,
             load,
             rate,
-            moving: found.is_some_and(|found| !found.is_open()),
+            is_moving: found.is_some_and(|found| !found.is_routable()),
         }
     };
     shards.chain(keys).map(scope_load).collect()
--- a/crates/citronproxy/src/control/releases.rs
+++ b/crates/citronproxy/src/control/releases.rs
@@ -49,7 +49,7 @@
                     }
                 }
             }
-            Row::Override(key) if !key.owner.is_open() => {
+            Row::Override(key) if !key.owner.is_routable() => {
                 keys.insert((key.service.clone(), Scope::Key(key.key)));
             }
             _ => {}
--- a/crates/citronproxy/src/control/replica.rs
+++ b/crates/citronproxy/src/control/replica.rs
@@ -4,9 +4,10 @@
     citron_core::{
         id::{DomainName, Revision},
         membership::{
-            Confirmation, InstanceStatus, Member, Relays, Remaining, Roster, longest_leave,
+            InstanceStatus, Member, Membership, RelayedLeases, RemainingLease, RoutingLease,
+            longest_lease,
         },
-        ownership::Spans,
+        ownership::LeaseDurations,
         routing::{RouteMap, Snapshot},
         table::{Changes, RowKey, Table, TableError},
         time::Time,
@@ -26,29 +27,29 @@
     /// Its failure domain.
     pub domain: DomainName,
     /// Joining, leaving and being expelled.
-    pub roster: Roster,
+    pub roster: Membership,
     table: Table,
     /// Rows that are gone, so that they can be relayed as gone.
     deleted: BTreeMap<RowKey, Revision>,
     map: Arc<RouteMap>,
-    confirmation: Confirmation,
-    relays: Relays,
+    confirmation: RoutingLease,
+    relays: RelayedLeases,
     leaving: bool,
-    spans: Spans,
+    spans: LeaseDurations,
 }
 
 impl Replica {
     /// A copy that knows nothing yet.
-    pub fn new(me: Member, domain: DomainName, spans: Spans) -> Self {
+    pub fn new(me: Member, domain: DomainName, spans: LeaseDurations) -> Self {
         Self {
             me,
             domain,
-            roster: Roster::new(spans),
+            roster: Membership::new(spans),
             table: Table::default(),
             deleted: BTreeMap::new(),
             map: Arc::default(),
-            confirmation: Confirmation::default(),
-            relays: Relays::new(spans),
+            confirmation: RoutingLease::default(),
+            relays: RelayedLeases::new(spans),
             leaving: false,
             spans,
         }
@@ -60,13 +61,13 @@
     }
 
     /// Until when it may be routed by.
-    pub fn confirmation(&self) -> Confirmation {
+    pub fn confirmation(&self) -> RoutingLease {
         self.confirmation
     }
 
     /// Whether this start is listed.
     pub fn is_listed(&self) -> bool {
-        <Roster>::is_listed(&self.table, &self.me)
+        <Membership>::is_listed(&self.table, &self.me)
     }
 
     /// Says to others from now on that this instance is leaving.
@@ -76,7 +77,7 @@
 
     /// What traffic is to route by; `None` while nothing confirms the table.
     pub fn snapshot(&self) -> Option<Snapshot> {
-        let confirmed = self.confirmation.platform > Time::ZERO;
+        let confirmed = self.confirmation.read_started > Time::ZERO;
         confirmed.then(|| Snapshot {
             map: Arc::clone(&self.map),
             confirmation: self.confirmation,
@@ -97,8 +98,8 @@
     ) -> Result<bool, TableError> {
         let newer = self.apply(changes, answered)?;
         if self.is_listed() {
-            let read = Confirmation::of_read(begun, answered, self.spans);
-            self.confirmation = self.confirmation.later(read);
+            let read = RoutingLease::from_read(begun, answered, self.spans);
+            self.confirmation = self.confirmation.merge(read);
         }
         Ok(newer)
     }
@@ -111,13 +112,13 @@
     pub fn take_relay(
         &mut self,
         (sent, now): (Time, Time),
-        left: Option<Remaining>,
+        left: Option<RemainingLease>,
         changes: Changes,
     ) -> Result<bool, TableError> {
         let newer = self.apply(changes, now)?;
         if let Some(left) = left {
-            let relayed = Confirmation::of_relay(sent, left);
-            self.confirmation = self.confirmation.later(relayed);
+            let relayed = RoutingLease::from_relay(sent, left);
+            self.confirmation = self.confirmation.merge(relayed);
         }
         Ok(newer)
     }
@@ -130,12 +131,12 @@
         since: Revision,
         now: Time,
     ) -> (InstanceStatus, Changes) {
-        let listed = <Roster>::is_listed(&self.table, asker);
-        let longest = longest_leave(&self.table, self.spans);
+        let listed = <Membership>::is_listed(&self.table, asker);
+        let longest = longest_lease(&self.table, self.spans);
         let mine = (self.table.revision(), &self.confirmation);
-        let left = self.relays.give(asker, listed, mine, longest, now);
+        let remaining = self.relays.relay(asker, listed, mine, longest, now);
         let status = InstanceStatus {
-            left,
+            remaining,
             ..self.status(now)
         };
         (status, self.changes(since))
@@ -143,7 +144,7 @@
 
     /// Whether nobody routes on leave from here under an older revision.
     pub fn is_settled(&self, revision: Revision, now: Time) -> bool {
-        self.table.revision() >= revision && self.relays.settled(revision, now)
+        self.table.revision() >= revision && self.relays.is_settled(revision, now)
     }
 
     /// Where this instance stands; the leave in it is told, not passed on.
@@ -153,8 +154,8 @@
             incarnation: self.me.incarnation,
             domain: self.domain.clone(),
             revision: self.table.revision(),
-            left: self.confirmation.remaining(now, self.spans),
-            leaving: self.leaving,
+            remaining: self.confirmation.remaining(now, self.spans),
+            is_leaving: self.leaving,
         }
     }
 
@@ -187,7 +188,7 @@
         }
         let keys: Vec<RowKey> = touched.into_iter().map(|(key, ..)| key).collect();
         self.map = Arc::new(self.map.next(&self.table, &keys));
-        self.roster.see(&self.table, now);
+        self.roster.observe(&self.table, now);
         Ok(true)
     }
 }
--- a/crates/citronproxy/src/edge/control/intake.rs
+++ b/crates/citronproxy/src/edge/control/intake.rs
@@ -122,17 +122,17 @@
                 let cold = state.config.as_ref().map(|config| config.cold_span());
                 state
                     .registry
-                    .restore(&domain, cold.unwrap_or_default(), now);
+                    .end_evacuation(&domain, cold.unwrap_or_default(), now);
             }
         }
-        let evacuated = state.registry.evacuated().len();
+        let evacuated = state.registry.evacuated_domains().len();
         self.counts.evacuated.set(evacuated as i64);
     }
 
     fn take_server(&self, state: &mut State, row: &Row, logged: bool) {
         let now = self.clock.now();
         if row.value.is_none() {
-            let kept = state.registry.removed(&row.key, now);
+            let kept = state.registry.remove_entry(&row.key, now);
             let (event, id, version) = (events::SERVER_STATE, &row.key, row.version);
             if logged {
                 log::info!("{event} {id}: listed no more, row {version}, kept for {kept:?}");
@@ -146,11 +146,11 @@
                     let (event, version) = (events::SERVER_STATE, row.version);
                     log::info!("{event} {}: {:?}, row {version}", entry.name, entry.state);
                 }
-                state.registry.listed(entry, now);
+                state.registry.apply_entry(entry, now);
             }
             Err(error) => {
                 log::error!("{} {error}", events::SERVER_REFUSED);
-                state.registry.unreadable(&row.key, now);
+                state.registry.mark_unreadable(&row.key, now);
             }
         }
     }
--- a/crates/citronproxy/src/edge/control/node.rs
+++ b/crates/citronproxy/src/edge/control/node.rs
@@ -342,7 +342,10 @@
         let Some(outage) = outage.filter(|_| at == SERVERS) else {
             return;
         };
-        self.state.borrow_mut().registry.store_back(outage.end);
+        self.state
+            .borrow_mut()
+            .registry
+            .on_store_recovered(outage.end);
         log::info!("{} nothing heard for {:?}", events::STORE_BACK, outage.span);
     }
 
@@ -387,7 +390,7 @@
         if heard > gossip::LOGGED_MAX {
             log::info!("{} {heard} instances", events::PEER_HEARD);
         }
-        let servers = self.state.borrow_mut().registry.lists().clone();
+        let servers = self.state.borrow_mut().registry.server_lists().clone();
         let state = self.state.borrow();
         let Some(config) = &state.config else { return };
         if state.mirrors[1].version == 0 {
--- a/crates/citronproxy/src/edge/control/planner/capacity.rs
+++ b/crates/citronproxy/src/edge/control/planner/capacity.rs
@@ -2,7 +2,8 @@
 
 use {
     citron_core::{
-        dispatch::LoadBook, ranges::Capacity, registry::Known, slowstart::SlowStart, time::Time,
+        dispatch::LoadBook, ranges::Capacity, registry::ServerRecord, slowstart::SlowStart,
+        time::Time,
     },
     std::time::Duration,
 };
@@ -24,8 +25,8 @@
 
 /// Whether a service's servers seem to be complete: none is new, or the first
 /// has waited long enough.
-pub fn have_shown_up(servers: &[&Known], is_asked: bool, now: Time) -> bool {
-    let ages = || servers.iter().map(|known| now - known.seen);
+pub fn have_shown_up(servers: &[&ServerRecord], is_asked: bool, now: Time) -> bool {
+    let ages = || servers.iter().map(|known| now - known.first_seen);
     let newest = ages().min().unwrap_or_default();
     let oldest = ages().max().unwrap_or_default();
     let most = if is_asked { OLDEST_ASKED } else { OLDEST_IDLE };
@@ -35,12 +36,12 @@
 /// What servers can do, by the run times measured. Cold ones that would crash above a
 /// rate take no more keys.
 pub fn capacities(
-    servers: &[&Known],
+    servers: &[&ServerRecord],
     slow: Option<SlowStart>,
     loads: &LoadBook,
     now: Time,
 ) -> Vec<Capacity> {
-    let servers: Vec<(&Known, Option<f64>)> = servers
+    let servers: Vec<(&ServerRecord, Option<f64>)> = servers
         .iter()
         .map(|known| (*known, loads.get(&known.entry.name).run(now)))
         .collect();
@@ -49,9 +50,9 @@
         0 => RUN,
         count => runs.iter().sum::<f64>() / count as f64,
     };
-    let capacity = |(known, run): &(&Known, Option<f64>)| {
+    let capacity = |(known, run): &(&ServerRecord, Option<f64>)| {
         let speed = (mean / run.unwrap_or(mean)).clamp(SPEEDS[0], SPEEDS[1]);
-        let warm = known.warm_up(now).is_zero();
+        let warm = known.remaining_warm_up(now).is_zero();
         let cold = if warm { 1.0 } else { COLD };
         let rate = f64::from(known.entry.slots.0) * speed * cold / mean;
         let limit = slow.filter(|_| !warm).map(|slow| slow.rate.0);
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -175,9 +175,9 @@
 fn health_page<A: Adapter>(node: &Node<A>, server: &ServerName) -> Option<(SocketAddr, String)> {
     let state = node.state.borrow();
     let address = state.registry.get(server)?.entry.address;
-    let mut listed = state.registry.at(&address);
+    let mut listed = state.registry.servers_at(&address);
     let there = listed
-        .find(|known| known.is_open())
+        .find(|known| known.is_available())
         .or(state.registry.get(server))?;
     let config = state.config.as_ref()?;
     let service = config.service(&there.entry.service)?;
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -155,7 +155,7 @@
 
 fn drop_unused<A: Adapter>(node: &Node<A>, orders: &Orders) {
     let state = node.state.borrow();
-    orders.retain(|address| state.registry.at(address).next().is_some());
+    orders.retain(|address| state.registry.servers_at(address).next().is_some());
 }
 
 /// Gives up once another start has the leadership, or this one leaves.
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -15,7 +15,7 @@
             Balance, BalanceLimits, Demand, EvenClock, KeyRange, LeaseBook, LeaseTimes, Order,
             OrderEnd, RangeMap, Reconciler, Scope,
         },
-        registry::Known,
+        registry::ServerRecord,
     },
     citron_ports::Adapter,
     std::collections::BTreeMap,
@@ -123,7 +123,7 @@
     /// Decides which keys move.
     pub fn plan<A: Adapter>(&mut self, node: &Node<A>, times: LeaseTimes) {
         let now = node.clock.now();
-        let lists = node.state.borrow_mut().registry.lists().clone();
+        let lists = node.state.borrow_mut().registry.server_lists().clone();
         let state = node.state.borrow();
         let Some(config) = &state.config else { return };
         let sudden = node.demands.borrow_mut().take_sudden();
@@ -140,7 +140,7 @@
             });
             let servers = lists.get(name).map_or(&[][..], |list| list.as_slice());
             let servers = servers.iter().map(|known| &**known);
-            let open: Vec<&Known> = servers.filter(|known| known.is_open()).collect();
+            let open: Vec<&ServerRecord> = servers.filter(|known| known.is_available()).collect();
             let is_asked = node.demands.borrow().is_asked(name);
             let deal = have_shown_up(&open, is_asked, now);
             let capacities = capacities(&open, service.slow_start, &node.board.loads(), now);
--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/call.rs
@@ -13,7 +13,7 @@
         crash::Fingerprint,
         id::{Epoch, ServerName, ServiceName},
         ranges::{RangeKey, Slice},
-        registry::Known,
+        registry::ServerRecord,
         routes::{Repeat, Rule},
         routing::Outcome,
         time::Time,
@@ -113,7 +113,7 @@
     /// Learns from a try; the answer if it is the last one.
     fn on_attempt_end(
         &mut self,
-        server: Arc<Known>,
+        server: Arc<ServerRecord>,
         end: AttemptResult,
     ) -> Option<Response<AnswerBody>> {
         let name = server.entry.name.clone();
@@ -235,7 +235,7 @@
     }
 
     /// Waits for a server with room.
-    async fn next_server(&self) -> Result<Arc<Known>, Response<AnswerBody>> {
+    async fn next_server(&self) -> Result<Arc<ServerRecord>, Response<AnswerBody>> {
         let front = self.front;
         let mut published = front.board.published();
         loop {
@@ -366,7 +366,7 @@
         }
     }
 
-    fn log_try(&self, server: &Known, end: &AttemptResult) {
+    fn log_try(&self, server: &ServerRecord, end: &AttemptResult) {
         if let AttemptResult::Answered(answer) = end
             && !answer.status().is_server_error()
         {
--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/exchange.rs
@@ -20,7 +20,7 @@
     citron_core::{
         dispatch::{Finish, PROMPT, Speed, ToldLoad, run_share},
         id::{ServerName, ServiceName},
-        registry::Known,
+        registry::ServerRecord,
         routes::Repeat,
         time::Time,
     },
@@ -102,7 +102,7 @@
 }
 
 impl Slot {
-    fn new(front: &Front, server: &Known, message: &Message<'_>) -> Self {
+    fn new(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Self {
         let mut loads = front.board.loads();
         let name = &server.entry.name;
         let share = run_share(loads.get(name).busy(), server.entry.slots);
@@ -179,7 +179,7 @@
 }
 
 /// Sends a message to a server and reads its answer.
-pub async fn send(front: &Front, server: &Known, message: &Message<'_>) -> AttemptResult {
+pub async fn send(front: &Front, server: &ServerRecord, message: &Message<'_>) -> AttemptResult {
     let mut slot = Slot::new(front, server, message);
     let end = exchange(front, server, message, &mut slot).await;
     slot.finish = match &end {
@@ -216,7 +216,12 @@
     Not(AttemptResult),
 }
 
-async fn exchange(front: &Front, server: &Known, message: &Message<'_>, slot: &mut Slot) -> Ended {
+async fn exchange(
+    front: &Front,
+    server: &ServerRecord,
+    message: &Message<'_>,
+    slot: &mut Slot,
+) -> Ended {
     let address = server.entry.address;
     let service = &server.entry.service;
     let taken = front
@@ -265,7 +270,7 @@
 /// again wait only where the server has refused or lost some lately.
 async fn is_refused_soon(
     front: &Front,
-    server: &Known,
+    server: &ServerRecord,
     repeat: Repeat,
     connection: &Connection,
 ) -> bool {
@@ -289,7 +294,7 @@
     Ended::Not(AttemptResult::NotSent(reason))
 }
 
-fn request(front: &Front, server: &Known, message: &Message<'_>) -> Request<Upload> {
+fn request(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Request<Upload> {
     let mut request = Request::new(Upload::new(message.source));
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message.head.uri.clone();
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -173,7 +173,7 @@
         move |request: &Request<_>| ready::answer(&shared, &names.ready, request.uri().path());
     spawn_local(pages::serve(balancers, is_ready));
     let front = Rc::new(Front {
-        bounds: SendBounds::within(settings.drain, settings.evacuate),
+        bounds: SendBounds::from_limits(settings.drain, settings.evacuate),
         leaving: board.leaving(),
         board,
         settings,
--- a/crates/citronproxy/src/edge/traffic/target.rs
+++ b/crates/citronproxy/src/edge/traffic/target.rs
@@ -7,7 +7,7 @@
         dispatch::{Candidate, Decision, RejectReason, TimeLimits, choose, sample_size},
         id::{Epoch, ServerName, ServiceName},
         ranges::{OwnerHint, RangeKey},
-        registry::Known,
+        registry::ServerRecord,
         routes::Repeat,
         time::Time,
     },
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub enum Target {
     /// To this server.
-    Server(Arc<Known>),
+    Server(Arc<ServerRecord>),
     /// To none now, with Retry-After.
     Reject(Duration, Overload),
     /// The key is changing hands.
@@ -120,22 +120,22 @@
     let Some(known) = view.server(query.service, owner) else {
         return Target::None;
     };
-    if known.is_displaced() {
+    if known.has_address_conflict() {
         return Target::Moving;
     }
-    let last = known.last_send(&front.bounds);
+    let last = known.send_deadline(&front.bounds);
     if last.is_some_and(|last| now > last) {
         return Target::None;
     }
     if !admits(front, view, known, query, now) {
-        return reject_cold(known.warm_up(now));
+        return reject_cold(known.remaining_warm_up(now));
     }
     pick(front, view, query, [known].into_iter())
 }
 
 fn find_any(front: &Front, view: &View, query: &TargetQuery<'_>) -> Target {
     let servers = view.servers(query.service).iter();
-    let open: Vec<&Arc<Known>> = servers.filter(|known| known.is_open()).collect();
+    let open: Vec<&Arc<ServerRecord>> = servers.filter(|known| known.is_available()).collect();
     if open.is_empty() {
         return Target::None;
     }
@@ -143,18 +143,18 @@
         return Target::Reject(PACED_RETRY_AFTER, Overload::Limit);
     }
     let now = front.clock.now();
-    let admitted: Vec<&Arc<Known>> = open
+    let admitted: Vec<&Arc<ServerRecord>> = open
         .iter()
         .copied()
         .filter(|known| admits(front, view, known, query, now))
         .collect();
     if admitted.is_empty() {
-        let left = open.iter().map(|known| known.warm_up(now)).min();
+        let left = open.iter().map(|known| known.remaining_warm_up(now)).min();
         return reject_cold(left.unwrap_or_default());
     }
     let open = admitted;
-    let fresh = |known: &&Arc<Known>| !query.tried.contains(&known.entry.name);
-    let untried: Vec<&Arc<Known>> = open.iter().copied().filter(fresh).collect();
+    let fresh = |known: &&Arc<ServerRecord>| !query.tried.contains(&known.entry.name);
+    let untried: Vec<&Arc<ServerRecord>> = open.iter().copied().filter(fresh).collect();
     let candidates = if untried.is_empty() { open } else { untried };
     let candidates = sample_servers(front, query, candidates);
     pick(front, view, query, candidates.into_iter())
@@ -165,8 +165,8 @@
 fn sample_servers<'a>(
     front: &Front,
     query: &TargetQuery<'_>,
-    servers: Vec<&'a Arc<Known>>,
-) -> Vec<&'a Arc<Known>> {
+    servers: Vec<&'a Arc<ServerRecord>>,
+) -> Vec<&'a Arc<ServerRecord>> {
     if servers.len() <= SAMPLE_MAX {
         return servers;
     }
@@ -175,9 +175,9 @@
         .into_iter()
         .partition(|known| known.entry.domain == *own);
     let reuse = reuse(front, query.service, query.repeat);
-    let has_idle = |known: &&&Arc<Known>| front.pool.has_idle(&known.entry.address, reuse);
+    let has_idle = |known: &&&Arc<ServerRecord>| front.pool.has_idle(&known.entry.address, reuse);
     let kept = near.iter().filter(has_idle).take(SAMPLE_MAX / 4);
-    let mut sample: Vec<&Arc<Known>> = kept.copied().collect();
+    let mut sample: Vec<&Arc<ServerRecord>> = kept.copied().collect();
     let mut rng = rand::rng();
     for group in [near, far] {
         let drawn = index::sample(&mut rng, group.len(), group.len().min(SAMPLE_MAX / 2));
@@ -187,8 +187,14 @@
 }
 
 /// Whether a server may get a request, if it is cold.
-fn admits(front: &Front, view: &View, known: &Known, query: &TargetQuery<'_>, now: Time) -> bool {
-    if known.warm_up(now).is_zero() {
+fn admits(
+    front: &Front,
+    view: &View,
+    known: &ServerRecord,
+    query: &TargetQuery<'_>,
+    now: Time,
+) -> bool {
+    if known.remaining_warm_up(now).is_zero() {
         return true;
     }
     let service = view.config.service(query.service);
@@ -216,7 +222,7 @@
     front: &Front,
     view: &View,
     query: &TargetQuery<'_>,
-    servers: impl Iterator<Item = &'a Arc<Known>> + Clone,
+    servers: impl Iterator<Item = &'a Arc<ServerRecord>> + Clone,
 ) -> Target {
     let now = front.clock.now();
     let limits = TimeLimits {
@@ -254,7 +260,7 @@
             let Some(known) = chosen else {
                 return Target::None;
             };
-            if !known.warm_up(now).is_zero() {
+            if !known.remaining_warm_up(now).is_zero() {
                 front.cold.borrow_mut().note(&known.entry.name, now);
             }
             Target::Server(Arc::clone(known))
--- a/crates/citronproxy/src/edge/view.rs
+++ b/crates/citronproxy/src/edge/view.rs
@@ -4,7 +4,7 @@
     citron_core::{
         id::{ServerName, ServiceName},
         ranges::PartedMap,
-        registry::{Known, ServerList},
+        registry::{ServerList, ServerRecord},
         routes::RouteConfig,
         slowstart::Group,
     },
@@ -32,13 +32,13 @@
 
 impl View {
     /// Servers of a service, in the order of their names.
-    pub fn servers(&self, service: &ServiceName) -> &[Arc<Known>] {
+    pub fn servers(&self, service: &ServiceName) -> &[Arc<ServerRecord>] {
         let servers = self.servers.get(service);
         servers.map_or(&[], |servers| servers.as_slice())
     }
 
     /// A server of a service.
-    pub fn server(&self, service: &ServiceName, name: &ServerName) -> Option<&Arc<Known>> {
+    pub fn server(&self, service: &ServiceName, name: &ServerName) -> Option<&Arc<ServerRecord>> {
         let servers = self.servers(service);
         let at = servers.binary_search_by(|known| known.entry.name.cmp(name));
         at.ok().map(|at| &servers[at])
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -5,7 +5,7 @@
         admission::{Demand, Rate},
         crash::{CrashCount, CrashReport, Fingerprint, Lift},
         id::{Incarnation, Revision},
-        membership::{InstanceReport, InstanceStatus, Member, Remaining},
+        membership::{InstanceReport, InstanceStatus, Member, RemainingLease},
         table::{Changes, DomainRow, DomainState, Row},
     },
     citron_fakes::link::Link,
@@ -40,11 +40,11 @@
         incarnation: Incarnation(u64::MAX),
         domain: "harbour".parse().unwrap(),
         revision: Revision(7),
-        left: Some(Remaining {
-            anywhere: Duration::from_micros(1_234_567),
+        remaining: Some(RemainingLease {
+            any_domain: Duration::from_micros(1_234_567),
             age: Duration::from_secs(1 << 40),
         }),
-        leaving: true,
+        is_leaving: true,
     }
 }
 
--- a/crates/citronproxy/tests/replica.rs
+++ b/crates/citronproxy/tests/replica.rs
@@ -3,8 +3,8 @@
 use {
     citron_core::{
         id::{Incarnation, Revision},
-        membership::{Member, Remaining},
-        ownership::Spans,
+        membership::{Member, RemainingLease},
+        ownership::LeaseDurations,
         table::{
             Changes, DomainRow, DomainState, InstanceRow, InstanceState, Row, RowKey, TableError,
         },
@@ -48,7 +48,7 @@
 
 fn replica(name: &str) -> Replica {
     let domain = "harbour".parse().unwrap();
-    Replica::new(member(name, 1), domain, Spans::default())
+    Replica::new(member(name, 1), domain, LeaseDurations::default())
 }
 
 fn changes(since: u64, revision: u64, rows: Vec<Row>) -> Changes {
@@ -104,7 +104,7 @@
         assert_eq!(replica.snapshot().is_some(), confirms, "{name}");
         let end = replica.confirmation().end(false, Duration::ZERO);
         let counted = if confirms {
-            START + Spans::default().confirm
+            START + LeaseDurations::default().routing
         } else {
             Time::ZERO
         };
@@ -140,7 +140,8 @@
     let mut far = replica("entry-2");
     let asker = member("entry-2", 1);
     let (status, first) = near.relay(&asker, Revision(0), START);
-    far.take_relay((START, START), status.left, first).unwrap();
+    far.take_relay((START, START), status.remaining, first)
+        .unwrap();
     let key: RowKey = domain("harbour").key();
     assert!(far.table().get(&key).is_some());
     let gone = Changes {
@@ -150,7 +151,8 @@
     };
     read(&mut near, START, gone);
     let (status, second) = near.relay(&asker, Revision(1), START);
-    far.take_relay((START, START), status.left, second).unwrap();
+    far.take_relay((START, START), status.remaining, second)
+        .unwrap();
     assert!(far.table().get(&key).is_none());
     assert_eq!(far.table().revision(), Revision(2));
 }
@@ -166,11 +168,11 @@
         read(&mut lender, START, changes(0, 1, rows.to_vec()));
         let now = START + SECOND / 2;
         let (status, _) = lender.relay(&member(borrower, 1), Revision(0), now);
-        let left = Remaining {
-            anywhere: SECOND,
+        let left = RemainingLease {
+            any_domain: SECOND,
             age: SECOND / 2,
         };
-        assert_eq!(status.left, Some(left), "the rest only");
+        assert_eq!(status.remaining, Some(left), "the rest only");
         read(&mut lender, now, changes(1, 2, vec![domain("port")]));
         assert!(lender.is_settled(Revision(1), now));
         assert_eq!(
@@ -190,8 +192,8 @@
 #[test]
 fn relayed_leave_is_counted_from_the_platform_read() {
     let mut replica = replica("entry-1");
-    let left = Remaining {
-        anywhere: SECOND / 4,
+    let left = RemainingLease {
+        any_domain: SECOND / 4,
         age: 20 * SECOND,
     };
     let times = (START + SECOND, START + 3 * SECOND);
--- a/crates/citronproxy/tests/slo.rs
+++ b/crates/citronproxy/tests/slo.rs
@@ -5,7 +5,7 @@
 use {
     citron_core::{
         id::{DomainName, InstanceId, Revision, ServiceName},
-        membership::Confirmation,
+        membership::RoutingLease,
         routing::{RouteMap, Snapshot},
         slo::{Minute, Record},
         table::{Fencing, Table},
@@ -78,10 +78,10 @@
     table
         .apply(store.changes(Revision(0)).await.unwrap())
         .unwrap();
-    let confirmation = Confirmation {
-        anywhere: until,
-        platform: until,
-        domain: until,
+    let confirmation = RoutingLease {
+        any_domain_until: until,
+        read_started: until,
+        own_domain_until: until,
     };
     handle.publish(Snapshot {
         map: Arc::new(RouteMap::build(&table)),
--- a/crates/citronproxy/tests/support/path.rs
+++ b/crates/citronproxy/tests/support/path.rs
@@ -4,7 +4,7 @@
     super::{Sample, rows::sample},
     citron_core::{
         id::Revision,
-        membership::Confirmation,
+        membership::RoutingLease,
         routing::{RouteMap, Snapshot},
         table::{Changes, Fencing, Row, Table},
     },
@@ -64,10 +64,10 @@
         let now = self.clock.now();
         self.handle.publish(Snapshot {
             map: Arc::new(RouteMap::build(&table(&self.rows, revision))),
-            confirmation: Confirmation {
-                anywhere: now + leave,
-                platform: now,
-                domain: now + leave,
+            confirmation: RoutingLease {
+                any_domain_until: now + leave,
+                read_started: now,
+                own_domain_until: now + leave,
             },
             domain: "harbour".parse().expect("a name"),
         });
--- a/crates/core/examples/fleet_cost.rs
+++ b/crates/core/examples/fleet_cost.rs
@@ -56,12 +56,12 @@
 
     fn run(mut self) {
         self.step("take in all entries", |fleet| {
-            (0..fleet.instances * 10).for_each(|n| fleet.registry.listed(entry(n), at(0)));
-            fleet.registry.lists();
+            (0..fleet.instances * 10).for_each(|n| fleet.registry.apply_entry(entry(n), at(0)));
+            fleet.registry.server_lists();
         });
         self.step("take in one entry, make lists anew", |fleet| {
-            fleet.registry.listed(entry(7), at(10));
-            fleet.registry.lists();
+            fleet.registry.apply_entry(entry(7), at(10));
+            fleet.registry.server_lists();
         });
         self.step("deal all keys, grant them", Self::deal);
         self.step("plan, nothing to do", |fleet| fleet.plan(at(2_000)));
--- a/crates/core/src/dispatch/choice.rs
+++ b/crates/core/src/dispatch/choice.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{LoadBook, ServerLoad},
-    crate::{id::ServerName, registry::Known, time::Time},
+    crate::{id::ServerName, registry::ServerRecord, time::Time},
     std::{fmt, time::Duration},
 };
 
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     /// The server.
-    pub server: &'a Known,
+    pub server: &'a ServerRecord,
     /// Whether it is in this instance's failure domain.
     pub same_domain: bool,
     /// Whether a connection to it is kept that the request may use.
@@ -280,9 +280,9 @@
     }
 }
 
-fn run_time(load: &ServerLoad, server: &Known, usual: f64, now: Time) -> f64 {
+fn run_time(load: &ServerLoad, server: &ServerRecord, usual: f64, now: Time) -> f64 {
     let run = load.run(now).unwrap_or(usual);
-    match server.warm_up(now).is_zero() {
+    match server.remaining_warm_up(now).is_zero() {
         true => run,
         false => run * WEIGHTS.cold,
     }
--- a/crates/core/src/membership/error.rs
+++ b/crates/core/src/membership/error.rs
@@ -11,7 +11,7 @@
     /// Another start holds the id. If its process is known to be gone, it can
     /// be expelled; if not, two instances were given one id.
     #[error("instance {instance} is listed with incarnation {found}, which has not left")]
-    Taken {
+    IdInUse {
         /// The id.
         instance: InstanceId,
         /// The start that is listed.
@@ -19,7 +19,7 @@
     },
     /// The former start is expelled, but may still act on its last leave.
     #[error("instance {instance}: incarnation {found} is expelled, but its leave has not run out")]
-    NotOver {
+    LeaseNotExpired {
         /// The id.
         instance: InstanceId,
         /// The start that is listed.
--- a/crates/core/src/membership/instances.rs
+++ b/crates/core/src/membership/instances.rs
@@ -4,7 +4,7 @@
     super::{JoinError, Member},
     crate::{
         id::{InstanceId, Revision},
-        ownership::{Rules, Spans, Strict},
+        ownership::{LeaseDurations, ProductionRules, ProtocolRules},
         table::{Commit, InstanceRow, InstanceState, Row, RowKey, Table, Write},
         time::Time,
     },
@@ -19,34 +19,34 @@
 /// marked as expelled and its leave has run out since. An expelled start that
 /// sees its row stops at once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Roster<R: Rules = Strict> {
-    spans: Spans,
+pub struct Membership<R: ProtocolRules = ProductionRules> {
+    durations: LeaseDurations,
     /// When each expulsion was first seen in the table.
     expelled: BTreeMap<Member, Time>,
     rules: PhantomData<R>,
 }
 
-impl<R: Rules> Roster<R> {
+impl<R: ProtocolRules> Membership<R> {
     /// A roster that has seen no table yet.
-    pub fn new(spans: Spans) -> Self {
+    pub fn new(durations: LeaseDurations) -> Self {
         Self {
-            spans,
+            durations,
             expelled: BTreeMap::new(),
             rules: PhantomData,
         }
     }
 
     /// Notes which expulsions the table shows; call it with each newer table.
-    pub fn see(&mut self, table: &Table, now: Time) {
-        let mut seen = BTreeMap::new();
+    pub fn observe(&mut self, table: &Table, now: Time) {
+        let mut expelled = BTreeMap::new();
         for row in table.instances() {
             if row.state == InstanceState::Expelled {
-                let member = Member::of(row);
+                let member = Member::from_row(row);
                 let at = self.expelled.get(&member).copied().unwrap_or(now);
-                seen.insert(member, at);
+                expelled.insert(member, at);
             }
         }
-        self.expelled = seen;
+        self.expelled = expelled;
     }
 
     /// Whether this start is listed, and so may route on reads of its own under
@@ -66,66 +66,68 @@
         let Some((version, old)) = instance(table, &row.id) else {
             return Ok(write(&row.id.clone(), Revision(0), Some(row)));
         };
-        let same = old.incarnation == row.incarnation;
+        let is_same = old.incarnation == row.incarnation;
         let found = old.incarnation;
-        if old.state != InstanceState::Expelled && !same {
+        if old.state != InstanceState::Expelled && !is_same {
             let instance = row.id;
-            return Err(JoinError::Taken { instance, found });
+            return Err(JoinError::IdInUse { instance, found });
         }
-        if old.state == InstanceState::Expelled && !self.is_over(table, &Member::of(old), now) {
+        if old.state == InstanceState::Expelled
+            && !self.is_lease_over(table, &Member::from_row(old), now)
+        {
             let instance = row.id;
-            return Err(JoinError::NotOver { instance, found });
+            return Err(JoinError::LeaseNotExpired { instance, found });
         }
         Ok(write(&row.id.clone(), version, Some(row)))
     }
 
     /// The commit that says that a start takes no more callers.
     pub fn leave(table: &Table, member: &Member) -> Option<Commit> {
-        Self::change(table, member, InstanceState::Leaving)
+        Self::set_state(table, member, InstanceState::Leaving)
     }
 
     /// The commit by which a start that has stopped routing strikes itself off.
-    pub fn strike(table: &Table, member: &Member) -> Option<Commit> {
+    pub fn remove(table: &Table, member: &Member) -> Option<Commit> {
         let (version, row) = instance(table, &member.instance)?;
-        let mine = row.incarnation == member.incarnation;
-        mine.then(|| write(&member.instance, version, None))
+        let is_same = row.incarnation == member.incarnation;
+        is_same.then(|| write(&member.instance, version, None))
     }
 
     /// The commit that expels a start, for instance one that is surely lost.
     pub fn expel(table: &Table, member: &Member) -> Option<Commit> {
-        Self::change(table, member, InstanceState::Expelled)
+        Self::set_state(table, member, InstanceState::Expelled)
     }
 
     /// The commits that strike off expelled starts whose leave has run out.
-    pub fn clear(&self, table: &Table, now: Time) -> Vec<Commit> {
-        let over = |member: &&Member| self.is_over(table, member, now);
-        let members = self.expelled.keys().filter(over);
-        members.filter_map(|m| Self::strike(table, m)).collect()
+    pub fn remove_expelled(&self, table: &Table, now: Time) -> Vec<Commit> {
+        let is_over = |member: &&Member| self.is_lease_over(table, member, now);
+        let members = self.expelled.keys().filter(is_over);
+        members.filter_map(|m| Self::remove(table, m)).collect()
     }
 
-    fn is_over(&self, table: &Table, member: &Member, now: Time) -> bool {
-        let longest = longest_leave(table, self.spans);
+    fn is_lease_over(&self, table: &Table, member: &Member, now: Time) -> bool {
+        let longest = longest_lease(table, self.durations);
         let seen = self.expelled.get(member);
-        seen.is_some_and(|&at| now >= at + R::expulsion(longest))
+        seen.is_some_and(|&at| now >= at + R::expulsion_wait(longest))
     }
 
-    fn change(table: &Table, member: &Member, state: InstanceState) -> Option<Commit> {
+    fn set_state(table: &Table, member: &Member, state: InstanceState) -> Option<Commit> {
         let (version, row) = instance(table, &member.instance)?;
-        let due = row.incarnation == member.incarnation
+        let is_due = row.incarnation == member.incarnation
             && row.state != state
             && row.state != InstanceState::Expelled;
         let row = InstanceRow {
             state,
             ..row.clone()
         };
-        due.then(|| write(&member.instance, version, Some(row)))
+        is_due.then(|| write(&member.instance, version, Some(row)))
     }
 }
 
 /// The longest that any instance may route after its last read of the platform.
-pub fn longest_leave(table: &Table, spans: Spans) -> Duration {
+pub fn longest_lease(table: &Table, durations: LeaseDurations) -> Duration {
     let graces = table.services().map(|row| row.grace);
-    graces.fold(spans.confirm, Duration::max)
+    graces.fold(durations.routing, Duration::max)
 }
 
 fn instance<'a>(table: &'a Table, id: &InstanceId) -> Option<(Revision, &'a InstanceRow)> {
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -17,7 +17,7 @@
 
 impl Member {
     /// The start that a row lists.
-    pub fn of(row: &InstanceRow) -> Self {
+    pub fn from_row(row: &InstanceRow) -> Self {
         Self {
             instance: row.id.clone(),
             incarnation: row.incarnation,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -10,10 +10,10 @@
 
 pub use {
     error::JoinError,
-    instances::{Roster, longest_leave},
+    instances::{Membership, longest_lease},
     member::Member,
-    relayed_leases::Relays,
+    relayed_leases::RelayedLeases,
     report::InstanceReport,
-    routing_lease::{Confirmation, Remaining},
+    routing_lease::{RemainingLease, RoutingLease},
     status::InstanceStatus,
 };
--- a/crates/core/src/membership/relayed_leases.rs
+++ b/crates/core/src/membership/relayed_leases.rs
@@ -1,17 +1,17 @@
 //! Leave that an instance has passed on to others.
 
 use {
-    super::{Confirmation, Member, Remaining},
+    super::{Member, RemainingLease, RoutingLease},
     crate::{
         id::Revision,
-        ownership::{Rules, Spans, Strict},
+        ownership::{LeaseDurations, ProductionRules, ProtocolRules},
         time::Time,
     },
     std::{collections::BTreeMap, marker::PhantomData, time::Duration},
 };
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Given {
+struct RelayedLease {
     /// The oldest revision that the asker may still have in force.
     revision: Revision,
     until: Time,
@@ -26,17 +26,17 @@
 /// acknowledgement until the unlisted ones have acknowledged to it, or until
 /// what it gave them has run out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Relays<R: Rules = Strict> {
-    spans: Spans,
-    unlisted: BTreeMap<Member, Given>,
+pub struct RelayedLeases<R: ProtocolRules = ProductionRules> {
+    durations: LeaseDurations,
+    unlisted: BTreeMap<Member, RelayedLease>,
     rules: PhantomData<R>,
 }
 
-impl<R: Rules> Relays<R> {
+impl<R: ProtocolRules> RelayedLeases<R> {
     /// Nothing was given yet.
-    pub fn new(spans: Spans) -> Self {
+    pub fn new(durations: LeaseDurations) -> Self {
         Self {
-            spans,
+            durations,
             unlisted: BTreeMap::new(),
             rules: PhantomData,
         }
@@ -44,41 +44,41 @@
 
     /// What an asker is given of the confirmation of `revision`, the map in
     /// force here; `longest` is the longest leave of any service.
-    pub fn give(
+    pub fn relay(
         &mut self,
         asker: &Member,
-        listed: bool,
-        (revision, confirmation): (Revision, &Confirmation),
+        is_listed: bool,
+        (revision, lease): (Revision, &RoutingLease),
         longest: Duration,
         now: Time,
-    ) -> Option<Remaining> {
-        self.unlisted.retain(|_, given| now < given.until);
-        let left = confirmation.remaining_by::<R>(now, self.spans)?;
-        if !listed {
-            let end = confirmation.end(true, longest);
-            let until = now + R::wait(end - now);
-            self.note(asker, Given { revision, until });
+    ) -> Option<RemainingLease> {
+        self.unlisted.retain(|_, relayed| now < relayed.until);
+        let remaining = lease.remaining_with::<R>(now, self.durations)?;
+        if !is_listed {
+            let end = lease.end(true, longest);
+            let until = now + R::add_clock_margin(end - now);
+            self.record(asker, RelayedLease { revision, until });
         }
-        Some(left)
+        Some(remaining)
     }
 
     /// An earlier answer may be all that the asker has, as the later may be
     /// lost: the older revision stays until the asker says otherwise.
-    fn note(&mut self, asker: &Member, new: Given) {
-        let given = self.unlisted.entry(asker.clone()).or_insert(new);
-        given.until = given.until.max(new.until);
+    fn record(&mut self, asker: &Member, new: RelayedLease) {
+        let relayed = self.unlisted.entry(asker.clone()).or_insert(new);
+        relayed.until = relayed.until.max(new.until);
     }
 
     /// An unlisted asker has acknowledged a revision, as to a mover.
-    pub fn acked(&mut self, asker: &Member, revision: Revision) {
-        if let Some(given) = self.unlisted.get_mut(asker) {
-            given.revision = given.revision.max(revision);
+    pub fn record_ack(&mut self, asker: &Member, revision: Revision) {
+        if let Some(relayed) = self.unlisted.get_mut(asker) {
+            relayed.revision = relayed.revision.max(revision);
         }
     }
 
     /// Whether nobody routes on leave from here under a revision before this.
-    pub fn settled(&self, revision: Revision, now: Time) -> bool {
-        let mut given = self.unlisted.values();
-        !given.any(|given| R::holds_back(given.revision, revision, given.until, now))
+    pub fn is_settled(&self, revision: Revision, now: Time) -> bool {
+        let mut relayed = self.unlisted.values();
+        !relayed.any(|relayed| R::blocks_ack(relayed.revision, revision, relayed.until, now))
     }
 }
--- a/crates/core/src/membership/routing_lease.rs
+++ b/crates/core/src/membership/routing_lease.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        ownership::{Rules, Spans, Strict},
+        ownership::{LeaseDurations, ProductionRules, ProtocolRules},
         time::Time,
     },
     std::time::Duration,
@@ -17,70 +17,78 @@
 /// with an older map would let a request follow an owner that has been replaced.
 ///
 /// ```
-/// use {citron_core::{membership::Confirmation, time::Time}, std::time::Duration};
+/// use {citron_core::{membership::RoutingLease, time::Time}, std::time::Duration};
 /// let read = Time::from_micros(1_000_000);
 /// let second = Duration::from_secs(1);
-/// let confirmation = Confirmation { anywhere: read + second, platform: read, domain: read + 9 * second };
+/// let lease = RoutingLease { any_domain_until: read + second, read_started: read, own_domain_until: read + 9 * second };
 /// let grace = 5 * second;
-/// assert!(confirmation.allows(read, false, grace));
-/// assert!(!confirmation.allows(read + 2 * second, false, grace));
-/// assert!(confirmation.allows(read + 2 * second, true, grace));
-/// assert!(!confirmation.allows(read + 6 * second, true, grace));
+/// assert!(lease.allows(read, false, grace));
+/// assert!(!lease.allows(read + 2 * second, false, grace));
+/// assert!(lease.allows(read + 2 * second, true, grace));
+/// assert!(!lease.allows(read + 6 * second, true, grace));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub struct Confirmation {
+pub struct RoutingLease {
     /// Until then it may route to servers in any failure domain.
-    pub anywhere: Time,
+    pub any_domain_until: Time,
     /// When the last read of the platform that it rests on was begun.
-    pub platform: Time,
+    pub read_started: Time,
     /// Until then its own domain's confirmers stand by the revision.
-    pub domain: Time,
+    pub own_domain_until: Time,
 }
 
 /// What one instance passes on of its confirmation to another: spans only, as
 /// two clocks are never compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Remaining {
+pub struct RemainingLease {
     /// What is left of the leave to route anywhere.
-    pub anywhere: Duration,
+    pub any_domain: Duration,
     /// How long ago the read of the platform was begun.
     pub age: Duration,
 }
 
-impl Confirmation {
+impl RoutingLease {
     /// From a read of the platform that was begun and answered at these times.
     ///
     /// ```
-    /// use citron_core::{membership::Confirmation, ownership::Spans, time::Time};
-    /// let (begun, answered) = (Time::from_micros(10), Time::from_micros(90));
-    /// let confirmation = Confirmation::of_read(begun, answered, Spans::default());
-    /// assert_eq!(confirmation.platform, begun);
+    /// use citron_core::{membership::RoutingLease, ownership::LeaseDurations, time::Time};
+    /// let (started, answered) = (Time::from_micros(10), Time::from_micros(90));
+    /// let lease = RoutingLease::from_read(started, answered, LeaseDurations::default());
+    /// assert_eq!(lease.read_started, started);
     /// ```
-    pub fn of_read(begun: Time, answered: Time, spans: Spans) -> Self {
-        Self::of_read_by::<Strict>(begun, answered, spans)
+    pub fn from_read(started: Time, answered: Time, durations: LeaseDurations) -> Self {
+        Self::from_read_with::<ProductionRules>(started, answered, durations)
     }
 
-    /// [`Self::of_read`] under other rules.
-    pub fn of_read_by<R: Rules>(begun: Time, answered: Time, spans: Spans) -> Self {
-        let platform = R::anchor(begun, answered);
+    /// [`Self::from_read`] under other rules.
+    pub fn from_read_with<R: ProtocolRules>(
+        started: Time,
+        answered: Time,
+        durations: LeaseDurations,
+    ) -> Self {
+        let read_started = R::lease_start(started, answered);
         Self {
-            anywhere: platform + spans.confirm,
-            platform,
-            domain: NEVER,
+            any_domain_until: read_started + durations.routing,
+            read_started,
+            own_domain_until: NEVER,
         }
     }
 
     /// What may be passed on at `now`; `None` if it rests on no read.
-    pub fn remaining(&self, now: Time, spans: Spans) -> Option<Remaining> {
-        self.remaining_by::<Strict>(now, spans)
+    pub fn remaining(&self, now: Time, durations: LeaseDurations) -> Option<RemainingLease> {
+        self.remaining_with::<ProductionRules>(now, durations)
     }
 
     /// [`Self::remaining`] under other rules.
-    pub fn remaining_by<R: Rules>(&self, now: Time, spans: Spans) -> Option<Remaining> {
-        let rests = self.platform > Time::ZERO;
-        rests.then(|| Remaining {
-            anywhere: R::relayed(self.anywhere - now, spans.confirm),
-            age: R::relayed_age(now - self.platform),
+    pub fn remaining_with<R: ProtocolRules>(
+        &self,
+        now: Time,
+        durations: LeaseDurations,
+    ) -> Option<RemainingLease> {
+        let has_read = self.read_started > Time::ZERO;
+        has_read.then(|| RemainingLease {
+            any_domain: R::relayed_lease(self.any_domain_until - now, durations.routing),
+            age: R::relayed_age(now - self.read_started),
         })
     }
 
@@ -89,44 +97,44 @@
     /// `sent` ends no later than the other's own.
     ///
     /// ```
-    /// use {citron_core::{membership::{Confirmation, Remaining}, time::Time}, std::time::Duration};
-    /// let left = Remaining { anywhere: Duration::from_micros(30), age: Duration::from_micros(5) };
-    /// let confirmation = Confirmation::of_relay(Time::from_micros(100), left);
-    /// assert_eq!(confirmation.anywhere, Time::from_micros(130));
-    /// assert_eq!(confirmation.platform, Time::from_micros(95));
+    /// use {citron_core::{membership::{RoutingLease, RemainingLease}, time::Time}, std::time::Duration};
+    /// let remaining = RemainingLease { any_domain: Duration::from_micros(30), age: Duration::from_micros(5) };
+    /// let lease = RoutingLease::from_relay(Time::from_micros(100), remaining);
+    /// assert_eq!(lease.any_domain_until, Time::from_micros(130));
+    /// assert_eq!(lease.read_started, Time::from_micros(95));
     /// ```
-    pub fn of_relay(sent: Time, left: Remaining) -> Self {
-        let age = u64::try_from(left.age.as_micros()).unwrap_or(u64::MAX);
+    pub fn from_relay(sent: Time, remaining: RemainingLease) -> Self {
+        let age = u64::try_from(remaining.age.as_micros()).unwrap_or(u64::MAX);
         Self {
-            anywhere: sent + left.anywhere,
-            platform: Time::from_micros(sent.as_micros().saturating_sub(age)),
-            domain: NEVER,
+            any_domain_until: sent + remaining.any_domain,
+            read_started: Time::from_micros(sent.as_micros().saturating_sub(age)),
+            own_domain_until: NEVER,
         }
     }
 
     /// The later of two, each end by itself. Both must be of the map in force
     /// or of an older one: whatever an older revision's confirmation rules out
     /// until its end, a newer revision's does too.
-    pub fn later(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         Self {
-            anywhere: self.anywhere.max(other.anywhere),
-            platform: self.platform.max(other.platform),
-            domain: self.domain.max(other.domain),
+            any_domain_until: self.any_domain_until.max(other.any_domain_until),
+            read_started: self.read_started.max(other.read_started),
+            own_domain_until: self.own_domain_until.max(other.own_domain_until),
         }
     }
 
-    /// When the leave ends; `own` says that the server is in the instance's own
+    /// When the leave ends; `is_own_domain` says that the server is in the instance's own
     /// failure domain, `grace` is the service's.
-    pub fn end(&self, own: bool, grace: Duration) -> Time {
-        let domain = self.domain.min(self.platform + grace);
-        match own {
-            true => self.anywhere.max(domain),
-            false => self.anywhere,
+    pub fn end(&self, is_own_domain: bool, grace: Duration) -> Time {
+        let own_domain_until = self.own_domain_until.min(self.read_started + grace);
+        match is_own_domain {
+            true => self.any_domain_until.max(own_domain_until),
+            false => self.any_domain_until,
         }
     }
 
     /// Whether a request may be written now.
-    pub fn allows(&self, now: Time, own: bool, grace: Duration) -> bool {
-        now < self.end(own, grace)
+    pub fn allows(&self, now: Time, is_own_domain: bool, grace: Duration) -> bool {
+        now < self.end(is_own_domain, grace)
     }
 }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -1,7 +1,7 @@
 //! What instances tell each other of themselves.
 
 use {
-    super::Remaining,
+    super::RemainingLease,
     crate::id::{DomainName, Incarnation, InstanceId, Revision},
 };
 
@@ -17,7 +17,7 @@
     /// The revision that its traffic is routed by.
     pub revision: Revision,
     /// What it passes on of its confirmation; `None` if it rests on no read.
-    pub left: Option<Remaining>,
+    pub remaining: Option<RemainingLease>,
     /// Whether it is leaving.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
--- a/crates/core/src/ownership/assignment.rs
+++ b/crates/core/src/ownership/assignment.rs
@@ -20,9 +20,9 @@
 /// ```
 /// use citron_core::{id::Epoch, ownership::{Assignment, Phase}};
 /// let owned = Assignment::owned("server-1".parse().unwrap(), Epoch(3));
-/// assert!(owned.is_open());
+/// assert!(owned.is_routable());
 /// let moving = Assignment { phase: Phase::Releasing { to: "server-2".parse().unwrap() }, ..owned };
-/// assert!(!moving.is_open());
+/// assert!(!moving.is_routable());
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
@@ -53,7 +53,7 @@
     }
 
     /// Whether requests may be sent to the owner.
-    pub fn is_open(&self) -> bool {
+    pub fn is_routable(&self) -> bool {
         self.phase == Phase::Owned
     }
 }
--- a/crates/core/src/ownership/begin_move.rs
+++ b/crates/core/src/ownership/begin_move.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Assignment, MoveError, Phase, Rules, Scope, Strict,
-        rows::{assignment, replace, row_key, version},
+        Assignment, MoveError, Phase, ProductionRules, ProtocolRules, Scope,
+        rows::{assignment, assignment_write, row_key, row_version},
     },
     crate::{
         id::{Epoch, ServerName, ServiceName, ShardId},
@@ -25,14 +25,14 @@
     scope: Scope,
     to: &ServerName,
 ) -> Result<Commit, MoveError> {
-    begin_move_by::<Strict>(table, service, scope, to)
+    begin_move_with::<ProductionRules>(table, service, scope, to)
 }
 
 /// [`begin_move`] under other rules, for the model check.
 ///
 /// # Errors
 /// As [`begin_move`].
-pub fn begin_move_by<R: Rules>(
+pub fn begin_move_with<R: ProtocolRules>(
     table: &Table,
     service: &ServiceName,
     scope: Scope,
@@ -44,11 +44,13 @@
     let writes = match assignment(table, service, scope) {
         Some(found) => {
             let new = release::<R>(service, scope, found.value, to)?;
-            vec![replace(table, service, scope, found.version, new)]
+            vec![assignment_write(table, service, scope, found.version, new)]
         }
         None => match scope {
             Scope::Shard(shard) => vec![assign(table, service, shard, to)?],
-            Scope::Key(key) => take_out::<R>(table, service, row.shards.shard_of(key), scope, to)?,
+            Scope::Key(key) => {
+                extract_key::<R>(table, service, row.shards.shard_of(key), scope, to)?
+            }
         },
     };
     Ok(Commit {
@@ -70,7 +72,7 @@
         return Err(MoveError::UnknownServer { server });
     };
     if row.service != *service {
-        return Err(MoveError::OtherService {
+        return Err(MoveError::WrongService {
             server,
             found: row.service.clone(),
             service: service.clone(),
@@ -86,7 +88,7 @@
 fn check_shard(row: &ServiceRow, scope: Scope) -> Result<(), MoveError> {
     let last = row.shards.shards() - 1;
     match scope {
-        Scope::Shard(shard) if shard.0 > last => Err(MoveError::NoShard {
+        Scope::Shard(shard) if shard.0 > last => Err(MoveError::UnknownShard {
             service: row.name.clone(),
             scope,
             last,
@@ -95,14 +97,14 @@
     }
 }
 
-fn release<R: Rules>(
+fn release<R: ProtocolRules>(
     service: &ServiceName,
     scope: Scope,
     old: Assignment,
     to: &ServerName,
 ) -> Result<Assignment, MoveError> {
     if let Phase::Releasing { to } = old.phase {
-        return Err(MoveError::Moving {
+        return Err(MoveError::AlreadyMoving {
             service: service.clone(),
             scope,
             to,
@@ -110,7 +112,7 @@
     }
     if old.owner == *to {
         let server = to.clone();
-        return Err(MoveError::SameOwner { server, scope });
+        return Err(MoveError::AlreadyOwner { server, scope });
     }
     Ok(Assignment {
         owner: old.owner,
@@ -127,11 +129,11 @@
 ) -> Result<Write, MoveError> {
     let key = row_key(service, Scope::Shard(shard));
     let first = BlockId::of(shard).first_shard().0;
-    let owned = match table.get(&key).map(|found| &found.value) {
+    let assigned = match table.get(&key).map(|found| &found.value) {
         Some(Row::Block(row)) => row.shards.len() as u32,
         _ => 0,
     };
-    let next = first + owned;
+    let next = first + assigned;
     if shard.0 != next {
         return Err(MoveError::Unowned {
             service: service.clone(),
@@ -144,30 +146,36 @@
     let epoch = Epoch(table.revision().0 + 1);
     let new = Assignment::owned(to.clone(), epoch);
     let scope = Scope::Shard(shard);
-    let expect = version(table, &key);
-    Ok(replace(table, service, scope, expect, new))
+    let expect = row_version(table, &key);
+    Ok(assignment_write(table, service, scope, expect, new))
 }
 
-fn take_out<R: Rules>(
+fn extract_key<R: ProtocolRules>(
     table: &Table,
     service: &ServiceName,
     shard: ShardId,
     scope: Scope,
     to: &ServerName,
 ) -> Result<Vec<Write>, MoveError> {
-    let whole = Scope::Shard(shard);
-    let Some(found) = assignment(table, service, whole) else {
+    let shard_scope = Scope::Shard(shard);
+    let Some(found) = assignment(table, service, shard_scope) else {
         return Err(MoveError::Unowned {
             service: service.clone(),
             scope,
             next: shard.0,
         });
     };
-    let single = release::<R>(service, scope, found.value.clone(), to)?;
-    let mut rest = found.value;
-    rest.epoch = R::release_epoch(rest.epoch);
+    let key_assignment = release::<R>(service, scope, found.value.clone(), to)?;
+    let mut shard_assignment = found.value;
+    shard_assignment.epoch = R::release_epoch(shard_assignment.epoch);
     Ok(vec![
-        replace(table, service, scope, crate::id::Revision(0), single),
-        replace(table, service, whole, found.version, rest),
+        assignment_write(
+            table,
+            service,
+            scope,
+            crate::id::Revision(0),
+            key_assignment,
+        ),
+        assignment_write(table, service, shard_scope, found.version, shard_assignment),
     ])
 }
--- a/crates/core/src/ownership/error.rs
+++ b/crates/core/src/ownership/error.rs
@@ -26,7 +26,7 @@
     },
     /// The target serves another service.
     #[error("server {server} serves {found}, not {service}")]
-    OtherService {
+    WrongService {
         /// The server that was named.
         server: ServerName,
         /// The service it serves.
@@ -44,7 +44,7 @@
     },
     /// The scope is on its way already.
     #[error("{scope} of {service} is already moving to {to}")]
-    Moving {
+    AlreadyMoving {
         /// The service.
         service: ServiceName,
         /// The scope.
@@ -54,7 +54,7 @@
     },
     /// The target owns the scope already.
     #[error("server {server} already owns {scope}")]
-    SameOwner {
+    AlreadyOwner {
         /// The server that was named.
         server: ServerName,
         /// The scope.
@@ -62,7 +62,7 @@
     },
     /// The service has no such shard.
     #[error("{service} has shards 0 to {last}, there is no {scope}")]
-    NoShard {
+    UnknownShard {
         /// The service.
         service: ServiceName,
         /// The scope that was named.
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -10,7 +10,7 @@
 
 /// An instance's word that it will route nothing of a scope under a revision
 /// before `revision`, and that nothing that it sent so is still unanswered. It
-/// gives it only once [`crate::membership::Relays::settled`] says so, too.
+/// gives it only once [`crate::membership::RelayedLeases::is_settled`] says so, too.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ack {
     /// The instance.
@@ -37,7 +37,7 @@
     /// The old owner's process is surely gone, as an operator has stated or the
     /// server's host has shown. A refused connection does not show it: a
     /// server that drains closes its listener while it still runs requests.
-    OwnerGone,
+    OwnerTerminated,
     /// The commit that was asked for has ended, with whatever answer or none.
     CommitEnded,
     /// The table was read from the platform, by a read begun after the commit
@@ -56,7 +56,7 @@
         grants: Vec<Grant>,
     },
     /// Ask an instance to acknowledge.
-    AskAck {
+    RequestAck {
         /// The instance.
         instance: InstanceId,
         /// The start of it that is listed.
--- a/crates/core/src/ownership/grant.rs
+++ b/crates/core/src/ownership/grant.rs
@@ -9,7 +9,7 @@
 /// Tells two starts of a backend server apart: a restarted one has forgotten
 /// its grants, so a late grant meant for its earlier start must not count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Boot(pub u64);
+pub struct BootId(pub u64);
 
 /// Whether a grant gives or takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -39,9 +39,9 @@
 /// The end is a reading of the server's own clock, worked out from one that the
 /// server sent before: however long the order is under way, it ends no later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Lease {
+pub struct ServerLease {
     /// The start of the server that the clock reading belongs to.
-    pub boot: Boot,
+    pub boot: BootId,
     /// The end, since the origin of the server's clock.
     pub until: Duration,
 }
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantReply {
     /// The server's start.
-    pub boot: Boot,
+    pub boot: BootId,
     /// The server's clock when it answered, since its origin.
     pub clock: Duration,
     /// One result a grant, in the order of the grants.
--- a/crates/core/src/ownership/lease_durations.rs
+++ b/crates/core/src/ownership/lease_durations.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 /// Spans that every instance must agree on: an instance with a longer
-/// [`Spans::confirm`] than a mover's would route after its leave is over for
+/// [`LeaseDurations::routing`] than a mover's would route after its leave is over for
 /// the mover. They change with a version of the program, not by setting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Spans {
+pub struct LeaseDurations {
     /// How long a read of the platform confirms a revision, from its begin.
-    pub confirm: Duration,
+    pub routing: Duration,
     /// The longest lease of a backend server that checks epochs.
-    pub lease: Duration,
+    pub server: Duration,
 }
 
-impl Default for Spans {
+impl Default for LeaseDurations {
     fn default() -> Self {
         Self {
-            confirm: Duration::from_millis(1_500),
-            lease: Duration::from_millis(1_000),
+            routing: Duration::from_millis(1_500),
+            server: Duration::from_millis(1_000),
         }
     }
 }
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -17,14 +17,14 @@
 
 pub use {
     assignment::{Assignment, Phase},
-    begin_move::{begin_move, begin_move_by},
+    begin_move::{begin_move, begin_move_with},
     error::MoveError,
     event::{Ack, MoveAction, MoveEvent},
-    grant::{Boot, Grant, GrantKind, GrantReply, GrantResult, Lease},
-    granter::{Granter, Order},
-    lease_durations::Spans,
+    grant::{BootId, Grant, GrantKind, GrantReply, GrantResult, ServerLease},
+    granter::{GrantOrder, Granter},
+    lease_durations::LeaseDurations,
     mover::Mover,
     rows::{assignment, row_key},
-    rules::{Rules, Strict},
+    rules::{ProductionRules, ProtocolRules},
     scope::Scope,
 };
--- a/crates/core/src/ownership/mover.rs
+++ b/crates/core/src/ownership/mover.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        Assignment, Grant, GrantKind, Member, MoveAction, MoveEvent, Phase, Rules, Scope, Spans,
-        Strict,
-        release_wait::{Limits, Waits},
-        rows::{assignment, replace},
+        Assignment, Grant, GrantKind, LeaseDurations, Member, MoveAction, MoveEvent, Phase,
+        ProductionRules, ProtocolRules, Scope,
+        release_wait::{ReleaseWait, WaitLimits},
+        rows::{assignment, assignment_write},
     },
     crate::{
         id::{Epoch, ServerName, ServiceName},
@@ -30,7 +30,7 @@
     /// The last commit is under way.
     Committing,
     /// The last commit has ended; the table read from now on tells how.
-    Reading,
+    Rereading,
     Done,
 }
 
@@ -42,26 +42,26 @@
 /// conditional on the version of the row, and either finds the same row after.
 ///
 /// Feed it with [`Self::step`] on every event and at least at
-/// [`Self::wakes_at`], with a table that was read from the platform or relayed;
+/// [`Self::next_wakeup`], with a table that was read from the platform or relayed;
 /// never with the driver's own commit applied by itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Mover<R: Rules = Strict> {
+pub struct Mover<R: ProtocolRules = ProductionRules> {
     service: ServiceName,
     scope: Scope,
     release: Release,
-    waits: Waits,
+    wait: ReleaseWait,
     stage: Stage,
     rules: PhantomData<R>,
 }
 
-impl<R: Rules> Mover<R> {
+impl<R: ProtocolRules> Mover<R> {
     /// Takes up the move of a scope, `None` if the table shows none; `now` is
     /// when the table had been read. Returns the first actions too.
-    pub fn take_up(
+    pub fn resume(
         table: &Table,
         service: &ServiceName,
         scope: Scope,
-        spans: Spans,
+        durations: LeaseDurations,
         now: Time,
     ) -> Option<(Self, Vec<MoveAction>)> {
         let found = assignment(table, service, scope)?;
@@ -77,7 +77,12 @@
                 to,
                 epoch: found.value.epoch,
             },
-            waits: Waits::new::<R>(found.version, now, row, limits(table, service, spans)),
+            wait: ReleaseWait::new::<R>(
+                found.version,
+                now,
+                row,
+                wait_limits(table, service, durations),
+            ),
             stage: Stage::Waiting,
             rules: PhantomData,
         };
@@ -91,9 +96,9 @@
         if self.stage == Stage::Done {
             return Vec::new();
         }
-        self.take_in(event, now);
+        self.apply_event(event, now);
         let found = assignment(table, &self.service, self.scope);
-        let Some(found) = found.filter(|found| self.is_mine(&found.value)) else {
+        let Some(found) = found.filter(|found| self.is_current(&found.value)) else {
             self.stage = Stage::Done;
             return vec![MoveAction::Superseded];
         };
@@ -104,23 +109,23 @@
     }
 
     /// The table may only show this release, or what it led to.
-    fn is_mine(&self, found: &Assignment) -> bool {
+    fn is_current(&self, found: &Assignment) -> bool {
         found.epoch == self.release.epoch
     }
 
-    fn take_in(&mut self, event: MoveEvent, now: Time) {
+    fn apply_event(&mut self, event: MoveEvent, now: Time) {
         match event {
             MoveEvent::Tick => {}
-            MoveEvent::Acked(ack) => self.waits.ack::<R>(&ack, now),
+            MoveEvent::Acked(ack) => self.wait.ack::<R>(&ack, now),
             MoveEvent::Revoked { epoch } => {
-                let counts = self.waits.fenced && epoch >= self.release.epoch;
-                self.waits.revoked |= counts;
+                let is_valid = self.wait.is_fenced && epoch >= self.release.epoch;
+                self.wait.is_revoked |= is_valid;
             }
-            MoveEvent::OwnerGone => self.waits.gone = true,
+            MoveEvent::OwnerTerminated => self.wait.is_owner_terminated = true,
             MoveEvent::CommitEnded if self.stage == Stage::Committing => {
-                self.stage = Stage::Reading;
+                self.stage = Stage::Rereading;
             }
-            MoveEvent::Reread if self.stage == Stage::Reading => self.stage = Stage::Waiting,
+            MoveEvent::Reread if self.stage == Stage::Rereading => self.stage = Stage::Waiting,
             MoveEvent::CommitEnded | MoveEvent::Reread => {}
         }
     }
@@ -131,25 +136,25 @@
         found: &Versioned<Assignment>,
         now: Time,
     ) -> Vec<MoveAction> {
-        self.waits.list::<R>(table, now);
+        self.wait.update_members::<R>(table, now);
         match self.stage {
-            Stage::Waiting if R::skips_wait() || self.is_free(now) => self.commit(table, found),
-            Stage::Waiting => self.ask(),
-            Stage::Reading if R::trusts_answer() => self.finish(),
-            Stage::Reading => vec![MoveAction::Reread],
+            Stage::Waiting if R::skips_wait() || self.is_released(now) => self.commit(table, found),
+            Stage::Waiting => self.request_acks(),
+            Stage::Rereading if R::skips_reread() => self.finish(),
+            Stage::Rereading => vec![MoveAction::Reread],
             Stage::Committing | Stage::Done => Vec::new(),
         }
     }
 
     /// Whether the old owner surely runs nothing more of the scope.
-    fn is_free(&self, now: Time) -> bool {
-        self.waits.is_over::<R>(now)
+    fn is_released(&self, now: Time) -> bool {
+        self.wait.is_over::<R>(now)
     }
 
     fn commit(&mut self, table: &Table, found: &Versioned<Assignment>) -> Vec<MoveAction> {
-        let version = R::finish_version(found.version);
+        let version = R::final_commit_version(found.version);
         let new = Assignment::owned(self.release.to.clone(), self.release.epoch);
-        let write = replace(table, &self.service, self.scope, version, new);
+        let write = assignment_write(table, &self.service, self.scope, version, new);
         self.stage = Stage::Committing;
         let commit = Commit {
             writes: vec![write],
@@ -162,7 +167,7 @@
         self.stage = Stage::Done;
         let owner = self.release.to.clone();
         let epoch = self.release.epoch;
-        let grant = self.order(self.scope, epoch, GrantKind::Own);
+        let grant = self.build_grant(self.scope, epoch, GrantKind::Own);
         let server = owner.clone();
         vec![
             MoveAction::Grant { server, grant },
@@ -170,45 +175,49 @@
         ]
     }
 
-    fn ask(&self) -> Vec<MoveAction> {
-        let ask = |member: Member| MoveAction::AskAck {
+    fn request_acks(&self) -> Vec<MoveAction> {
+        let request = |member: Member| MoveAction::RequestAck {
             instance: member.instance,
             incarnation: member.incarnation,
-            revision: self.waits.since,
+            revision: self.wait.release_revision,
         };
-        self.waits.missing().into_iter().map(ask).collect()
+        self.wait
+            .unacknowledged()
+            .into_iter()
+            .map(request)
+            .collect()
     }
 
     /// The orders to the old owner, if it checks epochs. The driver sends them
     /// again until they are accepted or the move is done.
     pub fn revoke(&self, table: &Table) -> Vec<MoveAction> {
-        if !self.waits.fenced {
+        if !self.wait.is_fenced {
             return Vec::new();
         }
-        let mut grants = vec![self.order(self.scope, self.release.epoch, GrantKind::Revoke)];
-        grants.extend(self.shard_order(table));
+        let mut grants = vec![self.build_grant(self.scope, self.release.epoch, GrantKind::Revoke)];
+        grants.extend(self.shard_grant(table));
         let server = self.release.owner.clone();
         vec![MoveAction::Revoke { server, grants }]
     }
 
     /// A key that was just taken out of its shard is asked for by late requests
     /// under the shard's epoch; the owner must have seen the shard's new one.
-    fn shard_order(&self, table: &Table) -> Option<Grant> {
+    fn shard_grant(&self, table: &Table) -> Option<Grant> {
         let Scope::Key(key) = self.scope else {
             return None;
         };
         let service = table.service(&self.service)?;
         let scope = Scope::Shard(service.shards.shard_of(key));
         let shard = assignment(table, &self.service, scope)?.value;
-        let mine = shard.owner == self.release.owner;
+        let is_owner = shard.owner == self.release.owner;
         let kind = match shard.phase {
             Phase::Owned => GrantKind::Own,
             Phase::Releasing { .. } => GrantKind::Revoke,
         };
-        mine.then(|| self.order(scope, shard.epoch, kind))
+        is_owner.then(|| self.build_grant(scope, shard.epoch, kind))
     }
 
-    fn order(&self, scope: Scope, epoch: Epoch, kind: GrantKind) -> Grant {
+    fn build_grant(&self, scope: Scope, epoch: Epoch, kind: GrantKind) -> Grant {
         Grant {
             service: self.service.clone(),
             scope,
@@ -218,14 +227,14 @@
     }
 
     /// When time alone may next bring the move on; `None` if it cannot.
-    pub fn wakes_at(&self) -> Option<Time> {
-        let waiting = self.stage == Stage::Waiting;
-        waiting.then(|| self.waits.end::<R>())
+    pub fn next_wakeup(&self) -> Option<Time> {
+        let is_waiting = self.stage == Stage::Waiting;
+        is_waiting.then(|| self.wait.end::<R>())
     }
 
     /// The listed instances that have not acknowledged.
-    pub fn missing(&self) -> Vec<Member> {
-        self.waits.missing()
+    pub fn unacknowledged(&self) -> Vec<Member> {
+        self.wait.unacknowledged()
     }
 
     /// Whether the move needs no more steps.
@@ -235,13 +244,13 @@
 }
 
 /// The spans that the service's row sets, beside the fixed ones.
-fn limits(table: &Table, service: &ServiceName, spans: Spans) -> Limits {
+fn wait_limits(table: &Table, service: &ServiceName, durations: LeaseDurations) -> WaitLimits {
     let (grace, deadline) = match table.service(service) {
         Some(row) => (row.grace, row.deadline),
         None => (Duration::ZERO, Duration::ZERO),
     };
-    Limits {
-        spans,
+    WaitLimits {
+        durations,
         grace,
         deadline,
     }
--- a/crates/core/src/ownership/release_wait.rs
+++ b/crates/core/src/ownership/release_wait.rs
@@ -1,7 +1,7 @@
 //! How long the old owner of a scope may still run requests.
 
 use {
-    super::{Ack, Member, Rules, Spans},
+    super::{Ack, LeaseDurations, Member, ProtocolRules},
     crate::{
         id::{DomainName, Revision},
         table::{DomainState, Fencing, ServerRow, Table},
@@ -12,9 +12,9 @@
 
 /// The spans that the waits are made of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Limits {
+pub(super) struct WaitLimits {
     /// The fixed ones.
-    pub spans: Spans,
+    pub durations: LeaseDurations,
     /// The service's grace.
     pub grace: Duration,
     /// The longest that a request of the service may take.
@@ -22,12 +22,12 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Wait {
+struct InstanceWait {
     /// When its leave to route under the old revision has surely run out.
-    lapse: Time,
+    lease_end: Time,
     /// When its acknowledgement was heard; for an owner that does not check
     /// epochs it does not matter when, and it is the begin of the wait.
-    acked: Option<Time>,
+    acked_at: Option<Time>,
 }
 
 /// The instances that could still route a released scope to its old owner.
@@ -37,42 +37,42 @@
 /// before the release was committed, and so before this mover saw it: the span
 /// is counted from then, on the mover's own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Waits {
+pub(super) struct ReleaseWait {
     /// The release: revisions from this one on show it.
-    pub since: Revision,
+    pub release_revision: Revision,
     /// Whether the old owner checks epochs.
-    pub fenced: bool,
+    pub is_fenced: bool,
     /// The old owner has accepted the revocation.
-    pub revoked: bool,
+    pub is_revoked: bool,
     /// The old owner's process is surely gone.
-    pub gone: bool,
-    seen: Time,
-    domain: Option<DomainName>,
-    limits: Limits,
-    members: BTreeMap<Member, Wait>,
+    pub is_owner_terminated: bool,
+    seen_at: Time,
+    owner_domain: Option<DomainName>,
+    limits: WaitLimits,
+    members: BTreeMap<Member, InstanceWait>,
     /// When leases given by instances that are listed no more have run out.
-    quiet: Time,
+    unlisted_leases_end: Time,
 }
 
-impl Waits {
+impl ReleaseWait {
     /// Waits from when the release was seen; `owner` is the old owner's row, if
     /// the table still has it.
-    pub fn new<R: Rules>(
-        since: Revision,
-        seen: Time,
+    pub fn new<R: ProtocolRules>(
+        release_revision: Revision,
+        seen_at: Time,
         owner: Option<&ServerRow>,
-        limits: Limits,
+        limits: WaitLimits,
     ) -> Self {
         Self {
-            since,
-            revoked: false,
-            gone: false,
-            seen,
-            fenced: owner.is_some_and(|row| row.fencing == Fencing::Checked),
-            domain: owner.map(|row| row.domain.clone()),
+            release_revision,
+            is_revoked: false,
+            is_owner_terminated: false,
+            seen_at,
+            is_fenced: owner.is_some_and(|row| row.fencing == Fencing::Checked),
+            owner_domain: owner.map(|row| row.domain.clone()),
             limits,
             members: BTreeMap::new(),
-            quiet: seen + R::wait(limits.spans.lease),
+            unlisted_leases_end: seen_at + R::add_clock_margin(limits.durations.server),
         }
     }
 
@@ -80,90 +80,97 @@
     /// left, and stopped before, or was expelled, and its leave had run out
     /// before the row went; one in a domain that an operator has stated to be
     /// lost runs no more.
-    pub fn list<R: Rules>(&mut self, table: &Table, now: Time) {
+    pub fn update_members<R: ProtocolRules>(&mut self, table: &Table, now: Time) {
         let mut listed = BTreeMap::new();
         for row in table.instances() {
-            if is_lost(table, &row.domain) {
+            if is_domain_lost(table, &row.domain) {
                 continue;
             }
-            let member = Member::of(row);
-            let new = Wait {
-                lapse: self.lapse::<R>(&row.domain),
-                acked: None,
+            let member = Member::from_row(row);
+            let new = InstanceWait {
+                lease_end: self.routing_lease_end::<R>(&row.domain),
+                acked_at: None,
             };
             let wait = self.members.remove(&member).unwrap_or(new);
             listed.insert(member, wait);
         }
-        let went = self.members.values().any(|wait| wait.acked.is_none());
-        if self.fenced && went {
-            self.quiet = now + R::wait(self.limits.spans.lease);
+        let departed = self.members.values().any(|wait| wait.acked_at.is_none());
+        if self.is_fenced && departed {
+            self.unlisted_leases_end = now + R::add_clock_margin(self.limits.durations.server);
         }
         self.members = listed;
-        self.gone |= self.domain.as_ref().is_some_and(|d| is_lost(table, d));
+        self.is_owner_terminated |= self
+            .owner_domain
+            .as_ref()
+            .is_some_and(|d| is_domain_lost(table, d));
     }
 
-    fn lapse<R: Rules>(&self, domain: &DomainName) -> Time {
-        let confirm = self.limits.spans.confirm;
-        let other = self.domain.as_ref().is_some_and(|own| own != domain);
-        let span = match other {
-            true => confirm,
-            false => confirm.max(self.limits.grace),
+    fn routing_lease_end<R: ProtocolRules>(&self, domain: &DomainName) -> Time {
+        let routing = self.limits.durations.routing;
+        let is_elsewhere = self.owner_domain.as_ref().is_some_and(|own| own != domain);
+        let lease = match is_elsewhere {
+            true => routing,
+            false => routing.max(self.limits.grace),
         };
-        self.seen + R::wait(span)
+        self.seen_at + R::add_clock_margin(lease)
     }
 
     /// Counts an acknowledgement of a listed start of an instance.
-    pub fn ack<R: Rules>(&mut self, ack: &Ack, now: Time) {
-        let at = if self.fenced { now } else { self.seen };
+    pub fn ack<R: ProtocolRules>(&mut self, ack: &Ack, now: Time) {
+        let at = if self.is_fenced { now } else { self.seen_at };
         for (member, wait) in &mut self.members {
-            let same = member.instance == ack.instance;
-            if same && R::acked(ack, member.incarnation, self.since) {
-                wait.acked.get_or_insert(at);
+            let is_same = member.instance == ack.instance;
+            if is_same && R::accepts_ack(ack, member.incarnation, self.release_revision) {
+                wait.acked_at.get_or_insert(at);
             }
         }
     }
 
     /// The instances that have not acknowledged.
-    pub fn missing(&self) -> Vec<Member> {
-        let missing = self.members.iter().filter(|(_, w)| w.acked.is_none());
-        missing.map(|(member, _)| member.clone()).collect()
+    pub fn unacknowledged(&self) -> Vec<Member> {
+        let unacknowledged = self.members.iter().filter(|(_, w)| w.acked_at.is_none());
+        unacknowledged.map(|(member, _)| member.clone()).collect()
     }
 
     /// Whether the old owner surely runs nothing more of the scope.
-    pub fn is_over<R: Rules>(&self, now: Time) -> bool {
-        let stopped = self.fenced && (self.revoked || self.gone);
-        stopped || now >= self.end::<R>()
+    pub fn is_over<R: ProtocolRules>(&self, now: Time) -> bool {
+        let is_stopped = self.is_fenced && (self.is_revoked || self.is_owner_terminated);
+        is_stopped || now >= self.end::<R>()
     }
 
     /// When time alone ends the wait, given what was heard so far.
-    pub fn end<R: Rules>(&self) -> Time {
-        let ends = self.members.values().map(|wait| match self.fenced {
+    pub fn end<R: ProtocolRules>(&self) -> Time {
+        let ends = self.members.values().map(|wait| match self.is_fenced {
             true => self.end_fenced::<R>(wait),
             false => self.end_unfenced::<R>(wait),
         });
-        let floor = if self.fenced { self.quiet } else { self.seen };
+        let floor = if self.is_fenced {
+            self.unlisted_leases_end
+        } else {
+            self.seen_at
+        };
         ends.max().unwrap_or(floor).max(floor)
     }
 
     /// A silent owner that checks epochs stops with its lease: the last one
     /// under the old revision was given before the giver acknowledged, and
     /// never outlives the giver's own leave.
-    fn end_fenced<R: Rules>(&self, wait: &Wait) -> Time {
-        let lease = R::wait(self.limits.spans.lease);
-        let acked = wait.acked.map(|at| at + lease);
-        acked.map_or(wait.lapse, |end| end.min(wait.lapse))
+    fn end_fenced<R: ProtocolRules>(&self, wait: &InstanceWait) -> Time {
+        let lease = R::add_clock_margin(self.limits.durations.server);
+        let acked_at = wait.acked_at.map(|at| at + lease);
+        acked_at.map_or(wait.lease_end, |end| end.min(wait.lease_end))
     }
 
     /// An owner that does not check is done with what an instance sent when the
     /// instance says so; otherwise it is given the service's deadline for the
     /// last request that could be written.
-    fn end_unfenced<R: Rules>(&self, wait: &Wait) -> Time {
-        let last = wait.lapse + R::wait(self.limits.deadline);
-        wait.acked.map_or(last, |at| at.min(last))
+    fn end_unfenced<R: ProtocolRules>(&self, wait: &InstanceWait) -> Time {
+        let last = wait.lease_end + R::add_clock_margin(self.limits.deadline);
+        wait.acked_at.map_or(last, |at| at.min(last))
     }
 }
 
-fn is_lost(table: &Table, domain: &DomainName) -> bool {
+fn is_domain_lost(table: &Table, domain: &DomainName) -> bool {
     let row = table.domain(domain);
     row.is_some_and(|row| matches!(row.state, DomainState::Lost { .. }))
 }
--- a/crates/core/src/ownership/rows.rs
+++ b/crates/core/src/ownership/rows.rs
@@ -30,7 +30,7 @@
 
 /// A write that replaces the assignment of an owned scope, or appends that of
 /// the first unowned shard of a block; conditional on `expect`.
-pub(super) fn replace(
+pub(super) fn assignment_write(
     table: &Table,
     service: &ServiceName,
     scope: Scope,
@@ -71,7 +71,7 @@
 }
 
 /// The version of a row; 0 if there is none.
-pub(super) fn version(table: &Table, key: &RowKey) -> Revision {
+pub(super) fn row_version(table: &Table, key: &RowKey) -> Revision {
     table.get(key).map_or(Revision(0), |found| found.version)
 }
 
--- a/crates/core/src/placement/draft.rs
+++ b/crates/core/src/placement/draft.rs
@@ -1,91 +1,91 @@
 //! A service while a plan is made.
 
 use {
-    super::{Candidate, Proposal, Reason, View, rendezvous::score},
+    super::{Candidate, MoveReason, Proposal, ServiceView, rendezvous::rendezvous_score},
     crate::{id::ServerName, ownership::Scope},
     std::{cmp::Reverse, collections::BTreeMap},
 };
 
 /// Full means 1,000: a server with just its share.
-const FULL: u128 = 1_000;
+const FULL_PERMILLE: u128 = 1_000;
 /// An idle scope counts as this part of the mean scope, so that idle scopes are
 /// spread evenly too.
-const IDLE_PART: u64 = 100;
+const IDLE_DIVISOR: u64 = 100;
 
 /// One server on the board.
-struct Seat<'a> {
-    server: &'a Candidate,
+struct DraftServer<'a> {
+    candidate: &'a Candidate,
     weight: u64,
     load: u64,
     rate: u64,
 }
 
 /// One scope on the board.
-struct Piece {
+struct DraftScope {
     scope: Scope,
-    seat: Option<usize>,
+    server: Option<usize>,
     load: u64,
     rate: u64,
-    moving: bool,
+    is_moving: bool,
 }
 
 /// A move that could be made on the board.
-pub(super) struct Step {
-    pub piece: usize,
-    pub seat: usize,
+pub(super) struct DraftMove {
+    pub scope: usize,
+    pub server: usize,
     /// How full the target would be.
-    filled: u128,
+    target_fullness: u128,
 }
 
 /// The service while a plan is made: pieces are moved on it one by one.
-pub(super) struct Board<'a> {
-    servers: Vec<Seat<'a>>,
-    pieces: Vec<Piece>,
-    total: u128,
-    weights: u128,
+pub(super) struct Draft<'a> {
+    servers: Vec<DraftServer<'a>>,
+    entries: Vec<DraftScope>,
+    total_load: u128,
+    total_weight: u128,
 }
 
-impl<'a> Board<'a> {
-    pub fn new(view: &'a View) -> Self {
-        let seats = view
+impl<'a> Draft<'a> {
+    pub fn new(view: &'a ServiceView) -> Self {
+        let drafts = view
             .servers
             .iter()
-            .filter(|server| server.weight.0 > 0)
-            .map(|server| Seat {
-                server,
-                weight: u64::from(server.weight.0) * server.warmth.max(1),
+            .filter(|candidate| candidate.weight.0 > 0)
+            .map(|candidate| DraftServer {
+                candidate,
+                weight: u64::from(candidate.weight.0) * candidate.warmup_percent.max(1),
                 load: 0,
                 rate: 0,
             });
-        let mut servers: Vec<Seat> = seats.collect();
-        servers.sort_by(|a, b| a.server.name.cmp(&b.server.name));
-        let index: BTreeMap<&ServerName, usize> = servers
+        let mut servers: Vec<DraftServer> = drafts.collect();
+        servers.sort_by(|a, b| a.candidate.name.cmp(&b.candidate.name));
+        let positions: BTreeMap<&ServerName, usize> = servers
             .iter()
             .enumerate()
-            .map(|(seat, s)| (&s.server.name, seat))
+            .map(|(server, s)| (&s.candidate.name, server))
             .collect();
-        let measured: u64 = view.scopes.iter().map(|scope| scope.load.0).sum();
-        let idle = measured / (view.scopes.len().max(1) as u64 * IDLE_PART) + 1;
-        let pieces = view.scopes.iter().map(|scope| Piece {
+        let measured_load: u64 = view.scopes.iter().map(|scope| scope.load.0).sum();
+        let idle_load = measured_load / (view.scopes.len().max(1) as u64 * IDLE_DIVISOR) + 1;
+        let entries = view.scopes.iter().map(|scope| DraftScope {
             scope: scope.scope,
-            seat: scope
+            server: scope
                 .owner
                 .as_ref()
-                .and_then(|owner| index.get(owner).copied()),
-            load: scope.load.0 + idle,
+                .and_then(|owner| positions.get(owner).copied()),
+            load: scope.load.0 + idle_load,
             rate: u64::from(scope.rate),
-            moving: scope.moving,
+            is_moving: scope.is_moving,
         });
-        let mut pieces: Vec<Piece> = pieces.collect();
-        pieces.sort_by_key(|piece| (Reverse(piece.load), piece.scope));
-        let mut board = Self {
-            total: pieces.iter().map(|piece| u128::from(piece.load)).sum(),
-            weights: servers.iter().map(|seat| u128::from(seat.weight)).sum(),
+        let mut entries: Vec<DraftScope> = entries.collect();
+        entries.sort_by_key(|entry| (Reverse(entry.load), entry.scope));
+        let mut draft = Self {
+            total_load: entries.iter().map(|entry| u128::from(entry.load)).sum(),
+            total_weight: servers.iter().map(|server| u128::from(server.weight)).sum(),
             servers,
-            pieces,
+            entries,
         };
-        board.seat_pieces();
-        board
+        draft.sum_loads();
+        draft
     }
 
     /// Whether there is no server to own anything.
@@ -93,146 +93,156 @@
         self.servers.is_empty()
     }
 
-    fn seat_pieces(&mut self) {
-        for piece in &self.pieces {
-            if let Some(seat) = piece.seat {
-                self.servers[seat].load += piece.load;
-                self.servers[seat].rate += piece.rate;
+    fn sum_loads(&mut self) {
+        for entry in &self.entries {
+            if let Some(server) = entry.server {
+                self.servers[server].load += entry.load;
+                self.servers[server].rate += entry.rate;
             }
         }
     }
 
     /// How full a seat would be with more on it, by load or by its cap,
     /// whichever is more; in permille.
-    fn fullness(&self, seat: usize, load: u64, rate: u64) -> u128 {
-        self.load_fullness(seat, load)
-            .max(self.cap_fullness(seat, rate))
+    fn fullness(&self, server: usize, load: u64, rate: u64) -> u128 {
+        self.load_fullness(server, load)
+            .max(self.cap_fullness(server, rate))
     }
 
-    fn load_fullness(&self, seat: usize, load: u64) -> u128 {
-        let seat = &self.servers[seat];
-        let share = (self.total * u128::from(seat.weight) / self.weights).max(1);
-        u128::from(seat.load + load) * FULL / share
+    fn load_fullness(&self, server: usize, load: u64) -> u128 {
+        let server = &self.servers[server];
+        let share = (self.total_load * u128::from(server.weight) / self.total_weight).max(1);
+        u128::from(server.load + load) * FULL_PERMILLE / share
     }
 
-    fn cap_fullness(&self, seat: usize, rate: u64) -> u128 {
-        let seat = &self.servers[seat];
-        seat.server.cap.map_or(0, |cap| {
-            u128::from(seat.rate + rate) * FULL / u128::from(cap.max(1))
+    fn cap_fullness(&self, server: usize, rate: u64) -> u128 {
+        let server = &self.servers[server];
+        server.candidate.rate_cap.map_or(0, |cap| {
+            u128::from(server.rate + rate) * FULL_PERMILLE / u128::from(cap.max(1))
         })
     }
 
-    pub fn place_orphans(&mut self, bound: u64) -> Vec<Proposal> {
+    pub fn place_unassigned(&mut self, bound_permille: u64) -> Vec<Proposal> {
         let mut proposals = Vec::new();
-        for number in 0..self.pieces.len() {
-            if self.pieces[number].seat.is_some() || self.pieces[number].moving {
+        for index in 0..self.entries.len() {
+            if self.entries[index].server.is_some() || self.entries[index].is_moving {
                 continue;
             }
-            let seat = self.choose(number, bound);
-            proposals.push(self.move_piece(number, seat, Reason::Orphan));
+            let server = self.choose_server(index, bound_permille);
+            proposals.push(self.move_scope(index, server, MoveReason::Unassigned));
         }
         proposals
     }
 
     /// The best suited seat within the bound; the emptiest if there is none.
-    fn choose(&self, number: usize, bound: u64) -> usize {
-        let piece = &self.pieces[number];
-        let seats = 0..self.servers.len();
-        let after = |seat: usize| self.fullness(seat, piece.load, piece.rate);
-        let within = seats
+    fn choose_server(&self, index: usize, bound_permille: u64) -> usize {
+        let entry = &self.entries[index];
+        let indices = 0..self.servers.len();
+        let after = |server: usize| self.fullness(server, entry.load, entry.rate);
+        let within = indices
             .clone()
-            .filter(|seat| after(*seat) <= u128::from(bound));
-        let best = within.max_by(|a, b| self.score(*a, piece).total_cmp(&self.score(*b, piece)));
-        best.or_else(|| seats.min_by_key(|seat| after(*seat)))
+            .filter(|server| after(*server) <= u128::from(bound_permille));
+        let best = within.max_by(|a, b| {
+            self.rendezvous_score(*a, entry)
+                .total_cmp(&self.rendezvous_score(*b, entry))
+        });
+        best.or_else(|| indices.min_by_key(|server| after(*server)))
             .unwrap_or(0)
     }
 
-    fn score(&self, seat: usize, piece: &Piece) -> f64 {
-        let seat = &self.servers[seat];
-        score(&seat.server.name, seat.weight, piece.scope)
+    fn rendezvous_score(&self, server: usize, entry: &DraftScope) -> f64 {
+        let server = &self.servers[server];
+        rendezvous_score(&server.candidate.name, server.weight, entry.scope)
     }
 
-    pub fn move_piece(&mut self, number: usize, seat: usize, reason: Reason) -> Proposal {
-        let piece = &mut self.pieces[number];
-        if let Some(old) = piece.seat {
-            self.servers[old].load -= piece.load;
-            self.servers[old].rate -= piece.rate;
+    pub fn move_scope(&mut self, index: usize, server: usize, reason: MoveReason) -> Proposal {
+        let entry = &mut self.entries[index];
+        if let Some(old) = entry.server {
+            self.servers[old].load -= entry.load;
+            self.servers[old].rate -= entry.rate;
         }
-        self.servers[seat].load += piece.load;
-        self.servers[seat].rate += piece.rate;
-        piece.seat = Some(seat);
-        piece.moving = true;
+        self.servers[server].load += entry.load;
+        self.servers[server].rate += entry.rate;
+        entry.server = Some(server);
+        entry.is_moving = true;
         Proposal {
-            scope: piece.scope,
-            to: self.servers[seat].server.name.clone(),
+            scope: entry.scope,
+            to: self.servers[server].candidate.name.clone(),
             reason,
         }
     }
 
     /// The fullest seat by load; a cap keeps others from their share, which is
     /// no imbalance that a move could mend.
-    fn fullest(&self) -> usize {
-        let seats = 0..self.servers.len();
-        seats
-            .max_by_key(|seat| self.load_fullness(*seat, 0))
+    fn fullest_server(&self) -> usize {
+        let indices = 0..self.servers.len();
+        indices
+            .max_by_key(|server| self.load_fullness(*server, 0))
             .unwrap_or(0)
     }
 
-    fn over_cap(&self) -> Option<usize> {
-        let mut seats = 0..self.servers.len();
-        seats.find(|seat| self.cap_fullness(*seat, 0) > FULL)
+    fn server_over_cap(&self) -> Option<usize> {
+        let mut indices = 0..self.servers.len();
+        indices.find(|server| self.cap_fullness(*server, 0) > FULL_PERMILLE)
     }
 
-    pub fn is_uneven(&self, view: &View) -> bool {
-        let threshold = u128::from(view.moves.threshold) * FULL / 100;
-        self.over_cap().is_some() || self.load_fullness(self.fullest(), 0) > threshold
+    pub fn is_uneven(&self, view: &ServiceView) -> bool {
+        let threshold = u128::from(view.move_budget.threshold) * FULL_PERMILLE / 100;
+        self.server_over_cap().is_some() || self.load_fullness(self.fullest_server(), 0) > threshold
     }
 
-    pub fn next_step(&self, view: &View) -> Option<Step> {
+    pub fn next_move(&self, view: &ServiceView) -> Option<DraftMove> {
         if !self.is_uneven(view) {
             return None;
         }
-        let capped = self.over_cap().and_then(|from| self.relieve_cap(from));
-        capped.or_else(|| self.relieve_load(self.fullest()))
+        let capped = self
+            .server_over_cap()
+            .and_then(|from| self.relieve_cap(from));
+        capped.or_else(|| self.relieve_load(self.fullest_server()))
     }
 
     /// The move off a seat over its cap that fills the other end least.
-    fn relieve_cap(&self, from: usize) -> Option<Step> {
-        let steps = self.steps(from).filter(|step| {
-            let rate = self.pieces[step.piece].rate;
-            rate > 0 && self.cap_fullness(step.seat, rate) <= FULL
+    fn relieve_cap(&self, from: usize) -> Option<DraftMove> {
+        let moves = self.candidate_moves(from).filter(|candidate_move| {
+            let rate = self.entries[candidate_move.scope].rate;
+            rate > 0 && self.cap_fullness(candidate_move.server, rate) <= FULL_PERMILLE
         });
-        steps.min_by_key(|step| step.filled)
+        moves.min_by_key(|candidate_move| candidate_move.target_fullness)
     }
 
     /// The move off a seat that leaves the fuller of both ends emptiest; `None`
     /// if every move would only pass the excess on.
-    fn relieve_load(&self, from: usize) -> Option<Step> {
+    fn relieve_load(&self, from: usize) -> Option<DraftMove> {
         let before = self.load_fullness(from, 0);
-        let worse = |step: &Step| step.filled.max(self.left_behind(from, step.piece));
-        let best = self.steps(from).min_by_key(worse)?;
-        (worse(&best) < before).then_some(best)
+        let worse_fullness = |candidate_move: &DraftMove| {
+            candidate_move
+                .target_fullness
+                .max(self.source_fullness(from, candidate_move.scope))
+        };
+        let best = self.candidate_moves(from).min_by_key(worse_fullness)?;
+        (worse_fullness(&best) < before).then_some(best)
     }
 
     /// Every piece of a seat with the seat that it would fill least.
-    fn steps(&self, from: usize) -> impl Iterator<Item = Step> {
-        let pieces = self.pieces.iter().enumerate();
-        let own = pieces.filter(move |(_, piece)| piece.seat == Some(from) && !piece.moving);
-        own.filter_map(move |(number, piece)| {
-            let targets = (0..self.servers.len()).filter(|seat| *seat != from);
-            let filled = targets.map(|seat| (self.fullness(seat, piece.load, piece.rate), seat));
-            let (filled, seat) = filled.min()?;
-            Some(Step {
-                piece: number,
-                seat,
-                filled,
+    fn candidate_moves(&self, from: usize) -> impl Iterator<Item = DraftMove> {
+        let entries = self.entries.iter().enumerate();
+        let own = entries.filter(move |(_, entry)| entry.server == Some(from) && !entry.is_moving);
+        own.filter_map(move |(index, entry)| {
+            let targets = (0..self.servers.len()).filter(|server| *server != from);
+            let target_fullness =
+                targets.map(|server| (self.fullness(server, entry.load, entry.rate), server));
+            let (target_fullness, server) = target_fullness.min()?;
+            Some(DraftMove {
+                scope: index,
+                server,
+                target_fullness,
             })
         })
     }
 
-    fn left_behind(&self, from: usize, piece: usize) -> u128 {
-        let seat = &self.servers[from];
-        let share = (self.total * u128::from(seat.weight) / self.weights).max(1);
-        u128::from(seat.load - self.pieces[piece].load) * FULL / share
+    fn source_fullness(&self, from: usize, entry: usize) -> u128 {
+        let server = &self.servers[from];
+        let share = (self.total_load * u128::from(server.weight) / self.total_weight).max(1);
+        u128::from(server.load - self.entries[entry].load) * FULL_PERMILLE / share
     }
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -13,9 +13,9 @@
 mod token_bucket;
 
 pub use {
-    hot_keys::{HotChange, HotKeys, HotLimits},
+    hot_keys::{HotKeyChange, HotKeyLimits, HotKeyTracker},
     load::Load,
-    planner::{Planner, PlannerLimits, Proposal, Reason},
-    service_view::{Candidate, ScopeLoad, View, warmth},
-    token_bucket::Budget,
+    planner::{MoveReason, Planner, PlannerLimits, Proposal},
+    service_view::{Candidate, ScopeLoad, ServiceView, warmup_percent},
+    token_bucket::TokenBucket,
 };
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -1,7 +1,7 @@
 //! Which shards should move now.
 
 use {
-    super::{Budget, View, draft::Board},
+    super::{ServiceView, TokenBucket, draft::Draft},
     crate::{id::ServerName, ownership::Scope, time::Time},
     std::time::Duration,
 };
@@ -11,26 +11,26 @@
 pub struct PlannerLimits {
     /// How long an imbalance has to last before anything moves for it; shorter
     /// ones cost more warm state than they are worth.
-    pub hold: Duration,
+    pub imbalance_hold: Duration,
     /// How full a new owner may become by the scopes of a lost one, in permille
     /// of its share.
-    pub bound: u64,
+    pub load_bound_permille: u64,
 }
 
 impl Default for PlannerLimits {
     fn default() -> Self {
         Self {
-            hold: Duration::from_secs(10),
-            bound: 1_100,
+            imbalance_hold: Duration::from_secs(10),
+            load_bound_permille: 1_100,
         }
     }
 }
 
 /// Why a scope should move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum MoveReason {
     /// It has no owner that may keep it.
-    Orphan,
+    Unassigned,
     /// Its owner has had too much work for too long.
     Balance,
 }
@@ -43,16 +43,16 @@
     /// Its next owner.
     pub to: ServerName,
     /// Why.
-    pub reason: Reason,
+    pub reason: MoveReason,
 }
 
 /// Plans the moves of one service.
 #[derive(Debug, Default)]
 pub struct Planner {
     limits: PlannerLimits,
-    budget: Budget,
+    budget: TokenBucket,
     /// Since when the imbalance has lasted.
-    since: Option<Time>,
+    uneven_since: Option<Time>,
 }
 
 impl Planner {
@@ -66,30 +66,30 @@
 
     /// The moves to begin now: all orphans, and for balance as many as the
     /// budget allows once the imbalance has lasted.
-    pub fn plan(&mut self, view: &View, now: Time) -> Vec<Proposal> {
-        let mut board = Board::new(view);
-        if board.is_empty() {
+    pub fn plan(&mut self, view: &ServiceView, now: Time) -> Vec<Proposal> {
+        let mut draft = Draft::new(view);
+        if draft.is_empty() {
             return Vec::new();
         }
-        let mut proposals = board.place_orphans(self.limits.bound);
-        if !self.has_lasted(&board, view, now) {
+        let mut proposals = draft.place_unassigned(self.limits.load_bound_permille);
+        if !self.imbalance_has_lasted(&draft, view, now) {
             return proposals;
         }
-        while let Some(step) = board.next_step(view) {
-            if !self.budget.take(view.moves.minute, now) {
+        while let Some(next) = draft.next_move(view) {
+            if !self.budget.try_take(view.move_budget.minute, now) {
                 break;
             }
-            proposals.push(board.move_piece(step.piece, step.seat, Reason::Balance));
+            proposals.push(draft.move_scope(next.scope, next.server, MoveReason::Balance));
         }
         proposals
     }
 
-    fn has_lasted(&mut self, board: &Board, view: &View, now: Time) -> bool {
-        if !board.is_uneven(view) {
-            self.since = None;
+    fn imbalance_has_lasted(&mut self, draft: &Draft, view: &ServiceView, now: Time) -> bool {
+        if !draft.is_uneven(view) {
+            self.uneven_since = None;
             return false;
         }
-        let since = *self.since.get_or_insert(now);
-        now - since >= self.limits.hold
+        let since = *self.uneven_since.get_or_insert(now);
+        now - since >= self.limits.imbalance_hold
     }
 }
--- a/crates/core/src/placement/rendezvous.rs
+++ b/crates/core/src/placement/rendezvous.rs
@@ -10,7 +10,7 @@
 /// The score of a server depends on nothing but its name, its weight and the
 /// scope, so that a server that leaves gives away its own scopes only, and one
 /// that returns gets the same ones back.
-pub fn score(server: &ServerName, weight: u64, scope: Scope) -> f64 {
+pub fn rendezvous_score(server: &ServerName, weight: u64, scope: Scope) -> f64 {
     let seed = match scope {
         Scope::Shard(shard) => u64::from(shard.0),
         Scope::Key(key) => !key.0,
--- a/crates/core/src/placement/service_view.rs
+++ b/crates/core/src/placement/service_view.rs
@@ -12,9 +12,9 @@
 };
 
 /// How long a cold server takes to get its whole share.
-const WARM_TIME: Duration = Duration::from_secs(60);
+const WARMUP_TIME: Duration = Duration::from_secs(60);
 /// The share that a cold server begins with, in percent of its weight.
-const COLD_SHARE: u64 = 20;
+const COLD_SHARE_PERCENT: u64 = 20;
 
 /// A server that may own shards: reachable, active and not leaving.
 #[derive(Debug, Clone)]
@@ -23,10 +23,10 @@
     pub name: ServerName,
     /// Its share.
     pub weight: Weight,
-    /// How much of its share it may get yet, in percent; see [`warmth`].
-    pub warmth: u64,
+    /// How much of its share it may get yet, in percent; see [`warmup_percent`].
+    pub warmup_percent: u64,
     /// Requests a second it may get.
-    pub cap: Option<u32>,
+    pub rate_cap: Option<u32>,
 }
 
 /// One shard or hot key, and the work it makes.
@@ -41,32 +41,33 @@
     /// Measured requests a second.
     pub rate: u32,
     /// Whether it is changing hands already.
-    pub moving: bool,
+    pub is_moving: bool,
 }
 
 /// One service as it is now. The order of servers and scopes does not matter.
 #[derive(Debug, Clone)]
-pub struct View {
+pub struct ServiceView {
     /// Servers that may own.
     pub servers: Vec<Candidate>,
     /// All shards and hot keys of the service.
     pub scopes: Vec<ScopeLoad>,
     /// How fast shards may move for balance.
-    pub moves: MoveBudget,
+    pub move_budget: MoveBudget,
 }
 
 /// How much of its share a server may get, in percent, so that a cold one is
 /// not flooded.
 ///
 /// ```
-/// use {citron_core::{placement::warmth, time::Time}, std::time::Duration};
+/// use {citron_core::{placement::warmup_percent, time::Time}, std::time::Duration};
 /// let start = Time::ZERO;
-/// assert_eq!(warmth(start, start), 20);
-/// assert_eq!(warmth(start, start + Duration::from_secs(30)), 60);
-/// assert_eq!(warmth(start, start + Duration::from_secs(90)), 100);
+/// assert_eq!(warmup_percent(start, start), 20);
+/// assert_eq!(warmup_percent(start, start + Duration::from_secs(30)), 60);
+/// assert_eq!(warmup_percent(start, start + Duration::from_secs(90)), 100);
 /// ```
-pub fn warmth(start: Time, now: Time) -> u64 {
-    let age = (now - start).min(WARM_TIME);
-    let grown = (100 - COLD_SHARE) * age.as_millis() as u64 / WARM_TIME.as_millis() as u64;
-    COLD_SHARE + grown
+pub fn warmup_percent(start: Time, now: Time) -> u64 {
+    let age = (now - start).min(WARMUP_TIME);
+    let grown =
+        (100 - COLD_SHARE_PERCENT) * age.as_millis() as u64 / WARMUP_TIME.as_millis() as u64;
+    COLD_SHARE_PERCENT + grown
 }
--- a/crates/core/src/registry/address_index.rs
+++ b/crates/core/src/registry/address_index.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn at(&self, address: &SocketAddr) -> &[ServerName] {
+    pub(super) fn names_at(&self, address: &SocketAddr) -> &[ServerName] {
         self.names.get(address).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/core/src/registry/bounds.rs
+++ b/crates/core/src/registry/bounds.rs
@@ -23,10 +23,10 @@
     ///
     /// ```
     /// use {citron_core::registry::SendBounds, std::time::Duration};
-    /// let bounds = SendBounds::within(Duration::from_secs(2), Duration::from_secs(5));
+    /// let bounds = SendBounds::from_limits(Duration::from_secs(2), Duration::from_secs(5));
     /// assert!(bounds.drain < bounds.evacuation);
     /// ```
-    pub fn within(drain: Duration, evacuation: Duration) -> Self {
+    pub fn from_limits(drain: Duration, evacuation: Duration) -> Self {
         Self {
             drain: drain.saturating_sub(DRAIN_MARGIN),
             evacuation: evacuation.saturating_sub(EVACUATION_MARGIN),
--- a/crates/core/src/registry/mod.rs
+++ b/crates/core/src/registry/mod.rs
@@ -10,7 +10,7 @@
 pub use {
     bounds::SendBounds,
     entry::{Evacuation, ServerEntry, ServerState},
-    server_record::{Known, Place},
+    server_record::{AddressClaim, ServerRecord},
     servers::{Registry, ServerList},
     times::RegistryTimes,
 };
--- a/crates/core/src/registry/servers.rs
+++ b/crates/core/src/registry/servers.rs
@@ -1,7 +1,10 @@
 //! The servers known, and those that were.
 
 use {
-    super::{Known, Place, RegistryTimes, ServerEntry, ServerState, address_index::AddressIndex},
+    super::{
+        AddressClaim, RegistryTimes, ServerEntry, ServerRecord, ServerState,
+        address_index::AddressIndex,
+    },
     crate::{
         id::{DomainName, ServerName, ServiceName},
         ranges::{OwnerState, Owners},
@@ -17,10 +20,10 @@
 
 /// How long after the end of an evacuation a server that has become cold may not have
 /// told so: a heartbeat, and the way of the news.
-const COLD_NEWS: Duration = Duration::from_millis(2_000);
+const COLD_REPORT_DELAY: Duration = Duration::from_millis(2_000);
 
 /// The servers of a service in the order of names, shared with those who read them.
-pub type ServerList = Arc<Vec<Arc<Known>>>;
+pub type ServerList = Arc<Vec<Arc<ServerRecord>>>;
 
 /// All servers, by what the store lists.
 ///
@@ -31,22 +34,22 @@
 #[derive(Debug)]
 pub struct Registry {
     times: RegistryTimes,
-    servers: BTreeMap<ServerName, Arc<Known>>,
+    servers: BTreeMap<ServerName, Arc<ServerRecord>>,
     addresses: AddressIndex,
     /// Servers of each service, in the order of names; made anew when one changes.
-    lists: BTreeMap<ServiceName, ServerList>,
+    server_lists: BTreeMap<ServiceName, ServerList>,
     /// When the first server that left is to be forgotten, at the earliest.
-    forget_at: Option<Time>,
+    purge_at: Option<Time>,
     /// Services whose list is out of date.
-    changed: BTreeSet<ServiceName>,
+    changed_services: BTreeSet<ServiceName>,
     /// Entries that were missing when the store came back.
-    missing: BTreeMap<ServerName, Time>,
+    missing_until: BTreeMap<ServerName, Time>,
     /// Until when missing entries are kept.
-    rejoin: Time,
+    rejoin_until: Time,
     /// Failure domains that are evacuated, and since when.
-    evacuated: BTreeMap<DomainName, Time>,
+    evacuated_domains: BTreeMap<DomainName, Time>,
     /// Until when all servers of failure domains that were evacuated count as cold.
-    restored: BTreeMap<DomainName, Time>,
+    cold_domains: BTreeMap<DomainName, Time>,
 }
 
 impl Registry {
@@ -56,134 +59,134 @@
             times,
             servers: BTreeMap::new(),
             addresses: AddressIndex::default(),
-            lists: BTreeMap::new(),
-            forget_at: None,
-            changed: BTreeSet::new(),
-            missing: BTreeMap::new(),
-            rejoin: Time::ZERO,
-            evacuated: BTreeMap::new(),
-            restored: BTreeMap::new(),
+            server_lists: BTreeMap::new(),
+            purge_at: None,
+            changed_services: BTreeSet::new(),
+            missing_until: BTreeMap::new(),
+            rejoin_until: Time::ZERO,
+            evacuated_domains: BTreeMap::new(),
+            cold_domains: BTreeMap::new(),
         }
     }
 
     /// Nothing more may be sent to the servers of a failure domain.
     pub fn evacuate(&mut self, domain: DomainName, now: Time) {
-        let since = *self.evacuated.entry(domain.clone()).or_insert(now);
-        self.update_domain(&domain, |known| known.evacuated = Some(since));
+        let since = *self.evacuated_domains.entry(domain.clone()).or_insert(now);
+        self.update_domain(&domain, |record| record.evacuated_since = Some(since));
     }
 
     /// An evacuation is over. Servers without requests may have become cold, and tell
     /// so with their next heartbeat only: all of them count as cold for `warm_up` and
     /// the time of that news.
-    pub fn restore(&mut self, domain: &DomainName, warm_up: Duration, now: Time) {
-        if self.evacuated.remove(domain).is_none() {
+    pub fn end_evacuation(&mut self, domain: &DomainName, warm_up: Duration, now: Time) {
+        if self.evacuated_domains.remove(domain).is_none() {
             return;
         }
-        let cold = now + warm_up + COLD_NEWS;
-        self.restored.insert(domain.clone(), cold);
-        self.update_domain(domain, |known| {
-            known.evacuated = None;
-            known.cold = known.cold.max(cold);
+        let cold = now + warm_up + COLD_REPORT_DELAY;
+        self.cold_domains.insert(domain.clone(), cold);
+        self.update_domain(domain, |record| {
+            record.evacuated_since = None;
+            record.cold_until = record.cold_until.max(cold);
         });
     }
 
     /// Failure domains that are evacuated, and since when.
-    pub fn evacuated(&self) -> &BTreeMap<DomainName, Time> {
-        &self.evacuated
+    pub fn evacuated_domains(&self) -> &BTreeMap<DomainName, Time> {
+        &self.evacuated_domains
     }
 
-    fn update_domain(&mut self, domain: &DomainName, change: impl Fn(&mut Known)) {
+    fn update_domain(&mut self, domain: &DomainName, change: impl Fn(&mut ServerRecord)) {
         let servers = self.servers.values();
-        let within = servers.filter(|known| known.entry.domain == *domain);
-        let names: Vec<ServerName> = within.map(|known| known.entry.name.clone()).collect();
+        let within = servers.filter(|record| record.entry.domain == *domain);
+        let names: Vec<ServerName> = within.map(|record| record.entry.name.clone()).collect();
         for name in names {
             self.update(&name, &change);
         }
     }
 
     /// Changes what is known of a server.
-    fn update(&mut self, name: &ServerName, change: impl FnOnce(&mut Known)) {
-        let Some(known) = self.servers.get_mut(name) else {
+    fn update(&mut self, name: &ServerName, change: impl FnOnce(&mut ServerRecord)) {
+        let Some(record) = self.servers.get_mut(name) else {
             return;
         };
-        change(Arc::make_mut(known));
-        let (service, left) = (known.entry.service.clone(), known.left);
-        self.note_change(service, left);
+        change(Arc::make_mut(record));
+        let (service, leaving_since) = (record.entry.service.clone(), record.leaving_since);
+        self.mark_changed(service, leaving_since);
     }
 
-    fn insert(&mut self, known: Known) {
-        let (name, address) = (known.entry.name.clone(), known.entry.address);
-        let (service, left) = (known.entry.service.clone(), known.left);
-        let former = self.servers.insert(name.clone(), Arc::new(known));
+    fn insert(&mut self, record: ServerRecord) {
+        let (name, address) = (record.entry.name.clone(), record.entry.address);
+        let (service, leaving_since) = (record.entry.service.clone(), record.leaving_since);
+        let former = self.servers.insert(name.clone(), Arc::new(record));
         if let Some(former) = former {
             if former.entry.address != address {
                 self.addresses.remove(&former.entry.address, &name);
             }
-            self.changed.insert(former.entry.service.clone());
+            self.changed_services.insert(former.entry.service.clone());
         }
         self.addresses.insert(address, &name);
-        self.note_change(service, left);
+        self.mark_changed(service, leaving_since);
     }
 
     /// A server of a service has changed, and left at a moment if it has.
-    fn note_change(&mut self, service: ServiceName, left: Option<Time>) {
-        self.changed.insert(service);
-        let forget_at = left.map(|left| left + self.times.memory);
-        self.forget_at = [self.forget_at, forget_at].into_iter().flatten().min();
+    fn mark_changed(&mut self, service: ServiceName, leaving_since: Option<Time>) {
+        self.changed_services.insert(service);
+        let purge_at = leaving_since.map(|since| since + self.times.retention);
+        self.purge_at = [self.purge_at, purge_at].into_iter().flatten().min();
     }
 
     /// The servers of each service.
-    pub fn lists(&mut self) -> &BTreeMap<ServiceName, ServerList> {
-        for service in std::mem::take(&mut self.changed) {
+    pub fn server_lists(&mut self) -> &BTreeMap<ServiceName, ServerList> {
+        for service in std::mem::take(&mut self.changed_services) {
             let servers = self.servers.values();
-            let listed = servers.filter(|known| known.entry.service == service);
-            let listed: Vec<Arc<Known>> = listed.cloned().collect();
+            let listed = servers.filter(|record| record.entry.service == service);
+            let listed: Vec<Arc<ServerRecord>> = listed.cloned().collect();
             if listed.is_empty() {
-                self.lists.remove(&service);
+                self.server_lists.remove(&service);
             } else {
-                self.lists.insert(service, Arc::new(listed));
+                self.server_lists.insert(service, Arc::new(listed));
             }
         }
-        &self.lists
+        &self.server_lists
     }
 
     /// The servers that were listed at an address.
-    pub fn at(&self, address: &SocketAddr) -> impl Iterator<Item = &Known> {
-        let names = self.addresses.at(address).iter();
+    pub fn servers_at(&self, address: &SocketAddr) -> impl Iterator<Item = &ServerRecord> {
+        let names = self.addresses.names_at(address).iter();
         names.filter_map(|name| self.get(name))
     }
 
     /// The store answers again after a failure.
-    pub fn store_back(&mut self, now: Time) {
-        self.rejoin = now + self.times.rejoin;
+    pub fn on_store_recovered(&mut self, now: Time) {
+        self.rejoin_until = now + self.times.rejoin;
     }
 
     /// A server wrote its entry. One that is older than a start known under its
     /// id comes late, or from somewhere else, and changes nothing.
-    pub fn listed(&mut self, entry: ServerEntry, now: Time) {
+    pub fn apply_entry(&mut self, entry: ServerEntry, now: Time) {
         let name = entry.name.clone();
-        let newer = |known: &Known| starts_after(&known.entry, &entry) == Some(true);
-        if self.with_id(name.id()).any(newer) {
+        let newer = |record: &ServerRecord| started_later(&record.entry, &entry) == Some(true);
+        if self.servers_with_id(name.id()).any(newer) {
             return;
         }
-        self.missing.remove(&name);
-        let place = self.displace(&entry, now);
-        let known = self.servers.get(&name);
-        let left = known.and_then(|known| known.left);
-        let left = match (entry.state, place) {
-            (ServerState::Ready, Place::Own) => None,
-            _ => Some(left.unwrap_or(now)),
+        self.missing_until.remove(&name);
+        let address_claim = self.resolve_conflicts(&entry, now);
+        let record = self.servers.get(&name);
+        let leaving_since = record.and_then(|record| record.leaving_since);
+        let leaving_since = match (entry.state, address_claim) {
+            (ServerState::Ready, AddressClaim::Exclusive) => None,
+            _ => Some(leaving_since.unwrap_or(now)),
         };
-        let seen = known.map_or(now, |known| known.seen);
-        let told = now + entry.warm_up;
-        let restored = self.restored.get(&entry.domain).copied();
-        let evacuated = self.evacuated.get(&entry.domain).copied();
-        self.insert(Known {
-            left,
-            seen,
-            cold: told.max(restored.unwrap_or_default()),
-            evacuated,
-            place,
+        let first_seen = record.map_or(now, |record| record.first_seen);
+        let reported = now + entry.warm_up;
+        let cold_until = self.cold_domains.get(&entry.domain).copied();
+        let evacuated_since = self.evacuated_domains.get(&entry.domain).copied();
+        self.insert(ServerRecord {
+            leaving_since,
+            first_seen,
+            cold_until: reported.max(cold_until.unwrap_or_default()),
+            evacuated_since,
+            address_claim,
             entry,
         });
     }
@@ -198,56 +201,65 @@
     /// them. Only the moments of the starts prove it; without them the one heard
     /// of first is not used any more, and what it holds waits as for any server
     /// that does not answer.
-    fn displace(&mut self, entry: &ServerEntry, now: Time) -> Place {
-        let seen = self.servers.get(&entry.name).map_or(now, |own| own.seen);
-        let mut place = Place::Own;
-        for name in self.rivals(entry) {
+    fn resolve_conflicts(&mut self, entry: &ServerEntry, now: Time) -> AddressClaim {
+        let first_seen = self
+            .servers
+            .get(&entry.name)
+            .map_or(now, |own| own.first_seen);
+        let mut address_claim = AddressClaim::Exclusive;
+        for name in self.conflicting_servers(entry) {
             let Some(other) = self.servers.get(&name) else {
                 continue;
             };
-            match starts_after(entry, &other.entry) {
-                Some(true) => self.update(&name, |other| other.displaced(Place::Passed, now)),
-                Some(false) => place = Place::Passed,
-                None if other.seen <= seen => {
-                    self.update(&name, |other| other.displaced(Place::Disputed, now));
+            match started_later(entry, &other.entry) {
+                Some(true) => self.update(&name, |other| {
+                    other.mark_address_conflict(AddressClaim::Superseded, now)
+                }),
+                Some(false) => address_claim = AddressClaim::Superseded,
+                None if other.first_seen <= first_seen => {
+                    self.update(&name, |other| {
+                        other.mark_address_conflict(AddressClaim::Disputed, now)
+                    });
+                }
+                None if address_claim == AddressClaim::Exclusive && other.is_listed() => {
+                    address_claim = AddressClaim::Disputed
                 }
-                None if place == Place::Own && other.is_listed() => place = Place::Disputed,
                 None => {}
             }
         }
-        place
+        address_claim
     }
 
     /// Other starts with the id or the address of an entry.
-    fn rivals(&self, entry: &ServerEntry) -> BTreeSet<ServerName> {
-        let same_id = self.with_id(entry.name.id());
-        let same_id = same_id.map(|known| &known.entry.name);
-        let same_address = self.addresses.at(&entry.address).iter();
-        let rivals = same_id.chain(same_address);
-        rivals
+    fn conflicting_servers(&self, entry: &ServerEntry) -> BTreeSet<ServerName> {
+        let same_id = self.servers_with_id(entry.name.id());
+        let same_id = same_id.map(|record| &record.entry.name);
+        let same_address = self.addresses.names_at(&entry.address).iter();
+        let conflicting_servers = same_id.chain(same_address);
+        conflicting_servers
             .filter(|name| **name != entry.name)
             .cloned()
             .collect()
     }
 
-    fn with_id<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a Known> {
+    fn servers_with_id<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a ServerRecord> {
         let first = id.parse::<ServerName>().ok();
         let starts = first.map(|first| self.servers.range(first..));
-        let starts = starts.into_iter().flatten().map(|(_, known)| &**known);
-        starts.take_while(move |known| known.entry.name.id() == id)
+        let starts = starts.into_iter().flatten().map(|(_, record)| &**record);
+        starts.take_while(move |record| record.entry.name.id() == id)
     }
 
     /// The entry under a server's id vanished; how much longer it counts all the same.
-    pub fn removed(&mut self, id: &str, now: Time) -> Duration {
-        let missing = now < self.rejoin;
-        for name in self.listed_starts(id) {
-            if missing {
-                self.missing.insert(name, self.rejoin);
+    pub fn remove_entry(&mut self, id: &str, now: Time) -> Duration {
+        let is_rejoining = now < self.rejoin_until;
+        for name in self.listed_names(id) {
+            if is_rejoining {
+                self.missing_until.insert(name, self.rejoin_until);
             } else {
-                self.update(&name, |known| known.left = Some(now));
+                self.update(&name, |record| record.leaving_since = Some(now));
             }
         }
-        self.rejoin - now
+        self.rejoin_until - now
     }
 
     /// The entry under a server's id cannot be read. It names no server to use,
@@ -255,29 +267,31 @@
     /// may have overwritten the entry, and the server's next heartbeat mends it.
     /// Until then it counts as one that rejoins; taken for gone at once, it would
     /// lose its keys and each request on them its place.
-    pub fn unreadable(&mut self, id: &str, now: Time) {
-        for name in self.listed_starts(id) {
-            self.missing.entry(name).or_insert(now + self.times.rejoin);
+    pub fn mark_unreadable(&mut self, id: &str, now: Time) {
+        for name in self.listed_names(id) {
+            self.missing_until
+                .entry(name)
+                .or_insert(now + self.times.rejoin);
         }
     }
 
-    fn listed_starts(&self, id: &str) -> Vec<ServerName> {
-        let listed = self.with_id(id).filter(|known| known.is_listed());
-        listed.map(|known| known.entry.name.clone()).collect()
+    fn listed_names(&self, id: &str) -> Vec<ServerName> {
+        let listed = self.servers_with_id(id).filter(|record| record.is_listed());
+        listed.map(|record| record.entry.name.clone()).collect()
     }
 
     /// The whole list was read: what is not in it has vanished.
-    pub fn replaced(&mut self, entries: Vec<ServerEntry>, now: Time) {
+    pub fn replace_all(&mut self, entries: Vec<ServerEntry>, now: Time) {
         let listed = entries.iter().map(|entry| entry.name.id().to_string());
         let listed: BTreeSet<String> = listed.collect();
         for entry in entries {
-            self.listed(entry, now);
+            self.apply_entry(entry, now);
         }
-        let ready = self.servers.values().filter(|known| known.is_listed());
-        let ids = ready.map(|known| known.entry.name.id().to_string());
+        let ready = self.servers.values().filter(|record| record.is_listed());
+        let ids = ready.map(|record| record.entry.name.id().to_string());
         let vanished: Vec<String> = ids.filter(|id| !listed.contains(id)).collect();
         for id in vanished {
-            self.removed(&id, now);
+            self.remove_entry(&id, now);
         }
     }
 
@@ -285,55 +299,55 @@
     pub fn tick(&mut self, now: Time) -> bool {
         let due = |until: &Time| *until <= now;
         let gone: Vec<ServerName> = self
-            .missing
+            .missing_until
             .iter()
             .filter(|(_, until)| due(until))
             .map(|(name, _)| name.clone())
             .collect();
         for name in &gone {
-            self.missing.remove(name);
-            self.update(name, |known| {
-                known.left.get_or_insert(now);
+            self.missing_until.remove(name);
+            self.update(name, |record| {
+                record.leaving_since.get_or_insert(now);
             });
         }
-        self.restored.retain(|_, cold| *cold > now);
-        let forgotten = self.forget(now);
-        !gone.is_empty() || forgotten
+        self.cold_domains.retain(|_, cold| *cold > now);
+        let purged = self.purge(now);
+        !gone.is_empty() || purged
     }
 
     /// Forgets servers that left long ago; whether there were any.
-    fn forget(&mut self, now: Time) -> bool {
-        if self.forget_at.is_none_or(|first| now < first) {
+    fn purge(&mut self, now: Time) -> bool {
+        if self.purge_at.is_none_or(|first| now < first) {
             return false;
         }
-        let memory = self.times.memory;
-        let ends = |known: &Arc<Known>| known.left.map(|left| left + memory);
-        let is_over = |known: &&Arc<Known>| ends(known).is_some_and(|end| end <= now);
-        let over: Vec<Arc<Known>> = self.servers.values().filter(is_over).cloned().collect();
-        for known in &over {
-            let entry = &known.entry;
+        let retention = self.times.retention;
+        let ends = |record: &Arc<ServerRecord>| record.leaving_since.map(|left| left + retention);
+        let is_over = |record: &&Arc<ServerRecord>| ends(record).is_some_and(|end| end <= now);
+        let over: Vec<Arc<ServerRecord>> = self.servers.values().filter(is_over).cloned().collect();
+        for record in &over {
+            let entry = &record.entry;
             self.servers.remove(&entry.name);
             self.addresses.remove(&entry.address, &entry.name);
-            self.changed.insert(entry.service.clone());
+            self.changed_services.insert(entry.service.clone());
         }
-        self.forget_at = self.servers.values().filter_map(ends).min();
+        self.purge_at = self.servers.values().filter_map(ends).min();
         !over.is_empty()
     }
 
     /// One server.
-    pub fn get(&self, name: &ServerName) -> Option<&Known> {
-        self.servers.get(name).map(|known| &**known)
+    pub fn get(&self, name: &ServerName) -> Option<&ServerRecord> {
+        self.servers.get(name).map(|record| &**record)
     }
 
     /// All servers, also those that left a short while ago.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
-        self.servers.values().map(|known| &**known)
+    pub fn iter(&self) -> impl Iterator<Item = &ServerRecord> {
+        self.servers.values().map(|record| &**record)
     }
 }
 
 /// Whether one of two starts that cannot both live, as they have an id or an
 /// address in common, is the later one; `None` if their entries do not tell.
-fn starts_after(one: &ServerEntry, other: &ServerEntry) -> Option<bool> {
+fn started_later(one: &ServerEntry, other: &ServerEntry) -> Option<bool> {
     let (one, other) = (&one.name, &other.name);
     match (one.born(), other.born()) {
         (Some(a), Some(b)) if a != b => Some(a > b),
@@ -347,8 +361,8 @@
     fn state(&self, server: &ServerName) -> OwnerState {
         match self.servers.get(server) {
             None => OwnerState::Leaving,
-            Some(known) if known.place == Place::Passed => OwnerState::Ended,
-            Some(known) if known.is_open() => OwnerState::Serving,
+            Some(record) if record.address_claim == AddressClaim::Superseded => OwnerState::Ended,
+            Some(record) if record.is_available() => OwnerState::Serving,
             Some(_) => OwnerState::Leaving,
         }
     }
--- a/crates/core/src/registry/times.rs
+++ b/crates/core/src/registry/times.rs
@@ -13,14 +13,14 @@
     pub rejoin: Duration,
     /// How long a server that left is remembered, so that its late answers and
     /// the keys it held can be told from those of a server never heard of.
-    pub memory: Duration,
+    pub retention: Duration,
 }
 
 impl RegistryTimes {
     /// The defaults; see the fields.
     pub const STANDARD: Self = Self {
         rejoin: Duration::from_millis(2_200),
-        memory: Duration::from_secs(60),
+        retention: Duration::from_secs(60),
     };
 
     /// The defaults for servers that may get requests for `drain` after the news
--- a/crates/core/src/routing/map.rs
+++ b/crates/core/src/routing/map.rs
@@ -39,7 +39,7 @@
         Self {
             server,
             epoch: assignment.epoch,
-            open: assignment.is_open(),
+            open: assignment.is_routable(),
         }
     }
 }
--- a/crates/core/src/routing/snapshot.rs
+++ b/crates/core/src/routing/snapshot.rs
@@ -2,7 +2,7 @@
 
 use {
     super::RouteMap,
-    crate::{id::DomainName, membership::Confirmation},
+    crate::{id::DomainName, membership::RoutingLease},
     std::sync::Arc,
 };
 
@@ -12,7 +12,7 @@
     /// Where keys go.
     pub map: Arc<RouteMap>,
     /// Until when the map may be used.
-    pub confirmation: Confirmation,
+    pub confirmation: RoutingLease,
     /// The instance's own failure domain.
     pub domain: DomainName,
 }
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -10,9 +10,14 @@
     },
     citron_core::{
         id::{Revision, ServerName, ShardId},
-        membership::{Member, Roster},
-        ownership::{MoveEvent, Mover, Phase, Rules, Scope, Spans, assignment, begin_move},
-        placement::{Candidate, HotChange, HotKeys, Load, Planner, ScopeLoad, View, warmth},
+        membership::{Member, Membership},
+        ownership::{
+            LeaseDurations, MoveEvent, Mover, Phase, ProtocolRules, Scope, assignment, begin_move,
+        },
+        placement::{
+            Candidate, HotKeyChange, HotKeyTracker, Load, Planner, ScopeLoad, ServiceView,
+            warmup_percent,
+        },
         table::{Row, RowKey, ServerRow, ServerState, Table},
         time::Time,
     },
@@ -25,12 +30,12 @@
 /// An instance that the platform lists no more is expelled after so long.
 const EXPEL_AFTER: Duration = Duration::from_secs(10);
 
-pub struct Driver<R: Rules> {
+pub struct Driver<R: ProtocolRules> {
     pub leader: usize,
     pub moved: usize,
-    roster: Roster<R>,
+    roster: Membership<R>,
     planner: Planner,
-    hot: HotKeys,
+    hot: HotKeyTracker,
     /// The servers of the last plan, and when it was made.
     planned: (Vec<usize>, Time),
     /// The table whose releases have been taken up.
@@ -38,14 +43,14 @@
     tasks: BTreeMap<Scope, Task<R>>,
 }
 
-impl<R: Rules> Driver<R> {
+impl<R: ProtocolRules> Driver<R> {
     pub fn new(leader: usize) -> Self {
         Self {
             leader,
             moved: 0,
-            roster: Roster::new(Spans::default()),
+            roster: Membership::new(LeaseDurations::default()),
             planner: Planner::default(),
-            hot: HotKeys::default(),
+            hot: HotKeyTracker::default(),
             planned: (Vec::new(), Time::ZERO),
             known: Revision(0),
             tasks: BTreeMap::new(),
@@ -69,16 +74,16 @@
     }
 
     fn expel(&mut self, net: &Net, head: &mut Rc<Table>, now: Time) {
-        self.roster.see(head, now);
+        self.roster.observe(head, now);
         let late = net.since.is_some_and(|since| since >= EXPEL_AFTER);
         for member in members(head) {
             let gone = late && !net.instance_up(number(member.instance.as_str()));
-            let expel = Roster::<R>::expel(head, &member);
+            let expel = Membership::<R>::expel(head, &member);
             if let Some(expel) = expel.filter(|_| gone) {
                 commit(head, expel);
             }
         }
-        for strike in self.roster.clear(head, now) {
+        for strike in self.roster.remove_expelled(head, now) {
             commit(head, strike);
         }
     }
@@ -104,10 +109,10 @@
         let watched = [(keys.hot, Load(keys.heat), is_out(head, keys))];
         let loads = loads(head, keys);
         let mean = loads.values().sum::<u64>() / loads.len() as u64;
-        let changes = self.hot.step(&watched, Load(mean), now);
+        let changes = self.hot.update(&watched, Load(mean), now);
         let emptiest = loads.iter().min_by_key(|(_, load)| **load);
         for change in changes {
-            if let (HotChange::Out(key), Some((to, _))) = (change, emptiest) {
+            if let (HotKeyChange::Extract(key), Some((to, _))) = (change, emptiest) {
                 // Refused while its shard moves; then it is tried again.
                 let begun = begin_move(head, &service(), Scope::Key(key), to);
                 if let Ok(begun) = begun {
@@ -128,7 +133,7 @@
         let leader = self.leader;
         for task in self.tasks.values_mut() {
             let acks = task.acks(trial, net, leader, routers, now);
-            let due = task.mover.wakes_at().is_some_and(|wake| now >= wake);
+            let due = task.mover.next_wakeup().is_some_and(|wake| now >= wake);
             let tick = due.then_some(MoveEvent::Tick);
             let events = task.reply.take().into_iter().chain(tick);
             let events: Vec<MoveEvent> = events.chain(acks).collect();
@@ -149,8 +154,8 @@
             if self.tasks.contains_key(&scope) {
                 continue;
             }
-            let spans = Spans::default();
-            let taken = Mover::<R>::take_up(head, &service(), scope, spans, now);
+            let spans = LeaseDurations::default();
+            let taken = Mover::<R>::resume(head, &service(), scope, spans, now);
             let since = assignment(head, &service(), scope).unwrap().version;
             let (mover, actions) = taken.unwrap();
             let mut task = Task::new(mover, (owner, since), now);
@@ -162,7 +167,7 @@
 
 fn members(table: &Table) -> Vec<Member> {
     let members = table.rows().filter_map(|(_, row)| match &row.value {
-        Row::Instance(row) => Some(Member::of(row)),
+        Row::Instance(row) => Some(Member::from_row(row)),
         _ => None,
     });
     members.collect()
@@ -215,16 +220,16 @@
     active(table).filter(move |row| !leader.misses(number(row.name.id()), now))
 }
 
-fn view(leader: &Router, keys: &Keys, table: &Table, now: Time) -> View {
+fn view(leader: &Router, keys: &Keys, table: &Table, now: Time) -> ServiceView {
     let usable = usable(leader, table, now);
     let servers = usable.map(|row| Candidate {
         name: row.name.clone(),
         weight: row.weight,
-        warmth: match number(row.name.id()) {
-            SERVERS => warmth(Time::ZERO + FAULT, now),
+        warmup_percent: match number(row.name.id()) {
+            SERVERS => warmup_percent(Time::ZERO + FAULT, now),
             _ => 100,
         },
-        cap: None,
+        rate_cap: None,
     });
     let scopes = keys.scopes(is_out(table, keys)).into_iter();
     let scopes = scopes.map(|(scope, load)| {
@@ -234,17 +239,17 @@
             owner: found.as_ref().map(|found| found.owner.clone()),
             load: Load(load),
             rate: 0,
-            moving: found.is_some_and(|found| !found.is_open()),
+            is_moving: found.is_some_and(|found| !found.is_routable()),
         }
     });
     let row = table.get(&RowKey::Service(service()));
     let Some(Row::Service(row)) = row.map(|found| &found.value) else {
         panic!("the service has a row");
     };
-    View {
+    ServiceView {
         servers: servers.collect(),
         scopes: scopes.collect(),
-        moves: row.moves,
+        move_budget: row.moves,
     }
 }
 
--- a/crates/core/tests/alternatives/main.rs
+++ b/crates/core/tests/alternatives/main.rs
@@ -14,7 +14,7 @@
 mod world;
 
 use {
-    citron_core::ownership::{Rules, Strict},
+    citron_core::ownership::{ProductionRules, ProtocolRules},
     modulo::Modulo,
     scenario::Scenario,
     stats::Stats,
@@ -50,7 +50,7 @@
 fn run(trial: Trial) -> Stats {
     match trial.way {
         Way::Modulo => Modulo::run(trial),
-        _ => World::run::<Strict>(trial),
+        _ => World::run::<ProductionRules>(trial),
     }
 }
 
@@ -103,7 +103,7 @@
 fn a_mover_that_does_not_wait_makes_two_owners() {
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
     struct Hasty;
-    impl Rules for Hasty {
+    impl ProtocolRules for Hasty {
         fn skips_wait() -> bool {
             true
         }
@@ -128,6 +128,6 @@
         grace: Duration::from_secs(30),
         lone,
     };
-    assert_eq!(World::run::<Strict>(trial(false)).overlaps(), 0);
-    assert!(World::run::<Strict>(trial(true)).overlaps() > 0);
+    assert_eq!(World::run::<ProductionRules>(trial(false)).overlaps(), 0);
+    assert!(World::run::<ProductionRules>(trial(true)).overlaps() > 0);
 }
--- a/crates/core/tests/alternatives/router.rs
+++ b/crates/core/tests/alternatives/router.rs
@@ -8,8 +8,8 @@
     },
     citron_core::{
         id::{KeyHash, Revision, ShardId},
-        membership::{Confirmation, Member, Roster},
-        ownership::{Rules, Scope, Spans, assignment},
+        membership::{Member, Membership, RoutingLease},
+        ownership::{LeaseDurations, ProtocolRules, Scope, assignment},
         table::{InstanceRow, Row, RowKey, Table},
         time::Time,
     },
@@ -32,7 +32,7 @@
 pub struct Router {
     pub instance: usize,
     pub table: Rc<Table>,
-    pub leave: Confirmation,
+    pub leave: RoutingLease,
     /// The revision that others have heard of.
     pub acked: Revision,
     /// Asked to acknowledge, so that it reads at once.
@@ -49,7 +49,7 @@
         Self {
             instance,
             table: Rc::clone(table),
-            leave: Confirmation::default(),
+            leave: RoutingLease::default(),
             acked: Revision(0),
             asked: false,
             seen: vec![Time::ZERO; SERVERS + 1],
@@ -66,11 +66,11 @@
             return;
         };
         // The answer is a step old; the confirmation counts from the begin.
-        let mut read = Confirmation::of_read(begun, begun, Spans::default());
+        let mut read = RoutingLease::from_read(begun, begun, LeaseDurations::default());
         if way == Way::Majority {
-            read.domain = Time::ZERO;
+            read.own_domain_until = Time::ZERO;
         }
-        self.leave = self.leave.later(read);
+        self.leave = self.leave.merge(read);
         let table = table.unwrap();
         if table.revision() > self.table.revision() || self.map[0].is_none() {
             self.table = table;
@@ -86,8 +86,8 @@
             && !newer
             && votes > most / 2
         {
-            let end = read.begun + Spans::default().confirm;
-            self.leave.domain = self.leave.domain.max(end);
+            let end = read.begun + LeaseDurations::default().routing;
+            self.leave.own_domain_until = self.leave.own_domain_until.max(end);
         }
     }
 
@@ -147,17 +147,17 @@
     }
 
     /// Its own row, while the table that it knows lists it.
-    pub fn is_listed<R: Rules>(&self) -> bool {
+    pub fn is_listed<R: ProtocolRules>(&self) -> bool {
         let key = RowKey::Instance(format!("instance-{}", self.instance).parse().unwrap());
         let row: Option<&InstanceRow> = match self.table.get(&key).map(|found| &found.value) {
             Some(Row::Instance(row)) => Some(row),
             _ => None,
         };
-        row.is_some_and(|row| Roster::<R>::is_listed(&self.table, &Member::of(row)))
+        row.is_some_and(|row| Membership::<R>::is_listed(&self.table, &Member::from_row(row)))
     }
 }
 
 fn open_owner(table: &Table, scope: Scope) -> Option<usize> {
     let found = assignment(table, &service(), scope)?.value;
-    found.is_open().then(|| number(found.owner.id()))
+    found.is_routable().then(|| number(found.owner.id()))
 }
--- a/crates/core/tests/alternatives/task.rs
+++ b/crates/core/tests/alternatives/task.rs
@@ -9,7 +9,7 @@
     },
     citron_core::{
         id::Revision,
-        ownership::{Ack, MoveAction, MoveEvent, Mover, Rules, Spans},
+        ownership::{Ack, LeaseDurations, MoveAction, MoveEvent, Mover, ProtocolRules},
         table::Table,
         time::Time,
     },
@@ -17,7 +17,7 @@
 };
 
 /// A move under way.
-pub struct Task<R: Rules> {
+pub struct Task<R: ProtocolRules> {
     pub mover: Mover<R>,
     /// The old owner.
     owner: usize,
@@ -29,7 +29,7 @@
     pub reply: Option<MoveEvent>,
 }
 
-impl<R: Rules> Task<R> {
+impl<R: ProtocolRules> Task<R> {
     pub fn new(mover: Mover<R>, (owner, since): (usize, Revision), seen: Time) -> Self {
         Self {
             mover,
@@ -50,7 +50,7 @@
         routers: &[Router],
         now: Time,
     ) -> Vec<MoveEvent> {
-        let missing = self.mover.missing();
+        let missing = self.mover.unacknowledged();
         let free = trial.way == Way::Majority && self.is_free(routers, net, leader, now);
         let acks = missing.into_iter().filter_map(|member| {
             let router = &routers[number(member.instance.as_str())];
@@ -84,7 +84,7 @@
         if acked.count() > confirmers.len() / 2 {
             self.majority.get_or_insert(now);
         }
-        let wait = R::wait(Spans::default().confirm) + DEADLINE;
+        let wait = R::add_clock_margin(LeaseDurations::default().routing) + DEADLINE;
         let end = self.majority.map(|at| at.max(self.seen) + wait);
         end.is_some_and(|end| now >= end)
     }
@@ -99,7 +99,7 @@
         let mut done = 0;
         for action in actions {
             match action {
-                MoveAction::AskAck { instance, .. } => {
+                MoveAction::RequestAck { instance, .. } => {
                     routers[number(instance.as_str())].asked = true;
                 }
                 MoveAction::Commit(last) => {
--- a/crates/core/tests/alternatives/world.rs
+++ b/crates/core/tests/alternatives/world.rs
@@ -9,7 +9,7 @@
         stats::{Routes, Stats},
         ways::{Trial, Way},
     },
-    citron_core::{ownership::Rules, table::Table, time::Time},
+    citron_core::{ownership::ProtocolRules, table::Table, time::Time},
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
     std::{rc::Rc, time::Duration},
@@ -58,7 +58,7 @@
         }
     }
 
-    pub fn run<R: Rules>(trial: Trial) -> Stats {
+    pub fn run<R: ProtocolRules>(trial: Trial) -> Stats {
         let mut world = Self::new(trial);
         let mut driver = Driver::<R>::new(0);
         let mut stats = Stats::new();
@@ -129,9 +129,9 @@
         }
     }
 
-    fn lead<R: Rules>(&mut self, net: &Net, driver: &mut Driver<R>) {
+    fn lead<R: ProtocolRules>(&mut self, net: &Net, driver: &mut Driver<R>) {
         let mut able = self.routers.iter().filter(|router| {
-            let fresh = self.now - router.leave.platform <= LEAD_FOR;
+            let fresh = self.now - router.leave.read_started <= LEAD_FOR;
             let runs = net.instance_up(router.instance) && net.platform(router.instance);
             runs && fresh && router.is_listed::<R>()
         });
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -7,7 +7,7 @@
             choose, run_share,
         },
         id::{ServerName, Slots},
-        registry::{Known, Place, ServerEntry, ServerState},
+        registry::{AddressClaim, ServerEntry, ServerRecord, ServerState},
         time::Time,
     },
     std::time::Duration,
@@ -15,8 +15,8 @@
 
 const NOW: Time = Time::from_micros(60_000_000);
 
-fn known(name: &str) -> Known {
-    Known {
+fn known(name: &str) -> ServerRecord {
+    ServerRecord {
         entry: ServerEntry {
             name: name.parse().unwrap(),
             service: "balances".parse().unwrap(),
@@ -26,11 +26,11 @@
             state: ServerState::Ready,
             warm_up: Duration::ZERO,
         },
-        left: None,
-        seen: Time::ZERO,
-        cold: Time::ZERO,
-        evacuated: None,
-        place: Place::Own,
+        leaving_since: None,
+        first_seen: Time::ZERO,
+        cold_until: Time::ZERO,
+        evacuated_since: None,
+        address_claim: AddressClaim::Exclusive,
     }
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-fn pick(book: &LoadBook, servers: &[Known], limits: TimeLimits) -> Decision {
+fn pick(book: &LoadBook, servers: &[ServerRecord], limits: TimeLimits) -> Decision {
     let candidates = servers.iter().map(|server| Candidate {
         server,
         same_domain: true,
--- a/crates/core/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -43,7 +43,7 @@
 
 fn registry(servers: usize) -> Registry {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
-    (0..servers).for_each(|number| registry.listed(entry(number), at(0)));
+    (0..servers).for_each(|number| registry.apply_entry(entry(number), at(0)));
     registry
 }
 
@@ -52,7 +52,7 @@
     let mut registry = registry(servers);
     let tries = (0..5).map(|_| {
         let begun = Instant::now();
-        (0..200).for_each(|number| registry.listed(entry(number * 5), at(10)));
+        (0..200).for_each(|number| registry.apply_entry(entry(number * 5), at(10)));
         begun.elapsed()
     });
     tries.min().unwrap()
@@ -70,10 +70,10 @@
 fn lists_share_what_has_not_changed() {
     let changed = |servers: usize| {
         let mut registry = registry(servers);
-        registry.lists();
-        registry.listed(entry(7), at(10));
+        registry.server_lists();
+        registry.apply_entry(entry(7), at(10));
         allocations(|| {
-            registry.lists();
+            registry.server_lists();
         })
     };
     assert!(changed(8_000) <= changed(1_000) + 8, "{}", changed(8_000));
@@ -96,7 +96,7 @@
                 service,
                 ..entry(number)
             };
-            registry.listed(entry, at(0));
+            registry.apply_entry(entry, at(0));
         }
         let book = LeaseBook::new(LeaseTimes::STANDARD, at(0));
         let mut planner = Self {
--- a/crates/core/tests/model/actors.rs
+++ b/crates/core/tests/model/actors.rs
@@ -2,13 +2,15 @@
 
 use {
     super::{
-        setup::{SPANS, START, time},
-        tables::{INSTANCES, TableId, WriteId},
+        setup::{DURATIONS, START_TICK, time},
+        tables::{CommitId, INSTANCES, TableId},
     },
     citron_core::{
         id::{Epoch, Incarnation},
-        membership::{Confirmation, Member, Relays, Roster},
-        ownership::{Boot, GrantKind, GrantReply, GrantResult, Granter, Mover, Order, Rules},
+        membership::{Member, Membership, RelayedLeases, RoutingLease},
+        ownership::{
+            BootId, GrantKind, GrantOrder, GrantReply, GrantResult, Granter, Mover, ProtocolRules,
+        },
         time::Time,
     },
     std::time::Duration,
@@ -16,7 +18,7 @@
 
 /// One process of an instance. It forgets everything when it ends.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Proc<R: Rules> {
+pub struct Process<R: ProtocolRules> {
     /// Its instance's number.
     pub number: usize,
     /// Its incarnation.
@@ -24,32 +26,32 @@
     /// Its copy of the table; `None` before the first.
     pub table: Option<TableId>,
     /// Its leave to route.
-    pub leave: Confirmation,
+    pub lease: RoutingLease,
     /// A read of the platform on its way back: when it was begun, what it found.
-    pub read: Option<(Time, TableId)>,
+    pub pending_read: Option<(Time, TableId)>,
     /// When it last asked another for leave.
-    pub asked: Option<Time>,
+    pub lease_asked_at: Option<Time>,
     /// What it gave to unlisted starts.
-    pub relays: Relays<R>,
+    pub relayed_leases: RelayedLeases<R>,
     /// Its orders to the first owner.
     pub granter: Granter<R>,
     /// Its view of expulsions.
-    pub roster: Roster<R>,
+    pub membership: Membership<R>,
 }
 
-impl<R: Rules> Proc<R> {
+impl<R: ProtocolRules> Process<R> {
     /// A process that has just started.
     pub fn new(number: usize, incarnation: u64) -> Self {
         Self {
             number,
             incarnation,
             table: None,
-            leave: Confirmation::default(),
-            read: None,
-            asked: None,
-            relays: Relays::new(SPANS),
-            granter: Granter::new(SPANS),
-            roster: Roster::new(SPANS),
+            lease: RoutingLease::default(),
+            pending_read: None,
+            lease_asked_at: None,
+            relayed_leases: RelayedLeases::new(DURATIONS),
+            granter: Granter::new(DURATIONS),
+            membership: Membership::new(DURATIONS),
         }
     }
 
@@ -67,31 +69,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Server {
     /// Its start.
-    pub boot: Boot,
+    pub boot: BootId,
     /// The end of its lease, on its own clock.
-    pub until: Duration,
+    pub lease_end: Duration,
     /// The highest epoch seen, and whether it was granted or revoked.
-    pub held: Option<(Epoch, GrantKind)>,
+    pub last_grant: Option<(Epoch, GrantKind)>,
 }
 
 impl Server {
     /// A start that holds nothing.
     pub fn new(boot: u64) -> Self {
         Self {
-            boot: Boot(boot),
-            until: Duration::ZERO,
-            held: None,
+            boot: BootId(boot),
+            lease_end: Duration::ZERO,
+            last_grant: None,
         }
     }
 
     /// Takes an order at its own clock.
-    pub fn take(&mut self, order: &Order, clock: Duration) -> GrantReply {
+    pub fn apply_order(&mut self, order: &GrantOrder, clock: Duration) -> GrantReply {
         if order.boot == Some(self.boot) {
             for grant in &order.grants {
-                self.take_grant(grant.epoch, grant.kind);
+                self.apply_grant(grant.epoch, grant.kind);
             }
             let until = order.lease.map_or(Duration::ZERO, |lease| lease.until);
-            self.until = self.until.max(until);
+            self.lease_end = self.lease_end.max(until);
         }
         GrantReply {
             boot: self.boot,
@@ -101,43 +103,43 @@
     }
 
     /// Takes one grant; whether it was accepted.
-    pub fn take_grant(&mut self, epoch: Epoch, kind: GrantKind) -> bool {
-        let (seen, last) = self.held.unwrap_or((Epoch(0), GrantKind::Own));
+    pub fn apply_grant(&mut self, epoch: Epoch, kind: GrantKind) -> bool {
+        let (seen, last) = self.last_grant.unwrap_or((Epoch(0), GrantKind::Own));
         let undone = epoch == seen && last == GrantKind::Revoke && kind == GrantKind::Own;
         if epoch < seen || undone {
             return false;
         }
-        self.held = Some((epoch, kind));
+        self.last_grant = Some((epoch, kind));
         true
     }
 
     /// Whether it runs a request.
     pub fn allows(&self, epoch: Epoch, clock: Duration) -> bool {
-        self.held == Some((epoch, GrantKind::Own)) && clock < self.until
+        self.last_grant == Some((epoch, GrantKind::Own)) && clock < self.lease_end
     }
 }
 
 /// A process that finishes moves. It may be left at any point.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Driver<R: Rules> {
+pub struct Driver<R: ProtocolRules> {
     /// Its copy of the table.
     pub table: TableId,
     /// The move it works on.
     pub mover: Option<Mover<R>>,
     /// Its last commit, which may take effect at any later time.
-    pub commit: Option<WriteId>,
+    pub commit: Option<CommitId>,
     /// Whether it has heard, or given up on, the commit's answer.
-    pub ended: bool,
+    pub commit_ended: bool,
 }
 
-impl<R: Rules> Driver<R> {
+impl<R: ProtocolRules> Driver<R> {
     /// A driver with nothing to do.
     pub fn new() -> Self {
         Self {
             table: TableId(0),
             mover: None,
             commit: None,
-            ended: true,
+            commit_ended: true,
         }
     }
 }
@@ -146,30 +148,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Request {
     /// The process that sent it.
-    pub from: usize,
+    pub sender: usize,
     /// The server.
     pub server: usize,
     /// The epoch it carries.
     pub epoch: Epoch,
     /// The tick it was sent at.
-    pub sent: u8,
+    pub sent_at: u8,
 }
 
 /// An order on its way to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Late {
+pub struct DelayedOrder {
     /// The server.
     pub server: usize,
     /// The order.
-    pub order: Order,
+    pub order: GrantOrder,
 }
 
 /// The first tick as a server's clock.
-pub fn clock(tick: u8) -> Duration {
+pub fn server_time(tick: u8) -> Duration {
     time(tick) - Time::ZERO
 }
 
 /// The tick before the first, when granters first met the servers.
-pub fn before() -> Time {
-    time(START - 1)
+pub fn first_contact() -> Time {
+    time(START_TICK - 1)
 }
--- a/crates/core/tests/model/checks.rs
+++ b/crates/core/tests/model/checks.rs
@@ -3,20 +3,20 @@
 //! reuses an epoch. The snapshots hold the numbers of states.
 
 use {
-    super::{search::check, setup::Setup},
-    citron_core::ownership::Strict,
+    super::{search::search, setup::Setup},
+    citron_core::ownership::ProductionRules,
     insta::assert_snapshot,
 };
 
 /// States of an exhaustive run, or the run that breaks a promise.
-fn run(setup: Setup) -> String {
-    let found = check::<Strict>(setup);
-    let report = match found.broken {
+fn search_report(setup: Setup) -> String {
+    let found = search::<ProductionRules>(setup);
+    let report = match found.violation {
         None => format!(
             "{}: no promise broken in {} states",
             setup.name, found.states
         ),
-        Some((promise, run)) => format!("{}: {promise:?} by {run:?}", setup.name),
+        Some((violated, run)) => format!("{}: {violated:?} by {run:?}", setup.name),
     };
     println!("{report}");
     report
@@ -24,45 +24,45 @@
 
 #[test]
 fn one_move() {
-    assert_snapshot!(run(Setup::PLAIN));
+    assert_snapshot!(search_report(Setup::ONE_MOVE));
 }
 
 #[test]
 fn late_reads_and_a_slow_clock() {
-    assert_snapshot!(run(Setup::CLOCKS));
+    assert_snapshot!(search_report(Setup::SLOW_CLOCK));
 }
 
 #[test]
 fn a_restarted_instance_beside_its_former_process() {
-    assert_snapshot!(run(Setup::TWIN));
+    assert_snapshot!(search_report(Setup::RESTARTED_INSTANCE));
 }
 
 #[test]
 fn an_instance_that_starts_while_the_platform_is_down() {
-    assert_snapshot!(run(Setup::RELAYS));
+    assert_snapshot!(search_report(Setup::RELAYED_LEASES));
 }
 
 #[test]
 fn an_expelled_instance() {
-    assert_snapshot!(run(Setup::EXPEL));
+    assert_snapshot!(search_report(Setup::EXPELLED_INSTANCE));
 }
 
 #[test]
 fn a_silent_owner_that_checks_epochs() {
-    assert_snapshot!(run(Setup::FENCED));
+    assert_snapshot!(search_report(Setup::FENCED));
 }
 
 #[test]
 fn a_silent_owner_and_a_slow_clock() {
-    assert_snapshot!(run(Setup::DRIFT));
+    assert_snapshot!(search_report(Setup::FENCED_SLOW_CLOCK));
 }
 
 #[test]
 fn an_owner_that_restarts() {
-    assert_snapshot!(run(Setup::REBOOT));
+    assert_snapshot!(search_report(Setup::RESTARTED_SERVER));
 }
 
 #[test]
 fn two_movers_and_a_second_move() {
-    assert_snapshot!(run(Setup::RACE));
+    assert_snapshot!(search_report(Setup::TWO_MOVERS));
 }
--- a/crates/core/tests/model/events.rs
+++ b/crates/core/tests/model/events.rs
@@ -3,14 +3,14 @@
 use {
     super::{
         actors::Request,
-        setup::{GRACE, START, Setup},
-        state::{Node, State},
-        tables::World,
+        setup::{GRACE, START_TICK, Setup},
+        state::{SearchNode, State},
+        tables::Interner,
     },
     citron_core::{
         id::Revision,
-        membership::{Confirmation, Roster},
-        ownership::{MoveEvent, Rules},
+        membership::{Membership, RoutingLease},
+        ownership::{MoveEvent, ProtocolRules},
         time::Time,
     },
     std::cell::RefCell,
@@ -20,37 +20,37 @@
 #[derive(Debug)]
 pub struct Model {
     pub setup: Setup,
-    pub world: RefCell<World>,
+    pub interner: RefCell<Interner>,
 }
 
 /// The states that follow, as they are found.
-pub type Next<R> = Vec<Node<R>>;
+pub type Successors<R> = Vec<SearchNode<R>>;
 
 impl Model {
     /// A model within bounds.
     pub fn new(setup: Setup) -> Self {
-        let world = RefCell::new(World::new(&setup));
-        Self { setup, world }
+        let interner = RefCell::new(Interner::new(&setup));
+        Self { setup, interner }
     }
 
     /// All states that one event leads to.
-    pub fn next<R: Rules>(&self, state: &State<R>) -> Next<R> {
-        let mut next = Next::new();
-        if state.broken.is_some() || self.is_settled(state) {
+    pub fn successors<R: ProtocolRules>(&self, state: &State<R>) -> Successors<R> {
+        let mut next = Successors::new();
+        if state.violation.is_some() || self.is_quiescent(state) {
             return next;
         }
-        self.pass_time(state, &mut next);
-        self.operate(state, &mut next);
-        for proc in 0..state.procs.len() {
-            self.read(state, proc, &mut next);
-            self.send(state, proc, &mut next);
-            self.relay(state, proc, &mut next);
-            self.order(state, proc, &mut next);
+        self.advance_time(state, &mut next);
+        self.begin_moves(state, &mut next);
+        for process in 0..state.processes.len() {
+            self.read_platform(state, process, &mut next);
+            self.send_request(state, process, &mut next);
+            self.relay_leases(state, process, &mut next);
+            self.send_orders(state, process, &mut next);
         }
-        self.list(state, &mut next);
-        self.arrive(state, &mut next);
+        self.expel_instance(state, &mut next);
+        self.deliver_delayed(state, &mut next);
         for driver in 0..state.drivers.len() {
-            self.drive(state, driver, &mut next);
+            self.run_driver(state, driver, &mut next);
         }
         next.retain(|node| node.state != *state);
         next
@@ -58,187 +58,227 @@
 
     /// Whether nothing can go wrong any more: the table stays as it is, and
     /// nothing is under way that knows an older one.
-    fn is_settled<R: Rules>(&self, state: &State<R>) -> bool {
-        let idle = |d: &super::actors::Driver<R>| d.mover.is_none() && d.commit.is_none();
-        let fresh = |p: &super::actors::Proc<R>| p.table == Some(state.table);
-        let all = state.left.moves == 0 && state.begun.is_none() && state.request.is_none();
-        all && self.owner(state.table).2
-            && state.drivers.iter().all(idle)
-            && state.procs.iter().all(fresh)
+    fn is_quiescent<R: ProtocolRules>(&self, state: &State<R>) -> bool {
+        let is_idle = |d: &super::actors::Driver<R>| d.mover.is_none() && d.commit.is_none();
+        let is_current = |p: &super::actors::Process<R>| p.table == Some(state.table);
+        let nothing_pending = state.remaining.moves == 0
+            && state.pending_begin.is_none()
+            && state.delayed_request.is_none();
+        nothing_pending
+            && self.owner(state.table).2
+            && state.drivers.iter().all(is_idle)
+            && state.processes.iter().all(is_current)
     }
 
-    fn pass_time<R: Rules>(&self, state: &State<R>, next: &mut Next<R>) {
-        if state.now - START >= self.setup.ticks {
+    fn advance_time<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
+        if state.now - START_TICK >= self.setup.max_ticks {
             return;
         }
         let mut later = state.clone();
         later.now += 1;
-        if state.left.slips > 0 {
-            for party in 0..=state.procs.len() {
+        if state.remaining.missed_ticks > 0 {
+            for party in 0..=state.processes.len() {
                 let mut slow = later.clone();
-                slow.missed[party] += 1;
-                slow.left.slips -= 1;
-                push(next, "miss a tick", party, self.wake(slow));
+                slow.clock_lag[party] += 1;
+                slow.remaining.missed_ticks -= 1;
+                push(next, "miss a tick", party, self.wake_drivers(slow));
             }
         }
-        push(next, "tick", 0, self.wake(later));
+        push(next, "tick", 0, self.wake_drivers(later));
     }
 
     /// Movers are woken by time; one that is late does no more than commit late.
-    fn wake<R: Rules>(&self, state: State<R>) -> State<R> {
-        let mut state = self.forget_past(state);
-        self.refresh(&mut state);
+    fn wake_drivers<R: ProtocolRules>(&self, state: State<R>) -> State<R> {
+        let mut state = self.drop_expired(state);
+        self.refresh_leases(&mut state);
         for driver in 0..state.drivers.len() {
-            self.step(&mut state, driver, MoveEvent::Tick);
+            self.step_mover(&mut state, driver, MoveEvent::Tick);
         }
         state
     }
 
     /// Whoever holds the newest table can read it again at any time, and more
     /// leave only allows more: let it have read just now.
-    fn refresh<R: Rules>(&self, state: &mut State<R>) {
-        for party in 0..state.procs.len() {
-            if state.procs[party].table == Some(state.table) {
+    fn refresh_leases<R: ProtocolRules>(&self, state: &mut State<R>) {
+        for party in 0..state.processes.len() {
+            if state.processes[party].table == Some(state.table) {
                 let now = state.clock(party);
-                self.take_read(state, party, now, state.table);
+                self.apply_read(state, party, now, state.table);
             }
         }
     }
 
     /// What has run out makes no difference any more; dropping it merges states.
-    fn forget_past<R: Rules>(&self, mut state: State<R>) -> State<R> {
-        for party in 0..state.procs.len() {
+    fn drop_expired<R: ProtocolRules>(&self, mut state: State<R>) -> State<R> {
+        for party in 0..state.processes.len() {
             let now = state.clock(party);
-            let proc = &mut state.procs[party];
-            let passed_on = self.setup.relays;
-            if !self.setup.fenced && !passed_on && proc.leave.end(true, GRACE) <= now {
-                proc.leave = Confirmation::default();
+            let process = &mut state.processes[party];
+            let relays_leases = self.setup.relays_leases;
+            if !self.setup.is_fenced && !relays_leases && process.lease.end(true, GRACE) <= now {
+                process.lease = RoutingLease::default();
             }
             let old = |at: Time| at + GRACE <= now;
-            proc.asked = proc.asked.filter(|&at| !old(at));
+            process.lease_asked_at = process.lease_asked_at.filter(|&at| !old(at));
         }
         state
     }
 
     /// Sends a request to the owner, if the leave allows; the check and the
     /// write are one step.
-    fn send<R: Rules>(&self, state: &State<R>, proc: usize, next: &mut Next<R>) {
-        let Some(table) = state.procs[proc].table else {
+    fn send_request<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        process: usize,
+        next: &mut Successors<R>,
+    ) {
+        let Some(table) = state.processes[process].table else {
             return;
         };
-        let (epoch, server, open) = self.owner(table);
-        let own = self.domain(state, proc) == server;
-        let leave = &state.procs[proc].leave;
-        if !open || !leave.allows(state.clock(proc), own, GRACE) {
+        let (epoch, server, is_routable) = self.owner(table);
+        let is_own_domain = self.domain(state, process) == server;
+        let lease = &state.processes[process].lease;
+        if !is_routable || !lease.allows(state.clock(process), is_own_domain, GRACE) {
             return;
         }
         let request = Request {
-            from: proc,
+            sender: process,
             server,
             epoch,
-            sent: state.now,
+            sent_at: state.now,
         };
-        let mut ran = state.clone();
-        self.run(&mut ran, request);
-        push(next, "request runs", proc, ran);
-        if state.request.is_none() && state.left.held > 0 {
-            let mut held = state.clone();
-            held.left.held -= 1;
-            held.request = Some(request);
-            push(next, "request held up", proc, held);
+        let mut run = state.clone();
+        self.run_request(&mut run, request);
+        push(next, "request runs", process, run);
+        if state.delayed_request.is_none() && state.remaining.delayed_requests > 0 {
+            let mut delayed = state.clone();
+            delayed.remaining.delayed_requests -= 1;
+            delayed.delayed_request = Some(request);
+            push(next, "request held up", process, delayed);
         }
     }
 
     /// The number of a process's domain; server 0 is in domain 0.
-    pub fn domain<R: Rules>(&self, state: &State<R>, proc: usize) -> usize {
-        usize::from(state.procs[proc].number == 1 && !self.setup.near)
+    pub fn domain<R: ProtocolRules>(&self, state: &State<R>, process: usize) -> usize {
+        usize::from(state.processes[process].number == 1 && !self.setup.is_same_domain)
     }
 
     /// Passes leave on to the unlisted start, and takes its acknowledgements.
-    fn relay<R: Rules>(&self, state: &State<R>, proc: usize, next: &mut Next<R>) {
-        let twin = state.procs.len() - 1;
-        if !self.setup.relays || proc == twin {
+    fn relay_leases<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        process: usize,
+        next: &mut Successors<R>,
+    ) {
+        let unlisted = state.processes.len() - 1;
+        if !self.setup.relays_leases || process == unlisted {
             return;
         }
-        let now = state.clock(twin);
-        if state.procs[twin].asked != Some(now) {
+        let now = state.clock(unlisted);
+        if state.processes[unlisted].lease_asked_at != Some(now) {
             let mut asked = state.clone();
-            asked.procs[twin].asked = Some(now);
-            push(next, "ask for leave", twin, asked);
+            asked.processes[unlisted].lease_asked_at = Some(now);
+            push(next, "ask for leave", unlisted, asked);
         }
-        self.give(state, (proc, twin), next);
-        let revision = self.revision(state.procs[twin].table);
-        let member = state.procs[twin].member();
-        if self.may_ack(state, twin, revision) {
+        self.relay_lease(state, (process, unlisted), next);
+        let revision = self.revision(state.processes[unlisted].table);
+        let member = state.processes[unlisted].member();
+        if self.may_ack(state, unlisted, revision) {
             let mut acked = state.clone();
-            acked.procs[proc].relays.acked(&member, revision);
-            push(next, "unlisted acknowledges", proc, acked);
+            acked.processes[process]
+                .relayed_leases
+                .record_ack(&member, revision);
+            push(next, "unlisted acknowledges", process, acked);
         }
     }
 
-    fn give<R: Rules>(&self, state: &State<R>, (proc, twin): (usize, usize), next: &mut Next<R>) {
-        let (Some(asked), Some(table)) = (state.procs[twin].asked, state.procs[proc].table) else {
+    fn relay_lease<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        (process, unlisted): (usize, usize),
+        next: &mut Successors<R>,
+    ) {
+        let (Some(asked), Some(table)) = (
+            state.processes[unlisted].lease_asked_at,
+            state.processes[process].table,
+        ) else {
             return;
         };
-        let mut given = state.clone();
-        let member = given.procs[twin].member();
-        let listed = Roster::<R>::is_listed(self.world.borrow().table(table), &member);
+        let mut relayed = state.clone();
+        let member = relayed.processes[unlisted].member();
+        let is_listed = Membership::<R>::is_listed(self.interner.borrow().table(table), &member);
         let revision = self.revision(Some(table));
-        if revision < self.revision(given.procs[twin].table) {
+        if revision < self.revision(relayed.processes[unlisted].table) {
             return;
         }
-        let now = state.clock(proc);
-        let leave = given.procs[proc].leave;
-        let relays = &mut given.procs[proc].relays;
-        let Some(left) = relays.give(&member, listed, (revision, &leave), GRACE, now) else {
+        let now = state.clock(process);
+        let lease = relayed.processes[process].lease;
+        let relayed_leases = &mut relayed.processes[process].relayed_leases;
+        let Some(remaining) =
+            relayed_leases.relay(&member, is_listed, (revision, &lease), GRACE, now)
+        else {
             return;
         };
-        let twin = &mut given.procs[twin];
-        twin.asked = None;
-        twin.table = Some(table);
-        twin.leave = twin.leave.later(Confirmation::of_relay(asked, left));
-        push(next, "give leave", proc, given);
+        let unlisted = &mut relayed.processes[unlisted];
+        unlisted.lease_asked_at = None;
+        unlisted.table = Some(table);
+        unlisted.lease = unlisted
+            .lease
+            .merge(RoutingLease::from_relay(asked, remaining));
+        push(next, "give leave", process, relayed);
     }
 
     /// Whether an instance may acknowledge a revision.
-    pub fn may_ack<R: Rules>(&self, state: &State<R>, proc: usize, revision: Revision) -> bool {
-        let Some(table) = state.procs[proc].table else {
+    pub fn may_ack<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        process: usize,
+        revision: Revision,
+    ) -> bool {
+        let Some(table) = state.processes[process].table else {
             return false;
         };
         let (epoch, _, _) = self.owner(table);
-        let sent = state.request.filter(|r| r.from == proc && r.epoch < epoch);
-        let unanswered = sent.is_some() && !self.setup.fenced;
-        let relays = &state.procs[proc].relays;
-        !unanswered && relays.settled(revision, state.clock(proc))
+        let unanswered = state
+            .delayed_request
+            .filter(|r| r.sender == process && r.epoch < epoch);
+        let is_unanswered = unanswered.is_some() && !self.setup.is_fenced;
+        let relayed_leases = &state.processes[process].relayed_leases;
+        !is_unanswered && relayed_leases.is_settled(revision, state.clock(process))
     }
 
     /// Expels the second instance, and strikes it off.
-    fn list<R: Rules>(&self, state: &State<R>, next: &mut Next<R>) {
-        if !self.setup.expel {
+    fn expel_instance<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
+        if !self.setup.expels {
             return;
         }
         let commits = {
-            let world = self.world.borrow();
-            let proc = &state.procs[0];
-            let member = state.procs[1].member();
-            let expel = Roster::<R>::expel(world.table(state.table), &member);
-            let known = proc.table.map(|table| world.table(table));
-            let clear = known.map(|table| proc.roster.clear(table, state.clock(0)));
-            let expel = expel.filter(|_| state.now == START);
-            let commits = expel.into_iter().chain(clear.unwrap_or_default());
+            let interner = self.interner.borrow();
+            let process = &state.processes[0];
+            let member = state.processes[1].member();
+            let expel = Membership::<R>::expel(interner.table(state.table), &member);
+            let known_table = process.table.map(|table| interner.table(table));
+            let removals =
+                known_table.map(|table| process.membership.remove_expelled(table, state.clock(0)));
+            let expel = expel.filter(|_| state.now == START_TICK);
+            let commits = expel.into_iter().chain(removals.unwrap_or_default());
             commits.collect::<Vec<_>>()
         };
         for commit in commits {
-            let write = self.world.borrow_mut().keep(commit);
-            let mut listed = state.clone();
-            self.commit(&mut listed, write);
-            push(next, "change the roster", 0, listed);
+            let write = self.interner.borrow_mut().intern_commit(commit);
+            let mut changed = state.clone();
+            self.commit(&mut changed, write);
+            push(next, "change the roster", 0, changed);
         }
     }
 }
 
 /// Adds a state.
-pub fn push<R: Rules>(next: &mut Next<R>, what: &'static str, who: usize, state: State<R>) {
-    let event = (what, who);
-    next.push(Node { event, state });
+pub fn push<R: ProtocolRules>(
+    next: &mut Successors<R>,
+    event_name: &'static str,
+    actor: usize,
+    state: State<R>,
+) {
+    let event = (event_name, actor);
+    next.push(SearchNode { event, state });
 }
--- a/crates/core/tests/model/mutants.rs
+++ b/crates/core/tests/model/mutants.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::{Epoch, Incarnation, Revision},
-        ownership::{Ack, Rules},
+        ownership::{Ack, ProtocolRules},
         time::Time,
     },
     std::time::Duration,
@@ -15,7 +15,7 @@
         #[derive(Debug, Clone, PartialEq, Eq, Hash)]
         pub struct $name;
 
-        impl Rules for $name {
+        impl ProtocolRules for $name {
             $($rule)*
         }
     };
@@ -31,41 +31,41 @@
 mutant!(
     /// An acknowledgement counts whatever start it comes from.
     AnyIncarnation,
-    fn acked(ack: &Ack, _: Incarnation, since: Revision) -> bool {
+    fn accepts_ack(ack: &Ack, _: Incarnation, since: Revision) -> bool {
         ack.revision >= since
     }
 );
 mutant!(
     /// An acknowledgement counts whatever revision it is of.
     AnyRevision,
-    fn acked(ack: &Ack, listed: Incarnation, _: Revision) -> bool {
+    fn accepts_ack(ack: &Ack, listed: Incarnation, _: Revision) -> bool {
         ack.incarnation == listed
     }
 );
 mutant!(
     /// An expelled instance's row is struck off at once.
-    StrikeAtOnce,
-    fn expulsion(_: Duration) -> Duration {
+    RemoveAtOnce,
+    fn expulsion_wait(_: Duration) -> Duration {
         Duration::ZERO
     }
 );
 mutant!(
     /// A read confirms from when its answer came.
-    FromAnswer,
-    fn anchor(_: Time, answered: Time) -> Time {
+    LeaseFromAnswer,
+    fn lease_start(_: Time, answered: Time) -> Time {
         answered
     }
 );
 mutant!(
     /// A relay passes on the full span.
-    FullRelay,
-    fn relayed(_: Duration, full: Duration) -> Duration {
+    FullRelayedLease,
+    fn relayed_lease(_: Duration, full: Duration) -> Duration {
         full
     }
 );
 mutant!(
     /// A relayed leave counts as a fresh read of the platform for the grace.
-    FreshGrace,
+    GraceFromRelay,
     fn relayed_age(_: Duration) -> Duration {
         Duration::ZERO
     }
@@ -73,15 +73,15 @@
 mutant!(
     /// The end of a commit counts as its success.
     NoReread,
-    fn trusts_answer() -> bool {
+    fn skips_reread() -> bool {
         true
     }
 );
 mutant!(
     /// The last commit is made whatever the row is by then.
-    Unconditional,
-    fn finish_version(_: Revision) -> Revision {
-        super::tables::ANY
+    UnconditionalCommit,
+    fn final_commit_version(_: Revision) -> Revision {
+        super::tables::ANY_VERSION
     }
 );
 mutant!(
@@ -93,36 +93,36 @@
 );
 mutant!(
     /// A wait has no margin for clocks that run apart.
-    NoMargin,
-    fn wait(span: Duration) -> Duration {
+    NoClockMargin,
+    fn add_clock_margin(span: Duration) -> Duration {
         span
     }
 );
 mutant!(
     /// A restarted server is given grants under a table read before.
-    OldReadGrants,
-    fn grants_boot(_: Time, _: Time) -> bool {
+    GrantUnderOldRead,
+    fn may_grant_boot(_: Time, _: Time) -> bool {
         true
     }
 );
 mutant!(
     /// Leave that was passed on to an unlisted start is forgotten.
-    RelaysForgotten,
-    fn holds_back(_: Revision, _: Revision, _: Time, _: Time) -> bool {
+    IgnoreRelayedLeases,
+    fn blocks_ack(_: Revision, _: Revision, _: Time, _: Time) -> bool {
         false
     }
 );
 mutant!(
     /// A lease is as long as a lease may be, whatever the giver's leave.
-    LongLease,
-    fn lease(_: Duration, full: Duration) -> Duration {
+    FullServerLease,
+    fn server_lease(_: Duration, full: Duration) -> Duration {
         full
     }
 );
 mutant!(
     /// A lease is renewed without what changed hands since.
-    LeaseAlone,
-    fn brings_up() -> bool {
+    LeaseWithoutGrants,
+    fn sends_changed_grants() -> bool {
         false
     }
 );
