--- a/crates/core/tests/model/platform.rs
+++ b/crates/core/tests/model/platform.rs
@@ -2,15 +2,15 @@
 
 use {
     super::{
-        events::{Model, Next, push},
-        setup::{SPANS, START},
-        state::{Broken, State},
-        tables::{SCOPE, SERVERS, TableId, WriteId},
+        events::{Model, Successors, push},
+        setup::{DURATIONS, START_TICK},
+        state::{State, Violation},
+        tables::{CommitId, SCOPE, SERVERS, TableId},
     },
     citron_core::{
         id::{Epoch, Revision},
-        membership::{Confirmation, Roster},
-        ownership::{Phase, Rules, assignment},
+        membership::{Membership, RoutingLease},
+        ownership::{Phase, ProtocolRules, assignment},
         time::Time,
     },
 };
@@ -18,34 +18,34 @@
 impl Model {
     /// Operators begin moves; each is decided by the table as it was when the
     /// operator looked, and may be committed much later.
-    pub fn operate<R: Rules>(&self, state: &State<R>, next: &mut Next<R>) {
-        if let Some(write) = state.begun {
+    pub fn begin_moves<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
+        if let Some(write) = state.pending_begin {
             let mut later = state.clone();
-            later.begun = None;
+            later.pending_begin = None;
             self.commit(&mut later, write);
             push(next, "begin commits", 0, later);
         }
         // The first move is begun at once: only what follows it matters, and
         // within a tick everything may come in any order.
-        let first = state.left.moves == self.setup.moves;
-        let late = first && state.now > START && !self.setup.late;
-        if state.left.moves == 0 || state.begun.is_some() || late {
+        let is_first = state.remaining.moves == self.setup.moves;
+        let is_late = is_first && state.now > START_TICK && !self.setup.begins_late;
+        if state.remaining.moves == 0 || state.pending_begin.is_some() || is_late {
             return;
         }
         let to = SERVERS[1 - self.owner(state.table).1];
         let to = to.parse().unwrap();
         let begun = {
-            let world = self.world.borrow();
+            let interner = self.interner.borrow();
             let service = "balances".parse().unwrap();
-            let table = world.table(state.table);
-            citron_core::ownership::begin_move_by::<R>(table, &service, SCOPE, &to)
+            let table = interner.table(state.table);
+            citron_core::ownership::begin_move_with::<R>(table, &service, SCOPE, &to)
         };
         let Ok(commit) = begun else { return };
-        let write = self.world.borrow_mut().keep(commit);
+        let write = self.interner.borrow_mut().intern_commit(commit);
         let mut later = state.clone();
-        later.left.moves -= 1;
+        later.remaining.moves -= 1;
         if self.setup.moves > 1 {
-            later.begun = Some(write);
+            later.pending_begin = Some(write);
         } else {
             self.commit(&mut later, write);
         }
@@ -53,91 +53,98 @@
     }
 
     /// Commits if the versions allow, and checks what a commit can break.
-    pub fn commit<R: Rules>(&self, state: &mut State<R>, write: WriteId) {
-        let after = self.world.borrow_mut().commit(state.table, write);
+    pub fn commit<R: ProtocolRules>(&self, state: &mut State<R>, write: CommitId) {
+        let after = self.interner.borrow_mut().commit(state.table, write);
         let Some(after) = after else { return };
         state.table = after;
-        let (epoch, owner, open) = self.owner(after);
-        if epoch < state.owned.0 || (open && epoch == state.owned.0 && owner != state.owned.1) {
-            state.broken = Some(Broken::EpochReused);
+        let (epoch, owner, is_routable) = self.owner(after);
+        if epoch < state.last_owner.0
+            || (is_routable && epoch == state.last_owner.0 && owner != state.last_owner.1)
+        {
+            state.violation = Some(Violation::EpochReused);
         }
-        if open {
-            state.owned = (epoch, owner);
+        if is_routable {
+            state.last_owner = (epoch, owner);
         }
         self.check_done(state);
     }
 
     /// What was reported done is still there, or was built upon.
-    pub fn check_done<R: Rules>(&self, state: &mut State<R>) {
-        let (epoch, owner, open) = self.owner(state.table);
-        let (done, to) = state.done;
-        if epoch < done || (epoch == done && (!open || owner != to)) {
-            state.broken = Some(Broken::DoneLost);
+    pub fn check_done<R: ProtocolRules>(&self, state: &mut State<R>) {
+        let (epoch, owner, is_routable) = self.owner(state.table);
+        let (done, to) = state.last_done;
+        if epoch < done || (epoch == done && (!is_routable || owner != to)) {
+            state.violation = Some(Violation::MoveLost);
         }
     }
 
     /// Epoch, owner and whether it takes requests, in a table.
     pub fn owner(&self, table: TableId) -> (Epoch, usize, bool) {
-        let world = self.world.borrow();
+        let interner = self.interner.borrow();
         let service = "balances".parse().unwrap();
-        let found = assignment(world.table(table), &service, SCOPE).unwrap();
+        let found = assignment(interner.table(table), &service, SCOPE).unwrap();
         let owner = usize::from(found.value.owner.id() == SERVERS[1]);
-        let open = found.value.phase == Phase::Owned;
-        (found.value.epoch, owner, open)
+        let is_routable = found.value.phase == Phase::Owned;
+        (found.value.epoch, owner, is_routable)
     }
 
     pub fn revision(&self, table: Option<TableId>) -> Revision {
-        let world = self.world.borrow();
-        table.map_or(Revision(0), |id| world.table(id).revision())
+        let interner = self.interner.borrow();
+        table.map_or(Revision(0), |id| interner.table(id).revision())
     }
 
     /// Reads the platform; the answer may be held up. The worst answer is what
     /// the table was when the read was begun.
-    pub fn read<R: Rules>(&self, state: &State<R>, proc: usize, next: &mut Next<R>) {
-        let now = state.clock(proc);
+    pub fn read_platform<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        process: usize,
+        next: &mut Successors<R>,
+    ) {
+        let now = state.clock(process);
         let mut read = state.clone();
-        self.take_read(&mut read, proc, now, state.table);
-        push(next, "read", proc, read);
-        if let Some((begun, table)) = state.procs[proc].read {
+        self.apply_read(&mut read, process, now, state.table);
+        push(next, "read", process, read);
+        if let Some((begun, table)) = state.processes[process].pending_read {
             let mut late = state.clone();
-            late.procs[proc].read = None;
-            self.take_read(&mut late, proc, begun, table);
-            push(next, "late read", proc, late);
-        } else if state.left.reads > 0 {
-            let mut held = state.clone();
-            held.left.reads -= 1;
-            held.procs[proc].read = Some((now, state.table));
-            push(next, "begin read", proc, held);
+            late.processes[process].pending_read = None;
+            self.apply_read(&mut late, process, begun, table);
+            push(next, "late read", process, late);
+        } else if state.remaining.delayed_reads > 0 {
+            let mut delayed = state.clone();
+            delayed.remaining.delayed_reads -= 1;
+            delayed.processes[process].pending_read = Some((now, state.table));
+            push(next, "begin read", process, delayed);
         }
     }
 
-    pub fn take_read<R: Rules>(
+    pub fn apply_read<R: ProtocolRules>(
         &self,
         state: &mut State<R>,
-        proc: usize,
+        process: usize,
         begun: Time,
         table: TableId,
     ) {
-        let now = state.clock(proc);
-        let older = self.revision(Some(table)) < self.revision(state.procs[proc].table);
-        let proc = &mut state.procs[proc];
-        if older {
+        let now = state.clock(process);
+        let is_older = self.revision(Some(table)) < self.revision(state.processes[process].table);
+        let process = &mut state.processes[process];
+        if is_older {
             return;
         }
-        proc.table = Some(table);
-        let world = self.world.borrow();
-        let table = world.table(table);
-        proc.roster.see(table, now);
-        if !Roster::<R>::is_listed(table, &proc.member()) {
-            let expelled = proc.incarnation == 1;
-            proc.leave = if expelled {
-                Confirmation::default()
+        process.table = Some(table);
+        let interner = self.interner.borrow();
+        let table = interner.table(table);
+        process.membership.observe(table, now);
+        if !Membership::<R>::is_listed(table, &process.member()) {
+            let expelled = process.incarnation == 1;
+            process.lease = if expelled {
+                RoutingLease::default()
             } else {
-                proc.leave
+                process.lease
             };
             return;
         }
-        let read = Confirmation::of_read_by::<R>(begun, now, SPANS);
-        proc.leave = proc.leave.later(read);
+        let read = RoutingLease::from_read_with::<R>(begun, now, DURATIONS);
+        process.lease = process.lease.merge(read);
     }
 }
--- a/crates/core/tests/model/random_walks.rs
+++ b/crates/core/tests/model/random_walks.rs
@@ -5,69 +5,72 @@
     super::{
         events::Model,
         setup::Setup,
-        state::{Broken, State},
+        state::{State, Violation},
     },
-    citron_core::ownership::{Rules, Strict},
+    citron_core::ownership::{ProductionRules, ProtocolRules},
     proptest::{collection::vec, prelude::*},
 };
 
 /// The longest run.
-const STEPS: usize = 150;
+const MAX_STEPS: usize = 150;
 /// Runs of each test; a run of the bent rules is found within far fewer.
-const RUNS: u32 = 300;
+const WALKS: u32 = 300;
 
 /// Everything at once.
-const WIDE: Setup = Setup {
+const ALL_EVENTS: Setup = Setup {
     name: "wide",
-    near: true,
-    twin: true,
-    relays: true,
-    expel: true,
-    lossy: true,
-    late: true,
+    is_same_domain: true,
+    has_unlisted: true,
+    relays_leases: true,
+    expels: true,
+    loses_answers: true,
+    begins_late: true,
     moves: 3,
     movers: 2,
-    slips: 1,
-    held: 3,
-    reads: 3,
-    ticks: 14,
-    ..Setup::PLAIN
+    missed_ticks: 1,
+    delayed_requests: 3,
+    delayed_reads: 3,
+    max_ticks: 14,
+    ..Setup::ONE_MOVE
 };
 
 /// The same with a first owner that checks epochs, restarts and gets late orders.
-const WIDE_FENCED: Setup = Setup {
-    fenced: true,
-    revokes: true,
+const ALL_EVENTS_FENCED: Setup = Setup {
+    is_fenced: true,
+    can_revoke: true,
     orders: 20,
-    boots: 1,
-    ..WIDE
+    restarts: 1,
+    ..ALL_EVENTS
 };
 
 /// Takes one of the possible events at each step.
-fn walk<R: Rules>(setup: Setup, picks: &[u16]) -> Option<(Broken, Vec<&'static str>)> {
+fn random_walk<R: ProtocolRules>(
+    setup: Setup,
+    choices: &[u16],
+) -> Option<(Violation, Vec<&'static str>)> {
     let model = Model::new(setup);
-    let mut state = State::<R>::first(&setup);
+    let mut state = State::<R>::initial(&setup);
     let mut events = Vec::new();
-    for &pick in picks {
-        let mut next = model.next(&state);
+    for &choice in choices {
+        let mut next = model.successors(&state);
         if next.is_empty() {
             break;
         }
-        let node = next.swap_remove(usize::from(pick) % next.len());
+        let node = next.swap_remove(usize::from(choice) % next.len());
         events.push(node.event.0);
         state = node.state;
     }
-    state.broken.map(|broken| (broken, events))
+    state.violation.map(|violation| (violation, events))
 }
 
-fn picks() -> impl Strategy<Value = Vec<u16>> {
-    vec(any::<u16>(), STEPS)
+fn choices() -> impl Strategy<Value = Vec<u16>> {
+    vec(any::<u16>(), MAX_STEPS)
 }
 
 /// The same runs on every machine.
 fn config() -> ProptestConfig {
     ProptestConfig {
-        cases: RUNS,
+        cases: WALKS,
         failure_persistence: None,
         rng_seed: prop::test_runner::RngSeed::Fixed(7),
         ..ProptestConfig::default()
@@ -78,21 +81,21 @@
     #![proptest_config(config())]
 
     #[test]
-    fn unfenced(picks in picks()) {
-        prop_assert_eq!(walk::<Strict>(WIDE, &picks), None);
+    fn unfenced(choices in choices()) {
+        prop_assert_eq!(random_walk::<ProductionRules>(ALL_EVENTS, &choices), None);
     }
 
     #[test]
-    fn fenced(picks in picks()) {
-        prop_assert_eq!(walk::<Strict>(WIDE_FENCED, &picks), None);
+    fn fenced(choices in choices()) {
+        prop_assert_eq!(random_walk::<ProductionRules>(ALL_EVENTS_FENCED, &choices), None);
     }
 }
 
 #[test]
 fn a_skipped_wait_is_caught() {
     let mut runner = prop::test_runner::TestRunner::new(config());
-    let found = runner.run(&picks(), |picks| {
-        prop_assert!(walk::<SkipWait>(WIDE, &picks).is_none());
+    let found = runner.run(&choices(), |choices| {
+        prop_assert!(random_walk::<SkipWait>(ALL_EVENTS, &choices).is_none());
         Ok(())
     });
     assert!(found.is_err());
--- a/crates/core/tests/model/search.rs
+++ b/crates/core/tests/model/search.rs
@@ -4,42 +4,42 @@
     super::{
         events::Model,
         setup::Setup,
-        state::{Broken, Node, State},
+        state::{SearchNode, State, Violation},
     },
-    citron_core::ownership::Rules,
+    citron_core::ownership::ProtocolRules,
     pathfinding::directed::bfs::bfs,
     std::cell::Cell,
 };
 
 /// What a search found.
 #[derive(Debug)]
-pub struct Found {
+pub struct SearchResult {
     /// States that were reached.
     pub states: usize,
     /// The shortest run that breaks a promise, and the promise.
-    pub broken: Option<(Broken, Vec<(&'static str, usize)>)>,
+    pub violation: Option<(Violation, Vec<(&'static str, usize)>)>,
 }
 
 /// Searches all runs within the bounds, the shortest first.
-pub fn check<R: Rules>(setup: Setup) -> Found {
+pub fn search<R: ProtocolRules>(setup: Setup) -> SearchResult {
     let model = Model::new(setup);
     let count = Cell::new(0);
-    let first = Node {
+    let first = SearchNode {
         event: ("start", 0),
-        state: State::<R>::first(&setup),
+        state: State::<R>::initial(&setup),
     };
-    let next = |node: &Node<R>| {
+    let next = |node: &SearchNode<R>| {
         count.set(count.get() + 1);
-        model.next(&node.state)
+        model.successors(&node.state)
     };
-    let path = bfs(&first, next, |node| node.state.broken.is_some());
-    let broken = path.map(|path| {
-        let last = path.last().and_then(|node| node.state.broken);
+    let path = bfs(&first, next, |node| node.state.violation.is_some());
+    let violation = path.map(|path| {
+        let last = path.last().and_then(|node| node.state.violation);
         let events = path.iter().skip(1).map(|node| node.event);
         (last.unwrap(), events.collect())
     });
-    Found {
+    SearchResult {
         states: count.get(),
-        broken,
+        violation,
     }
 }
--- a/crates/core/tests/model/servers.rs
+++ b/crates/core/tests/model/servers.rs
@@ -2,90 +2,90 @@
 
 use {
     super::{
-        actors::{Late, Request, Server, clock},
-        events::{Model, Next, push},
-        setup::{GRACE, SPANS},
-        state::{Broken, State},
+        actors::{DelayedOrder, Request, Server, server_time},
+        events::{Model, Successors, push},
+        setup::{DURATIONS, GRACE},
+        state::{State, Violation},
         tables::{INSTANCES, SCOPE, SERVERS},
     },
     citron_core::{
         id::{Epoch, Incarnation, Revision, ServerName},
-        ownership::{Ack, MoveAction, MoveEvent, Mover, Order, Rules},
+        ownership::{Ack, GrantOrder, MoveAction, MoveEvent, Mover, ProtocolRules},
         table::{Row, RowKey, ServerRow, Table},
     },
     std::time::Duration,
 };
 
 /// Parties before the servers, and before the drivers.
-const SERVER_CLOCKS: usize = 3;
-const DRIVER_CLOCKS: usize = 5;
+const FIRST_SERVER_CLOCK: usize = 3;
+const FIRST_DRIVER_CLOCK: usize = 5;
 /// A request that reached the first owner before it froze. It may be run again
 /// and again: running it once is no worse.
-const QUEUED: Request = Request {
-    from: 0,
+const QUEUED_REQUEST: Request = Request {
+    sender: 0,
     server: 0,
-    epoch: FIRST,
-    sent: 0,
+    epoch: FIRST_EPOCH,
+    sent_at: 0,
 };
 /// Asks a server for its clock.
-const ASK: Order = Order {
+const CLOCK_QUERY: GrantOrder = GrantOrder {
     boot: None,
     grants: Vec::new(),
     lease: None,
     revision: Revision(0),
 };
 /// The epoch that the first owner starts with.
-const FIRST: Epoch = Epoch(1);
+const FIRST_EPOCH: Epoch = Epoch(1);
 
 impl Model {
-    fn server_clock<R: Rules>(&self, state: &State<R>, server: usize) -> Duration {
-        clock(state.now - state.missed[SERVER_CLOCKS + server])
+    fn server_clock<R: ProtocolRules>(&self, state: &State<R>, server: usize) -> Duration {
+        server_time(state.now - state.clock_lag[FIRST_SERVER_CLOCK + server])
     }
 
     /// A request reaches its server.
-    pub fn run<R: Rules>(&self, state: &mut State<R>, request: Request) {
+    pub fn run_request<R: ProtocolRules>(&self, state: &mut State<R>, request: Request) {
         let server = request.server;
-        let runs = match self.setup.fenced && server == 0 {
+        let runs = match self.setup.is_fenced && server == 0 {
             true => state.servers[server].allows(request.epoch, self.server_clock(state, server)),
-            false => state.now <= request.sent + self.setup.deadline,
+            false => state.now <= request.sent_at + self.setup.deadline_ticks,
         };
         if !runs {
             return;
         }
-        let (epoch, owner) = state.ran;
-        let two = request.epoch < epoch || (request.epoch == epoch && server != owner);
-        if two {
-            state.broken = Some(Broken::TwoOwners);
+        let (epoch, owner) = state.last_run;
+        let overlaps = request.epoch < epoch || (request.epoch == epoch && server != owner);
+        if overlaps {
+            state.violation = Some(Violation::TwoOwners);
         }
         // Nothing can be older than the first epoch, so that it need not be told.
-        if request.epoch > FIRST {
-            state.ran = (request.epoch, server);
+        if request.epoch > FIRST_EPOCH {
+            state.last_run = (request.epoch, server);
         }
     }
 
     /// What was held up arrives, or a server restarts.
-    pub fn arrive<R: Rules>(&self, state: &State<R>, next: &mut Next<R>) {
-        if self.setup.fenced {
+    pub fn deliver_delayed<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
+        if self.setup.is_fenced {
             let mut ran = state.clone();
-            self.run(&mut ran, QUEUED);
+            self.run_request(&mut ran, QUEUED_REQUEST);
             push(next, "queued request", 0, ran);
         }
-        if let Some(request) = state.request {
+        if let Some(request) = state.delayed_request {
             let mut ran = state.clone();
-            ran.request = None;
-            self.run(&mut ran, request);
+            ran.delayed_request = None;
+            self.run_request(&mut ran, request);
             push(next, "late request", request.server, ran);
         }
-        if let Some(late) = &state.late {
-            let mut taken = state.clone();
-            taken.late = None;
+        if let Some(late) = &state.delayed_order {
+            let mut delivered = state.clone();
+            delivered.delayed_order = None;
             let at = self.server_clock(state, late.server);
-            taken.servers[late.server].take(&late.order, at);
-            push(next, "late order", late.server, taken);
+            delivered.servers[late.server].apply_order(&late.order, at);
+            push(next, "late order", late.server, delivered);
         }
-        if state.left.boots > 0 {
+        if state.remaining.restarts > 0 {
             let mut started = state.clone();
-            started.left.boots -= 1;
+            started.remaining.restarts -= 1;
             started.servers[0] = Server::new(state.servers[0].boot.0 + 1);
             push(next, "server restarts", 0, started);
         }
@@ -93,122 +93,156 @@
 
     /// An instance asks the first owner for its clock and brings it up to date;
     /// the order, or its answer, may be late.
-    pub fn order<R: Rules>(&self, state: &State<R>, proc: usize, next: &mut Next<R>) {
-        if !self.setup.fenced || state.left.orders == 0 {
+    pub fn send_orders<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        process: usize,
+        next: &mut Successors<R>,
+    ) {
+        if !self.setup.is_fenced || state.remaining.orders == 0 {
             return;
         }
         let mut asked = state.clone();
-        asked.left.orders -= 1;
-        self.exchange(&mut asked, proc, &ASK);
-        let Some(order) = self.next_order(&asked, proc).filter(|o| o.boot.is_some()) else {
-            push(next, "ask clock", proc, asked);
+        asked.remaining.orders -= 1;
+        self.exchange(&mut asked, process, &CLOCK_QUERY);
+        let Some(order) = self
+            .next_order(&asked, process)
+            .filter(|o| o.boot.is_some())
+        else {
+            push(next, "ask clock", process, asked);
             return;
         };
-        if state.late.is_none() {
-            let mut held = asked.clone();
-            held.late = Some(Late {
+        if state.delayed_order.is_none() {
+            let mut delayed = asked.clone();
+            delayed.delayed_order = Some(DelayedOrder {
                 server: 0,
                 order: order.clone(),
             });
-            push(next, "order held up", proc, held);
+            push(next, "order held up", process, delayed);
         }
-        self.exchange(&mut asked, proc, &order);
-        push(next, "order", proc, asked);
+        self.exchange(&mut asked, process, &order);
+        push(next, "order", process, asked);
     }
 
-    fn exchange<R: Rules>(&self, state: &mut State<R>, proc: usize, order: &Order) {
+    fn exchange<R: ProtocolRules>(&self, state: &mut State<R>, process: usize, order: &GrantOrder) {
         let at = self.server_clock(state, 0);
-        let reply = state.servers[0].take(order, at);
-        let now = state.clock(proc);
-        state.procs[proc].granter.answered(order, &reply, now);
+        let reply = state.servers[0].apply_order(order, at);
+        let now = state.clock(process);
+        state.processes[process]
+            .granter
+            .record_reply(order, &reply, now);
     }
 
-    fn next_order<R: Rules>(&self, state: &State<R>, proc: usize) -> Option<Order> {
-        let own = self.domain(state, proc) == 0;
-        let proc = &state.procs[proc];
-        let world = self.world.borrow();
-        let table = world.table(proc.table?);
-        let leave = proc.leave.end(own, GRACE);
+    fn next_order<R: ProtocolRules>(&self, state: &State<R>, process: usize) -> Option<GrantOrder> {
+        let is_own_domain = self.domain(state, process) == 0;
+        let process = &state.processes[process];
+        let interner = self.interner.borrow();
+        let table = interner.table(process.table?);
+        let lease_end = process.lease.end(is_own_domain, GRACE);
         let row = server_row(table, 0);
-        Some(proc.granter.order(table, row, &proc.leave, leave))
+        Some(
+            process
+                .granter
+                .next_order(table, row, &process.lease, lease_end),
+        )
     }
 
     /// What a mover does and hears.
-    pub fn drive<R: Rules>(&self, state: &State<R>, driver: usize, next: &mut Next<R>) {
-        self.drive_read(state, driver, next);
-        self.drive_commit(state, driver, next);
+    pub fn run_driver<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        driver: usize,
+        next: &mut Successors<R>,
+    ) {
+        self.read_table(state, driver, next);
+        self.finish_commit(state, driver, next);
         if state.drivers[driver].mover.is_none() {
             return;
         }
-        for proc in 0..state.procs.len() {
-            let revision = self.revision(state.procs[proc].table);
-            if !self.may_ack(state, proc, revision) {
+        for process in 0..state.processes.len() {
+            let revision = self.revision(state.processes[process].table);
+            if !self.may_ack(state, process, revision) {
                 continue;
             }
             let ack = Ack {
-                instance: INSTANCES[state.procs[proc].number].parse().unwrap(),
-                incarnation: Incarnation(state.procs[proc].incarnation),
+                instance: INSTANCES[state.processes[process].number].parse().unwrap(),
+                incarnation: Incarnation(state.processes[process].incarnation),
                 revision,
             };
             let mut acked = state.clone();
-            self.step(&mut acked, driver, MoveEvent::Acked(ack));
-            push(next, "acknowledge", proc, acked);
+            self.step_mover(&mut acked, driver, MoveEvent::Acked(ack));
+            push(next, "acknowledge", process, acked);
         }
-        if self.setup.revokes {
-            self.drive_revoke(state, driver, next);
+        if self.setup.can_revoke {
+            self.revoke_owner(state, driver, next);
         }
     }
 
-    fn drive_read<R: Rules>(&self, state: &State<R>, driver: usize, next: &mut Next<R>) {
+    fn read_table<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        driver: usize,
+        next: &mut Successors<R>,
+    ) {
         let mut read = state.clone();
         read.drivers[driver].table = state.table;
         if state.drivers[driver].mover.is_some() {
-            self.step(&mut read, driver, MoveEvent::Reread);
+            self.step_mover(&mut read, driver, MoveEvent::Reread);
         } else {
-            self.take_up(&mut read, driver);
+            self.resume_move(&mut read, driver);
         }
         push(next, "mover reads", driver, read);
     }
 
-    fn take_up<R: Rules>(&self, state: &mut State<R>, driver: usize) {
-        let now = state.clock(DRIVER_CLOCKS + driver);
-        let taken = {
-            let world = self.world.borrow();
-            let table = world.table(state.drivers[driver].table);
+    fn resume_move<R: ProtocolRules>(&self, state: &mut State<R>, driver: usize) {
+        let now = state.clock(FIRST_DRIVER_CLOCK + driver);
+        let resumed = {
+            let interner = self.interner.borrow();
+            let table = interner.table(state.drivers[driver].table);
             let service = "balances".parse().unwrap();
-            Mover::<R>::take_up(table, &service, SCOPE, SPANS, now)
+            Mover::<R>::resume(table, &service, SCOPE, DURATIONS, now)
         };
-        if let Some((mover, actions)) = taken {
+        if let Some((mover, actions)) = resumed {
             state.drivers[driver].mover = Some(mover);
-            self.act(state, driver, actions);
+            self.apply_actions(state, driver, actions);
         }
     }
 
     /// The commit takes effect, or its sender gives up on the answer.
-    fn drive_commit<R: Rules>(&self, state: &State<R>, driver: usize, next: &mut Next<R>) {
+    fn finish_commit<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        driver: usize,
+        next: &mut Successors<R>,
+    ) {
         if let Some(write) = state.drivers[driver].commit {
             let mut done = state.clone();
             done.drivers[driver].commit = None;
             self.commit(&mut done, write);
-            if !self.setup.lossy {
-                done.drivers[driver].ended = true;
-                self.step(&mut done, driver, MoveEvent::CommitEnded);
+            if !self.setup.loses_answers {
+                done.drivers[driver].commit_ended = true;
+                self.step_mover(&mut done, driver, MoveEvent::CommitEnded);
             }
             push(next, "move commits", driver, done);
         }
-        if !state.drivers[driver].ended && self.setup.lossy {
+        if !state.drivers[driver].commit_ended && self.setup.loses_answers {
             let mut ended = state.clone();
-            ended.drivers[driver].ended = true;
-            self.step(&mut ended, driver, MoveEvent::CommitEnded);
+            ended.drivers[driver].commit_ended = true;
+            self.step_mover(&mut ended, driver, MoveEvent::CommitEnded);
             push(next, "commit ends", driver, ended);
         }
     }
 
     /// The old owner is revoked; its answer may be lost.
-    fn drive_revoke<R: Rules>(&self, state: &State<R>, driver: usize, next: &mut Next<R>) {
+    fn revoke_owner<R: ProtocolRules>(
+        &self,
+        state: &State<R>,
+        driver: usize,
+        next: &mut Successors<R>,
+    ) {
         let actions = {
-            let world = self.world.borrow();
-            let table = world.table(state.drivers[driver].table);
+            let interner = self.interner.borrow();
+            let table = interner.table(state.drivers[driver].table);
             let mover = state.drivers[driver].mover.as_ref();
             mover.map(|m| m.revoke(table)).unwrap_or_default()
         };
@@ -220,47 +254,57 @@
             let number = server_number(&server);
             let mut accepted = true;
             for grant in &grants {
-                accepted &= lost.servers[number].take_grant(grant.epoch, grant.kind);
+                accepted &= lost.servers[number].apply_grant(grant.epoch, grant.kind);
             }
             let mut heard = lost.clone();
             push(next, "revoke, answer lost", driver, lost);
             if accepted {
                 let epoch = grants[0].epoch;
-                self.step(&mut heard, driver, MoveEvent::Revoked { epoch });
+                self.step_mover(&mut heard, driver, MoveEvent::Revoked { epoch });
                 push(next, "revoke", driver, heard);
             }
         }
     }
 
     /// Steps a mover and does what it asks for.
-    pub fn step<R: Rules>(&self, state: &mut State<R>, driver: usize, event: MoveEvent) {
-        let now = state.clock(DRIVER_CLOCKS + driver);
+    pub fn step_mover<R: ProtocolRules>(
+        &self,
+        state: &mut State<R>,
+        driver: usize,
+        event: MoveEvent,
+    ) {
+        let now = state.clock(FIRST_DRIVER_CLOCK + driver);
         let actions = {
-            let world = self.world.borrow();
-            let table = world.table(state.drivers[driver].table);
+            let interner = self.interner.borrow();
+            let table = interner.table(state.drivers[driver].table);
             let mover = state.drivers[driver].mover.as_mut();
             mover.map(|m| m.step(table, event, now)).unwrap_or_default()
         };
-        self.act(state, driver, actions);
+        self.apply_actions(state, driver, actions);
     }
 
-    fn act<R: Rules>(&self, state: &mut State<R>, driver: usize, actions: Vec<MoveAction>) {
+    fn apply_actions<R: ProtocolRules>(
+        &self,
+        state: &mut State<R>,
+        driver: usize,
+        actions: Vec<MoveAction>,
+    ) {
         for action in actions {
             let slot = &mut state.drivers[driver];
             match action {
                 MoveAction::Commit(commit) => {
-                    slot.commit = Some(self.world.borrow_mut().keep(commit));
-                    slot.ended = false;
+                    slot.commit = Some(self.interner.borrow_mut().intern_commit(commit));
+                    slot.commit_ended = false;
                 }
                 MoveAction::Done { owner, epoch } => {
                     slot.mover = None;
-                    slot.ended = true;
-                    state.done = state.done.max((epoch, server_number(&owner)));
+                    slot.commit_ended = true;
+                    state.last_done = state.last_done.max((epoch, server_number(&owner)));
                     self.check_done(state);
                 }
                 MoveAction::Superseded => {
                     slot.mover = None;
-                    slot.ended = true;
+                    slot.commit_ended = true;
                 }
                 // Acknowledgements and revocations are events of their own;
                 // instances grant what their tables say.
--- a/crates/core/tests/model/state.rs
+++ b/crates/core/tests/model/state.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        actors::{Driver, Late, Proc, Request, Server, before, clock},
-        setup::{SPANS, START, Setup, time},
-        tables::{TableId, WriteId},
+        actors::{DelayedOrder, Driver, Process, Request, Server, first_contact, server_time},
+        setup::{DURATIONS, START_TICK, Setup, time},
+        tables::{CommitId, TableId},
     },
     citron_core::{
         id::{Epoch, Revision},
-        membership::Confirmation,
-        ownership::{Boot, GrantKind, GrantReply, Order, Rules},
+        membership::RoutingLease,
+        ownership::{BootId, GrantKind, GrantOrder, GrantReply, ProtocolRules},
         time::Time,
     },
     std::hash::{Hash, Hasher},
@@ -17,139 +17,143 @@
 
 /// A broken promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Broken {
+pub enum Violation {
     /// A request ran at an owner after one had run at a later owner.
     TwoOwners,
     /// A move that was reported done is not in the table.
-    DoneLost,
+    MoveLost,
     /// Two owners were committed under one epoch, or an epoch went back.
     EpochReused,
 }
 
 /// What is left of the run's bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Left {
+pub struct RunLimits {
     pub moves: u8,
-    pub slips: u8,
-    pub boots: u8,
-    pub held: u8,
+    pub missed_ticks: u8,
+    pub restarts: u8,
+    pub delayed_requests: u8,
     pub orders: u8,
-    pub reads: u8,
+    pub delayed_reads: u8,
 }
 
 /// One state. Parties 0 to 2 are processes, then 2 servers, then drivers; each
 /// has its own count of ticks that its clock missed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct State<R: Rules> {
+pub struct State<R: ProtocolRules> {
     pub now: u8,
     pub table: TableId,
-    pub procs: Vec<Proc<R>>,
+    pub processes: Vec<Process<R>>,
     pub servers: [Server; 2],
     pub drivers: Vec<Driver<R>>,
-    pub begun: Option<WriteId>,
-    pub request: Option<Request>,
-    pub late: Option<Late>,
-    pub missed: [u8; 7],
+    pub pending_begin: Option<CommitId>,
+    pub delayed_request: Option<Request>,
+    pub delayed_order: Option<DelayedOrder>,
+    pub clock_lag: [u8; 7],
     /// The last epoch that a request ran under, and where.
-    pub ran: (Epoch, usize),
+    pub last_run: (Epoch, usize),
     /// The highest owner that was committed.
-    pub owned: (Epoch, usize),
+    pub last_owner: (Epoch, usize),
     /// The last move that was reported done.
-    pub done: (Epoch, usize),
-    pub left: Left,
-    pub broken: Option<Broken>,
+    pub last_done: (Epoch, usize),
+    pub remaining: RunLimits,
+    pub violation: Option<Violation>,
 }
 
-impl<R: Rules> State<R> {
+impl<R: ProtocolRules> State<R> {
     /// Both instances have just read the table; servers are granted.
-    pub fn first(setup: &Setup) -> Self {
-        let mut procs: Vec<_> = (0..setup.instances).map(|n| first_proc(setup, n)).collect();
-        if setup.twin {
-            procs.push(Proc::new(1, 2));
+    pub fn initial(setup: &Setup) -> Self {
+        let mut processes: Vec<_> = (0..setup.instances)
+            .map(|n| initial_process(setup, n))
+            .collect();
+        if setup.has_unlisted {
+            processes.push(Process::new(1, 2));
         }
         Self {
-            now: START,
+            now: START_TICK,
             table: TableId(0),
-            procs,
-            servers: [first_owner(), Server::new(1)],
+            processes,
+            servers: [initial_owner(), Server::new(1)],
             drivers: (0..setup.movers).map(|_| Driver::new()).collect(),
-            begun: None,
-            request: None,
-            late: None,
-            missed: [0; 7],
-            ran: (Epoch(0), 0),
-            owned: (Epoch(1), 0),
-            done: (Epoch(0), 0),
-            left: Left {
+            pending_begin: None,
+            delayed_request: None,
+            delayed_order: None,
+            clock_lag: [0; 7],
+            last_run: (Epoch(0), 0),
+            last_owner: (Epoch(1), 0),
+            last_done: (Epoch(0), 0),
+            remaining: RunLimits {
                 moves: setup.moves,
-                slips: setup.slips,
-                boots: setup.boots,
-                held: setup.held,
+                missed_ticks: setup.missed_ticks,
+                restarts: setup.restarts,
+                delayed_requests: setup.delayed_requests,
                 orders: setup.orders,
-                reads: setup.reads,
+                delayed_reads: setup.delayed_reads,
             },
-            broken: None,
+            violation: None,
         }
     }
 
     /// A party's own clock.
     pub fn clock(&self, party: usize) -> Time {
-        time(self.now - self.missed[party])
+        time(self.now - self.clock_lag[party])
     }
 }
 
-fn first_owner() -> Server {
+fn initial_owner() -> Server {
     Server {
-        until: clock(START) + SPANS.lease,
-        held: Some((Epoch(1), GrantKind::Own)),
+        lease_end: server_time(START_TICK) + DURATIONS.server,
+        last_grant: Some((Epoch(1), GrantKind::Own)),
         ..Server::new(1)
     }
 }
 
-fn first_proc<R: Rules>(setup: &Setup, number: usize) -> Proc<R> {
-    let mut proc = Proc::new(number, 1);
-    proc.table = Some(TableId(0));
-    proc.leave = Confirmation::of_read(time(START), time(START), SPANS);
-    if setup.fenced {
-        proc.granter.answered(&granted(), &met(), before());
+fn initial_process<R: ProtocolRules>(setup: &Setup, number: usize) -> Process<R> {
+    let mut process = Process::new(number, 1);
+    process.table = Some(TableId(0));
+    process.lease = RoutingLease::from_read(time(START_TICK), time(START_TICK), DURATIONS);
+    if setup.is_fenced {
+        process
+            .granter
+            .record_reply(&initial_order(), &initial_reply(), first_contact());
     }
-    proc
+    process
 }
 
 /// The order by which the first owner was brought up to the first table.
-fn granted() -> Order {
-    Order {
-        boot: Some(Boot(1)),
+fn initial_order() -> GrantOrder {
+    GrantOrder {
+        boot: Some(BootId(1)),
         grants: Vec::new(),
         lease: None,
         revision: Revision(1),
     }
 }
 
-fn met() -> GrantReply {
+fn initial_reply() -> GrantReply {
     GrantReply {
-        boot: Boot(1),
-        clock: clock(START - 1),
+        boot: BootId(1),
+        clock: server_time(START_TICK - 1),
         results: Vec::new(),
     }
 }
 
 /// A state and the event that led to it; only the state counts.
 #[derive(Debug, Clone)]
-pub struct Node<R: Rules> {
+pub struct SearchNode<R: ProtocolRules> {
     pub event: (&'static str, usize),
     pub state: State<R>,
 }
 
-impl<R: Rules> PartialEq for Node<R> {
+impl<R: ProtocolRules> PartialEq for SearchNode<R> {
     fn eq(&self, other: &Self) -> bool {
         self.state == other.state
     }
 }
 
-impl<R: Rules> Eq for Node<R> {}
+impl<R: ProtocolRules> Eq for SearchNode<R> {}
 
-impl<R: Rules> Hash for Node<R> {
+impl<R: ProtocolRules> Hash for SearchNode<R> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.state.hash(state);
     }
--- a/crates/core/tests/model/tables.rs
+++ b/crates/core/tests/model/tables.rs
@@ -21,7 +21,7 @@
 /// The instances by number.
 pub const INSTANCES: [&str; 2] = ["instance-0", "instance-1"];
 /// A version that the model's platform takes for "whatever is there".
-pub const ANY: Revision = Revision(u64::MAX);
+pub const ANY_VERSION: Revision = Revision(u64::MAX);
 
 /// Number of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -29,22 +29,22 @@
 
 /// Number of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct WriteId(pub usize);
+pub struct CommitId(pub usize);
 
 /// All tables and commits met so far.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct Interner {
     tables: Vec<Table>,
     commits: Vec<Commit>,
-    known: HashMap<String, usize>,
-    after: HashMap<(TableId, WriteId), Option<TableId>>,
+    ids: HashMap<String, usize>,
+    outcomes: HashMap<(TableId, CommitId), Option<TableId>>,
 }
 
-impl World {
+impl Interner {
     /// A world with the first table as number 0.
     pub fn new(setup: &Setup) -> Self {
-        let mut world = Self::default();
-        let rows = first_rows(setup).into_iter();
+        let mut interner = Self::default();
+        let rows = initial_rows(setup).into_iter();
         let rows = rows.map(|row| (row.key(), Revision(1), Some(row)));
         let changes = Changes {
             since: Revision(0),
@@ -53,8 +53,8 @@
         };
         let mut table = Table::default();
         table.apply(changes).unwrap();
-        world.keep_table(table);
-        world
+        interner.intern_table(table);
+        interner
     }
 
     /// A table by its number.
@@ -63,44 +63,44 @@
     }
 
     /// Names a commit.
-    pub fn keep(&mut self, commit: Commit) -> WriteId {
+    pub fn intern_commit(&mut self, commit: Commit) -> CommitId {
         let text = format!("{commit:?}");
-        if let Some(&id) = self.known.get(&text) {
-            return WriteId(id);
+        if let Some(&id) = self.ids.get(&text) {
+            return CommitId(id);
         }
         self.commits.push(commit);
-        self.known.insert(text, self.commits.len() - 1);
-        WriteId(self.commits.len() - 1)
+        self.ids.insert(text, self.commits.len() - 1);
+        CommitId(self.commits.len() - 1)
     }
 
-    fn keep_table(&mut self, table: Table) -> TableId {
+    fn intern_table(&mut self, table: Table) -> TableId {
         let text = format!("{table:?}");
-        if let Some(&id) = self.known.get(&text) {
+        if let Some(&id) = self.ids.get(&text) {
             return TableId(id);
         }
         self.tables.push(table);
-        self.known.insert(text, self.tables.len() - 1);
+        self.ids.insert(text, self.tables.len() - 1);
         TableId(self.tables.len() - 1)
     }
 
     /// The table after a commit; `None` if a version does not match.
-    pub fn commit(&mut self, at: TableId, write: WriteId) -> Option<TableId> {
-        if let Some(&after) = self.after.get(&(at, write)) {
+    pub fn commit(&mut self, at: TableId, write: CommitId) -> Option<TableId> {
+        if let Some(&after) = self.outcomes.get(&(at, write)) {
             return after;
         }
         let after = self.apply(at, write);
-        self.after.insert((at, write), after);
+        self.outcomes.insert((at, write), after);
         after
     }
 
-    fn apply(&mut self, at: TableId, write: WriteId) -> Option<TableId> {
+    fn apply(&mut self, at: TableId, write: CommitId) -> Option<TableId> {
         let table = &self.tables[at.0];
         let commit = &self.commits[write.0];
-        let fits = |w: &Write| {
+        let version_matches = |w: &Write| {
             let found = table.get(&w.key).map(|found| found.version);
-            w.expect == ANY || w.expect == found.unwrap_or(Revision(0))
+            w.expect == ANY_VERSION || w.expect == found.unwrap_or(Revision(0))
         };
-        if !commit.writes.iter().all(fits) {
+        if !commit.writes.iter().all(version_matches) {
             return None;
         }
         let revision = Revision(table.revision().0 + 1);
@@ -113,18 +113,18 @@
         };
         let mut next = table.clone();
         next.apply(changes).unwrap();
-        Some(self.keep_table(next))
+        Some(self.intern_table(next))
     }
 }
 
 /// The row of one start of an instance.
 fn instance_row(setup: &Setup, number: usize, incarnation: u64) -> InstanceRow {
-    let far = number == 1 && !setup.near;
+    let is_remote = number == 1 && !setup.is_same_domain;
     let address = "127.0.0.1:1".parse().unwrap();
     InstanceRow {
         id: INSTANCES[number].parse().unwrap(),
         incarnation: Incarnation(incarnation),
-        domain: domain(far),
+        domain: domain(is_remote),
         traffic: address,
         peer: address,
         admin: address,
@@ -133,22 +133,22 @@
     }
 }
 
-fn domain(far: bool) -> citron_core::id::DomainName {
-    let name = if far { "domain-2" } else { "domain-1" };
+fn domain(is_remote: bool) -> citron_core::id::DomainName {
+    let name = if is_remote { "domain-2" } else { "domain-1" };
     name.parse().unwrap()
 }
 
-fn first_rows(setup: &Setup) -> Vec<Row> {
+fn initial_rows(setup: &Setup) -> Vec<Row> {
     let block = BlockRow {
         service: "balances".parse().unwrap(),
         block: BlockId(0),
         shards: vec![Assignment::owned(SERVERS[0].parse().unwrap(), Epoch(1))],
     };
     let mut rows = vec![Row::Service(service(setup)), Row::Block(block)];
-    for far in [false, true] {
-        rows.push(Row::Server(server(setup, far)));
+    for is_remote in [false, true] {
+        rows.push(Row::Server(server(setup, is_remote)));
         rows.push(Row::Domain(DomainRow {
-            name: domain(far),
+            name: domain(is_remote),
             state: DomainState::Live,
             confirmers: Vec::new(),
         }));
@@ -159,18 +159,18 @@
     rows
 }
 
-fn server(setup: &Setup, far: bool) -> ServerRow {
+fn server(setup: &Setup, is_remote: bool) -> ServerRow {
     ServerRow {
-        name: SERVERS[usize::from(far)].parse().unwrap(),
+        name: SERVERS[usize::from(is_remote)].parse().unwrap(),
         service: "balances".parse().unwrap(),
-        domain: domain(far),
+        domain: domain(is_remote),
         address: "127.0.0.1:1".parse().unwrap(),
         weight: "1".parse().unwrap(),
         cap: None,
         slots: "4".parse().unwrap(),
         connections: 4,
         // The second owner runs whatever it is given, which is the worst.
-        fencing: match setup.fenced && !far {
+        fencing: match setup.is_fenced && !is_remote {
             true => Fencing::Checked,
             false => Fencing::Unchecked,
         },
@@ -187,7 +187,7 @@
         key: KeyRule::Segment(0),
         idempotent: Vec::new(),
         shards: ShardBits::new(0).unwrap(),
-        deadline: Duration::from_secs(setup.deadline.into()),
+        deadline: Duration::from_secs(setup.deadline_ticks.into()),
         grace: GRACE,
         moves: MoveBudget {
             minute: 1,
--- a/crates/core/tests/ownership_rows.rs
+++ b/crates/core/tests/ownership_rows.rs
@@ -3,10 +3,10 @@
 use {
     citron_core::{
         id::{Epoch, Incarnation, KeyHash, Revision, ShardBits, ShardId},
-        membership::{Confirmation, JoinError, Member, Roster},
+        membership::{JoinError, Member, Membership, RoutingLease},
         ownership::{
-            Ack, Assignment, Boot, GrantReply, Granter, MoveAction, MoveEvent, Mover, Scope, Spans,
-            Strict, begin_move,
+            Ack, Assignment, BootId, GrantReply, Granter, LeaseDurations, MoveAction, MoveEvent,
+            Mover, ProductionRules, Scope, begin_move,
         },
         table::*,
         time::Time,
@@ -136,14 +136,14 @@
     ];
     let mut report = String::new();
     for (service, scope, to) in cases {
-        let begun = begin_move(
+        let result = begin_move(
             &table,
             &service.parse().unwrap(),
             scope,
             &to.parse().unwrap(),
         );
         write!(report, "{service} {scope} to {to}: ").unwrap();
-        match begun {
+        match result {
             Ok(commit) => writeln!(report, "{}", writes(&commit)).unwrap(),
             Err(error) => writeln!(report, "{error}").unwrap(),
         }
@@ -192,26 +192,26 @@
     let mut report = String::new();
     for (fencing, acks) in cases {
         let table = table(fencing);
-        let seen = Time::from_micros(1_000_000);
-        let (mut mover, _) = take_up(&table, seen);
+        let seen_at = Time::from_micros(1_000_000);
+        let (mut mover, _) = resume(&table, seen_at);
         for name in acks {
             let ack = Ack {
                 instance: name.parse().unwrap(),
                 incarnation: Incarnation(1),
                 revision: table.revision(),
             };
-            mover.step(&table, MoveEvent::Acked(ack), seen);
+            mover.step(&table, MoveEvent::Acked(ack), seen_at);
         }
-        let wait = mover.wakes_at().map(|at| at - seen);
+        let wait = mover.next_wakeup().map(|at| at - seen_at);
         writeln!(report, "{fencing:?}, acknowledged by {acks:?}: {wait:?}").unwrap();
     }
     assert_snapshot!(report);
 }
 
-fn take_up(table: &Table, now: Time) -> (Mover<Strict>, Vec<MoveAction>) {
+fn resume(table: &Table, now: Time) -> (Mover<ProductionRules>, Vec<MoveAction>) {
     let service = "balances".parse().unwrap();
     let scope = Scope::Shard(ShardId(1));
-    Mover::take_up(table, &service, scope, Spans::default(), now).unwrap()
+    Mover::resume(table, &service, scope, LeaseDurations::default(), now).unwrap()
 }
 
 /// The caller's keys move although nobody answers: an operator states that the
@@ -221,14 +221,14 @@
 fn a_lost_domain_ends_the_wait() {
     let mut table = table(Fencing::Checked);
     let now = Time::from_micros(1);
-    let (mut mover, first) = take_up(&table, now);
-    let asked = |actions: &[MoveAction]| {
+    let (mut mover, first) = resume(&table, now);
+    let ack_requests = |actions: &[MoveAction]| {
         let asks = actions
             .iter()
-            .filter(|a| matches!(a, MoveAction::AskAck { .. }));
+            .filter(|a| matches!(a, MoveAction::RequestAck { .. }));
         asks.count()
     };
-    assert_eq!(asked(&first), 2);
+    assert_eq!(ack_requests(&first), 2);
     let lost = Row::Domain(DomainRow {
         name: "domain-1".parse().unwrap(),
         state: DomainState::Lost {
@@ -247,24 +247,33 @@
 fn joining_again() {
     let mut table = table(Fencing::Checked);
     let new = instance("near", "domain-1", 2);
-    let mut roster: Roster = Roster::new(Spans::default());
+    let mut membership: Membership = Membership::new(LeaseDurations::default());
     let now = Time::from_micros(1);
-    let taken = roster.join(&table, new.clone(), now);
-    assert!(matches!(taken, Err(JoinError::Taken { .. })));
+    let id_in_use = membership.join(&table, new.clone(), now);
+    assert!(matches!(id_in_use, Err(JoinError::IdInUse { .. })));
 
-    let old = Member::of(&instance("near", "domain-1", 1));
-    let expel = Roster::<Strict>::expel(&table, &old).unwrap();
+    let old = Member::from_row(&instance("near", "domain-1", 1));
+    let expel = Membership::<ProductionRules>::expel(&table, &old).unwrap();
     commit(&mut table, expel);
-    roster.see(&table, now);
-    let early = roster.join(&table, new.clone(), now + 5 * SECOND);
-    assert!(matches!(early, Err(JoinError::NotOver { .. })));
-    assert!(roster.clear(&table, now + 5 * SECOND).is_empty());
-    assert!(!Roster::<Strict>::is_listed(&table, &old));
+    membership.observe(&table, now);
+    let too_early = membership.join(&table, new.clone(), now + 5 * SECOND);
+    assert!(matches!(too_early, Err(JoinError::LeaseNotExpired { .. })));
+    assert!(
+        membership
+            .remove_expelled(&table, now + 5 * SECOND)
+            .is_empty()
+    );
+    assert!(!Membership::<ProductionRules>::is_listed(&table, &old));
 
-    let joined = roster.join(&table, new.clone(), now + 6 * SECOND).unwrap();
+    let joined = membership
+        .join(&table, new.clone(), now + 6 * SECOND)
+        .unwrap();
     commit(&mut table, joined);
-    assert!(Roster::<Strict>::is_listed(&table, &Member::of(&new)));
-    assert!(Roster::<Strict>::expel(&table, &old).is_none());
+    assert!(Membership::<ProductionRules>::is_listed(
+        &table,
+        &Member::from_row(&new)
+    ));
+    assert!(Membership::<ProductionRules>::expel(&table, &old).is_none());
 }
 
 /// The next owner would never run a request: while a shard is on its way to it,
@@ -273,25 +282,25 @@
 #[test]
 fn orders_leave_the_next_epoch_open() {
     let table = table(Fencing::Checked);
-    let seen = Time::from_micros(1);
-    let read = seen + SECOND;
-    let confirmation = Confirmation::of_read(read, read, Spans::default());
+    let seen_at = Time::from_micros(1);
+    let read = seen_at + SECOND;
+    let routing_lease = RoutingLease::from_read(read, read, LeaseDurations::default());
     let mut report = String::new();
     for name in ["a", "b"] {
         let key = RowKey::Server(name.parse().unwrap());
         let Row::Server(row) = &table.get(&key).unwrap().value else {
             panic!("not a server");
         };
-        let mut granter: Granter = Granter::new(Spans::default());
-        let ask = granter.order(&table, row, &confirmation, read);
+        let mut granter: Granter = Granter::new(LeaseDurations::default());
+        let clock_query = granter.next_order(&table, row, &routing_lease, read);
         let reply = GrantReply {
-            boot: Boot(1),
+            boot: BootId(1),
             clock: SECOND,
             results: Vec::new(),
         };
-        granter.answered(&ask, &reply, seen);
-        let leave = confirmation.end(true, 5 * SECOND);
-        let order = granter.order(&table, row, &confirmation, leave);
+        granter.record_reply(&clock_query, &reply, seen_at);
+        let lease_end = routing_lease.end(true, 5 * SECOND);
+        let order = granter.next_order(&table, row, &routing_lease, lease_end);
         for grant in &order.grants {
             writeln!(
                 report,
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -5,8 +5,8 @@
         id::{KeyHash, ServerName, ShardBits, ShardId, Weight},
         ownership::Scope,
         placement::{
-            Candidate, HotChange, HotKeys, HotLimits, Load, Planner, PlannerLimits, Proposal,
-            Reason, ScopeLoad, View,
+            Candidate, HotKeyChange, HotKeyLimits, HotKeyTracker, Load, MoveReason, Planner,
+            PlannerLimits, Proposal, ScopeLoad, ServiceView,
         },
         table::MoveBudget,
         time::Time,
@@ -16,7 +16,7 @@
 
 const KEYS: u64 = 100_000;
 const SERVERS: usize = 20;
-const TOTAL: f64 = 60_000_000.0;
+const TOTAL_LOAD: f64 = 60_000_000.0;
 
 fn name(number: usize) -> ServerName {
     format!("server-{number:02}").parse().unwrap()
@@ -26,8 +26,8 @@
     let make = |number| Candidate {
         name: name(number),
         weight: Weight(100),
-        warmth: 100,
-        cap: None,
+        warmup_percent: 100,
+        rate_cap: None,
     };
     (0..count).map(make).collect()
 }
@@ -36,23 +36,23 @@
 fn key_loads() -> Vec<(KeyHash, Load)> {
     let weights: Vec<f64> = (1..=KEYS).map(|rank| (rank as f64).powf(-0.99)).collect();
     let sum: f64 = weights.iter().sum();
-    let load = |weight: &f64| Load((weight / sum * TOTAL) as u64);
+    let load = |weight: &f64| Load((weight / sum * TOTAL_LOAD) as u64);
     let keys = (0..KEYS).map(|number| KeyHash::of(format!("set-{number}").as_bytes()));
     keys.zip(weights.iter().map(load)).collect()
 }
 
 /// A service of 1,024 shards.
-fn view(servers: usize, out: &[KeyHash]) -> View {
-    view_of(10, servers, out)
+fn view(servers: usize, extracted: &[KeyHash]) -> ServiceView {
+    view_with_bits(10, servers, extracted)
 }
 
-/// A service whose keys in `out` are owned alone; nothing has an owner yet.
-fn view_of(bits: u8, servers: usize, out: &[KeyHash]) -> View {
+/// A service whose keys in `extracted` are owned alone; nothing has an owner yet.
+fn view_with_bits(bits: u8, servers: usize, extracted: &[KeyHash]) -> ServiceView {
     let bits = ShardBits::new(bits).unwrap();
     let shards = (0..bits.shards()).map(|shard| (Scope::Shard(ShardId(shard)), 0));
     let mut loads: BTreeMap<Scope, u64> = shards.collect();
     for (key, load) in key_loads() {
-        let scope = match out.contains(&key) {
+        let scope = match extracted.contains(&key) {
             true => Scope::Key(key),
             false => Scope::Shard(bits.shard_of(key)),
         };
@@ -63,19 +63,19 @@
         owner: None,
         load: Load(load),
         rate: 0,
-        moving: false,
+        is_moving: false,
     });
-    View {
+    ServiceView {
         servers: candidates(servers),
         scopes: scopes.collect(),
-        moves: MoveBudget {
+        move_budget: MoveBudget {
             minute: 1_000,
             threshold: 105,
         },
     }
 }
 
-fn apply(view: &mut View, moves: &[Proposal]) {
+fn apply(view: &mut ServiceView, moves: &[Proposal]) {
     for change in moves {
         let found = view
             .scopes
@@ -86,7 +86,7 @@
 }
 
 /// Load of the fullest server over the mean, in percent.
-fn imbalance(view: &View) -> u64 {
+fn imbalance(view: &ServiceView) -> u64 {
     let mut loads: BTreeMap<&ServerName, u64> = view
         .servers
         .iter()
@@ -101,7 +101,11 @@
     loads.values().max().unwrap() * 100 * loads.len() as u64 / total
 }
 
-fn settle(view: &mut View, planner: &mut Planner, mut now: Time) -> Vec<Proposal> {
+fn plan_until_stable(
+    view: &mut ServiceView,
+    planner: &mut Planner,
+    mut now: Time,
+) -> Vec<Proposal> {
     let mut all = Vec::new();
     for _ in 0..40 {
         let moves = planner.plan(view, now);
@@ -115,20 +119,20 @@
 /// The keys that the tracker takes out after the hold time.
 fn hot_keys() -> Vec<KeyHash> {
     let loads = key_loads();
-    let mean = Load(TOTAL as u64 / SERVERS as u64);
-    let watched: Vec<_> = loads
+    let mean = Load(TOTAL_LOAD as u64 / SERVERS as u64);
+    let tracked: Vec<_> = loads
         .iter()
         .take(400)
         .map(|(key, load)| (*key, *load, false))
         .collect();
-    let mut hot = HotKeys::new(HotLimits::default());
-    assert!(hot.step(&watched, mean, Time::ZERO).is_empty());
-    let changes = hot.step(&watched, mean, Time::ZERO + Duration::from_secs(10));
-    let out = changes.iter().map(|change| match change {
-        HotChange::Out(key) => *key,
-        HotChange::Back(_) => panic!("nothing is out yet"),
+    let mut tracker = HotKeyTracker::new(HotKeyLimits::default());
+    assert!(tracker.update(&tracked, mean, Time::ZERO).is_empty());
+    let changes = tracker.update(&tracked, mean, Time::ZERO + Duration::from_secs(10));
+    let extracted = changes.iter().map(|change| match change {
+        HotKeyChange::Extract(key) => *key,
+        HotKeyChange::Return(_) => panic!("nothing is out yet"),
     });
-    out.collect()
+    extracted.collect()
 }
 
 /// Imbalance by shard count, with hot keys left in their shards or owned alone.
@@ -137,30 +141,30 @@
 /// hot keys out makes little difference to it.
 #[test]
 fn imbalance_at_zipf_load() {
-    let out = hot_keys();
-    let hottest = key_loads()[0].1.0 * 100 * SERVERS as u64 / TOTAL as u64;
-    let settled = |bits, servers, out: &[KeyHash]| {
-        let mut view = view_of(bits, servers, out);
-        settle(&mut view, &mut Planner::default(), Time::ZERO);
+    let extracted = hot_keys();
+    let hottest = key_loads()[0].1.0 * 100 * SERVERS as u64 / TOTAL_LOAD as u64;
+    let settled_imbalance = |bits, servers, extracted: &[KeyHash]| {
+        let mut view = view_with_bits(bits, servers, extracted);
+        plan_until_stable(&mut view, &mut Planner::default(), Time::ZERO);
         imbalance(&view)
     };
     let mut lines = vec![format!(
         "keys out {}, floor of 20 servers {hottest}%",
-        out.len()
+        extracted.len()
     )];
     for (bits, servers) in [(6, 8), (8, 8), (10, 8), (12, 8), (6, 20), (8, 20), (10, 20)] {
-        let left = settled(bits, servers, &[]);
-        let alone = settled(bits, servers, &out);
+        let in_shards = settled_imbalance(bits, servers, &[]);
+        let in_overrides = settled_imbalance(bits, servers, &extracted);
         let shards = 1 << bits;
         lines.push(format!(
-            "{servers} servers, {shards} shards: in {left}%, alone {alone}%"
+            "{servers} servers, {shards} shards: in {in_shards}%, alone {in_overrides}%"
         ));
         if servers == 8 {
-            assert!(alone <= 110 && left <= 110);
+            assert!(in_overrides <= 110 && in_shards <= 110);
         }
     }
     insta::assert_snapshot!(lines.join("\n"));
-    assert!(settled(10, SERVERS, &out) <= hottest);
+    assert!(settled_imbalance(10, SERVERS, &extracted) <= hottest);
 }
 
 /// One server is lost. Its shards get new owners at once, whatever the budget;
@@ -169,8 +173,8 @@
 fn a_lost_server_moves_only_its_own_shards() {
     let mut view = view(SERVERS, &[]);
     let mut planner = Planner::default();
-    settle(&mut view, &mut planner, Time::ZERO);
-    view.moves.minute = 0;
+    plan_until_stable(&mut view, &mut planner, Time::ZERO);
+    view.move_budget.minute = 0;
     let lost = view.servers.remove(3).name;
     let before: Vec<ScopeLoad> = view.scopes.clone();
     let moves = Planner::default().plan(&view, Time::ZERO + Duration::from_secs(3_600));
@@ -182,30 +186,34 @@
     let mut moved: Vec<Scope> = moves.iter().map(|change| change.scope).collect();
     moved.sort();
     assert_eq!(moved, owned);
-    assert!(moves.iter().all(|change| change.reason == Reason::Orphan));
+    assert!(
+        moves
+            .iter()
+            .all(|change| change.reason == MoveReason::Unassigned)
+    );
 }
 
 /// A weight is halved and set back within the hold time: nothing moves. Set back
 /// later, no shard moves more than once on the way back.
 #[test]
 fn a_weight_set_back_moves_nothing_twice() {
-    let out = hot_keys();
-    let mut view = view(8, &out);
+    let extracted = hot_keys();
+    let mut view = view(8, &extracted);
     let mut planner = Planner::new(PlannerLimits::default());
-    settle(&mut view, &mut planner, Time::ZERO);
+    plan_until_stable(&mut view, &mut planner, Time::ZERO);
     let start = Time::ZERO + Duration::from_secs(3_600);
 
     view.servers[5].weight = Weight(50);
-    let dip = planner.plan(&view, start);
+    let during_dip = planner.plan(&view, start);
     view.servers[5].weight = Weight(100);
-    let back = planner.plan(&view, start + Duration::from_secs(9));
-    assert_eq!((dip.len(), back.len()), (0, 0));
+    let after_return = planner.plan(&view, start + Duration::from_secs(9));
+    assert_eq!((during_dip.len(), after_return.len()), (0, 0));
 
     view.servers[5].weight = Weight(50);
-    let away = settle(&mut view, &mut planner, start + Duration::from_secs(60));
-    assert!(!away.is_empty());
+    let moved_away = plan_until_stable(&mut view, &mut planner, start + Duration::from_secs(60));
+    assert!(!moved_away.is_empty());
     view.servers[5].weight = Weight(100);
-    let returned = settle(&mut view, &mut planner, start + Duration::from_secs(3_600));
+    let returned = plan_until_stable(&mut view, &mut planner, start + Duration::from_secs(3_600));
     let mut scopes: Vec<Scope> = returned.iter().map(|change| change.scope).collect();
     scopes.sort();
     scopes.dedup();
@@ -218,10 +226,10 @@
 /// and one more every 15 seconds.
 #[test]
 fn balance_keeps_to_its_budget() {
-    let out = hot_keys();
-    let mut view = view(8, &out);
-    settle(&mut view, &mut Planner::default(), Time::ZERO);
-    view.moves.minute = 4;
+    let extracted = hot_keys();
+    let mut view = view(8, &extracted);
+    plan_until_stable(&mut view, &mut Planner::default(), Time::ZERO);
+    view.move_budget.minute = 4;
     view.servers.extend(candidates(9).pop());
     let mut planner = Planner::default();
     let mut counts = Vec::new();
@@ -240,9 +248,9 @@
     for scope in &mut view.scopes {
         scope.rate = 1;
     }
-    settle(&mut view, &mut Planner::default(), Time::ZERO);
-    view.servers[0].cap = Some(100);
-    settle(&mut view, &mut Planner::default(), Time::ZERO);
+    plan_until_stable(&mut view, &mut Planner::default(), Time::ZERO);
+    view.servers[0].rate_cap = Some(100);
+    plan_until_stable(&mut view, &mut Planner::default(), Time::ZERO);
     let owned = view
         .scopes
         .iter()
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -28,7 +28,7 @@
 
 fn registry() -> (Registry, ServerName) {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(0));
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(0));
     (registry, "s-1".parse().unwrap())
 }
 
@@ -38,14 +38,14 @@
 #[test]
 fn entries_that_lapse_with_the_store_are_given_time() {
     let (mut registry, name) = registry();
-    registry.store_back(at(1_000));
-    registry.replaced(Vec::new(), at(1_010));
+    registry.on_store_recovered(at(1_000));
+    registry.replace_all(Vec::new(), at(1_010));
     assert_eq!(registry.state(&name), OwnerState::Serving);
     registry.tick(at(3_100));
     assert_eq!(registry.state(&name), OwnerState::Serving);
     registry.tick(at(3_300));
     assert_eq!(registry.state(&name), OwnerState::Leaving);
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(4_000));
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(4_000));
     assert_eq!(registry.state(&name), OwnerState::Serving);
 }
 
@@ -54,9 +54,9 @@
 #[test]
 fn an_entry_that_vanishes_otherwise_is_a_server_that_leaves() {
     let (mut registry, name) = registry();
-    registry.removed("s-1", at(500));
+    registry.remove_entry("s-1", at(500));
     assert_eq!(registry.state(&name), OwnerState::Leaving);
-    assert_eq!(registry.get(&name).unwrap().left, Some(at(500)));
+    assert_eq!(registry.get(&name).unwrap().leaving_since, Some(at(500)));
 }
 
 /// The time to drain counts from the first news. A server that writes its leaving
@@ -64,13 +64,13 @@
 #[test]
 fn leaving_counts_from_the_first_news() {
     let (mut registry, name) = registry();
-    registry.listed(entry("s-1", 1, ServerState::Leaving), at(100));
-    registry.listed(entry("s-1", 1, ServerState::Leaving), at(900));
-    registry.removed("s-1", at(1_500));
-    assert_eq!(registry.get(&name).unwrap().left, Some(at(100)));
+    registry.apply_entry(entry("s-1", 1, ServerState::Leaving), at(100));
+    registry.apply_entry(entry("s-1", 1, ServerState::Leaving), at(900));
+    registry.remove_entry("s-1", at(1_500));
+    assert_eq!(registry.get(&name).unwrap().leaving_since, Some(at(100)));
 }
 
-fn born(name: &str, port: u16) -> ServerEntry {
+fn ready_entry(name: &str, port: u16) -> ServerEntry {
     entry(name, port, ServerState::Ready)
 }
 
@@ -84,10 +84,10 @@
 #[test]
 fn a_later_start_at_the_address_proves_the_end() {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
-    registry.listed(born("s-1@1000", 1), at(0));
-    registry.removed("s-1", at(100));
+    registry.apply_entry(ready_entry("s-1@1000", 1), at(0));
+    registry.remove_entry("s-1", at(100));
     assert_eq!(state(&registry, "s-1@1000"), OwnerState::Leaving);
-    registry.listed(born("s-2@5000", 1), at(200));
+    registry.apply_entry(ready_entry("s-2@5000", 1), at(200));
     assert_eq!(state(&registry, "s-1@1000"), OwnerState::Ended);
     assert_eq!(state(&registry, "s-2@5000"), OwnerState::Serving);
 }
@@ -99,16 +99,16 @@
 #[test]
 fn a_late_heartbeat_of_a_former_start_proves_nothing() {
     let (mut registry, _) = registry();
-    registry.removed("s-1", at(4_860));
-    registry.listed(entry("s-2", 1, ServerState::Ready), at(8_190));
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(9_420));
+    registry.remove_entry("s-1", at(4_860));
+    registry.apply_entry(entry("s-2", 1, ServerState::Ready), at(8_190));
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(9_420));
     assert_eq!(state(&registry, "s-2"), OwnerState::Serving);
     assert_eq!(state(&registry, "s-1"), OwnerState::Leaving);
     assert!(
         registry
             .get(&"s-1".parse().unwrap())
             .unwrap()
-            .is_displaced()
+            .has_address_conflict()
     );
 }
 
@@ -118,7 +118,7 @@
 #[test]
 fn an_entry_with_a_servers_address_does_not_free_its_keys() {
     let (mut registry, _) = registry();
-    registry.listed(entry("s-9", 1, ServerState::Ready), at(500));
+    registry.apply_entry(entry("s-9", 1, ServerState::Ready), at(500));
     assert_ne!(state(&registry, "s-1"), OwnerState::Ended);
     assert_ne!(state(&registry, "s-9"), OwnerState::Ended);
 }
@@ -129,14 +129,14 @@
 #[test]
 fn a_start_under_the_same_id_is_another_server() {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
-    registry.listed(born("s-1@1000", 1), at(0));
-    registry.listed(born("s-1@5000", 2), at(300));
-    registry.listed(born("s-1@1000", 1), at(400));
+    registry.apply_entry(ready_entry("s-1@1000", 1), at(0));
+    registry.apply_entry(ready_entry("s-1@5000", 2), at(300));
+    registry.apply_entry(ready_entry("s-1@1000", 1), at(400));
     assert_eq!(state(&registry, "s-1@1000"), OwnerState::Ended);
     assert_eq!(state(&registry, "s-1@5000"), OwnerState::Serving);
-    registry.removed("s-1", at(900));
+    registry.remove_entry("s-1", at(900));
     assert_eq!(state(&registry, "s-1@5000"), OwnerState::Leaving);
-    registry.listed(born("s-1@5000", 2), at(1_200));
+    registry.apply_entry(ready_entry("s-1@5000", 2), at(1_200));
     assert_eq!(state(&registry, "s-1@5000"), OwnerState::Serving);
 }
 
@@ -145,8 +145,8 @@
 #[test]
 fn a_late_entry_in_the_whole_list_does_not_remove_the_new_start() {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
-    registry.listed(born("s-1@5000", 1), at(0));
-    registry.replaced(vec![born("s-1@1000", 1)], at(100));
+    registry.apply_entry(ready_entry("s-1@5000", 1), at(0));
+    registry.replace_all(vec![ready_entry("s-1@1000", 1)], at(100));
     assert_eq!(state(&registry, "s-1@5000"), OwnerState::Serving);
 }
 
@@ -156,14 +156,14 @@
 #[test]
 fn an_entry_that_turned_unreadable_is_given_time() {
     let (mut registry, _) = registry();
-    registry.unreadable("s-1", at(500));
+    registry.mark_unreadable("s-1", at(500));
     registry.tick(at(2_600));
     assert_eq!(state(&registry, "s-1"), OwnerState::Serving);
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(2_650));
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(2_650));
     registry.tick(at(9_000));
     assert_eq!(state(&registry, "s-1"), OwnerState::Serving);
-    registry.unreadable("s-1", at(9_100));
-    registry.unreadable("s-1", at(11_000));
+    registry.mark_unreadable("s-1", at(9_100));
+    registry.mark_unreadable("s-1", at(11_000));
     registry.tick(at(11_400));
     assert_eq!(state(&registry, "s-1"), OwnerState::Leaving);
 }
@@ -176,9 +176,9 @@
 fn a_server_that_leaves_after_an_outage_of_ours_alone_is_not_kept_beyond_its_drain() {
     let drain = Duration::from_secs(2);
     let mut registry = Registry::new(RegistryTimes::for_drain(drain));
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(0));
-    registry.store_back(at(1_000));
-    registry.removed("s-1", at(1_080));
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(0));
+    registry.on_store_recovered(at(1_000));
+    registry.remove_entry("s-1", at(1_080));
     registry.tick(at(1_080) + drain);
     assert_eq!(registry.state(&"s-1".parse().unwrap()), OwnerState::Leaving);
 }
@@ -190,17 +190,20 @@
     let (mut registry, name) = registry();
     let east = || "east".parse().unwrap();
     registry.evacuate(east(), at(1_000));
-    registry.listed(entry("s-2", 2, ServerState::Ready), at(1_500));
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(1_500));
+    registry.apply_entry(entry("s-2", 2, ServerState::Ready), at(1_500));
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(1_500));
     for server in ["s-1", "s-2"].map(|name| name.parse().unwrap()) {
         assert_eq!(registry.state(&server), OwnerState::Leaving);
-        let known = registry.get(&server).unwrap();
-        assert_eq!(known.evacuated, Some(at(1_000)));
-        assert!(!known.is_open() && known.is_listed());
+        let record = registry.get(&server).unwrap();
+        assert_eq!(record.evacuated_since, Some(at(1_000)));
+        assert!(!record.is_available() && record.is_listed());
     }
     registry.evacuate(east(), at(2_000));
-    assert_eq!(registry.get(&name).unwrap().evacuated, Some(at(1_000)));
-    registry.restore(&east(), Duration::from_secs(3), at(3_000));
+    assert_eq!(
+        registry.get(&name).unwrap().evacuated_since,
+        Some(at(1_000))
+    );
+    registry.end_evacuation(&east(), Duration::from_secs(3), at(3_000));
     assert_eq!(registry.state(&name), OwnerState::Serving);
 }
 
@@ -209,14 +212,14 @@
 #[test]
 fn the_earlier_of_drain_and_evacuation_ends_requests_to_an_owner() {
     let (mut registry, name) = registry();
-    let bounds = SendBounds::within(Duration::from_secs(2), Duration::from_secs(5));
-    assert_eq!(registry.get(&name).unwrap().last_send(&bounds), None);
+    let bounds = SendBounds::from_limits(Duration::from_secs(2), Duration::from_secs(5));
+    assert_eq!(registry.get(&name).unwrap().send_deadline(&bounds), None);
     registry.evacuate("east".parse().unwrap(), at(0));
-    let evacuated = registry.get(&name).unwrap().last_send(&bounds);
+    let evacuated = registry.get(&name).unwrap().send_deadline(&bounds);
     assert!(evacuated.is_some_and(|last| last < at(5_000)));
-    registry.listed(entry("s-1", 1, ServerState::Leaving), at(100));
-    let both = registry.get(&name).unwrap().last_send(&bounds);
-    assert!(both < evacuated);
+    registry.apply_entry(entry("s-1", 1, ServerState::Leaving), at(100));
+    let earliest = registry.get(&name).unwrap().send_deadline(&bounds);
+    assert!(earliest < evacuated);
 }
 
 /// Guards against servers taken for warm that have become cold in an evacuated domain and
@@ -229,12 +232,18 @@
         warm_up: Duration::ZERO,
         ..warm
     };
-    registry.listed(warm.clone(), at(4_000));
-    assert!(registry.get(&name).unwrap().warm_up(at(4_000)).is_zero());
+    registry.apply_entry(warm.clone(), at(4_000));
+    assert!(
+        registry
+            .get(&name)
+            .unwrap()
+            .remaining_warm_up(at(4_000))
+            .is_zero()
+    );
     registry.evacuate("east".parse().unwrap(), at(5_000));
-    registry.restore(&"east".parse().unwrap(), Duration::from_secs(3), at(9_000));
-    registry.listed(warm, at(9_500));
-    let cold = registry.get(&name).unwrap().warm_up(at(9_500));
+    registry.end_evacuation(&"east".parse().unwrap(), Duration::from_secs(3), at(9_000));
+    registry.apply_entry(warm, at(9_500));
+    let cold = registry.get(&name).unwrap().remaining_warm_up(at(9_500));
     assert!(cold > Duration::from_secs(3), "{cold:?}");
 }
 
@@ -243,8 +252,14 @@
 #[test]
 fn a_server_becomes_cold_again() {
     let (mut registry, name) = registry();
-    assert!(registry.get(&name).unwrap().warm_up(at(3_100)).is_zero());
-    registry.listed(entry("s-1", 1, ServerState::Ready), at(60_000));
-    let cold = registry.get(&name).unwrap().warm_up(at(61_000));
+    assert!(
+        registry
+            .get(&name)
+            .unwrap()
+            .remaining_warm_up(at(3_100))
+            .is_zero()
+    );
+    registry.apply_entry(entry("s-1", 1, ServerState::Ready), at(60_000));
+    let cold = registry.get(&name).unwrap().remaining_warm_up(at(61_000));
     assert_eq!(cold, Duration::from_secs(2));
 }
--- a/crates/core/tests/slo.rs
+++ b/crates/core/tests/slo.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::{Epoch, Revision, ServerName, ServiceName, ShardBits, Slots, Weight},
-        membership::Confirmation,
+        membership::RoutingLease,
         ownership::{Assignment, Phase},
         routing::{RouteMap, Snapshot},
         slo::{Minute, Reach, Record, ServiceReport, Tally, moved_shards},
@@ -177,10 +177,10 @@
 fn shards_are_closed_while_moving_and_without_leave() {
     let second = Duration::from_secs(1);
     let read = Time::from_micros(0) + second;
-    let confirmation = Confirmation {
-        anywhere: read + second,
-        platform: read,
-        domain: read + 100 * second,
+    let confirmation = RoutingLease {
+        any_domain_until: read + second,
+        read_started: read,
+        own_domain_until: read + 100 * second,
     };
     let cases = [("at rest", false), ("one released", true)];
     let mut lines = Vec::new();
--- a/crates/core/tests/stale/world.rs
+++ b/crates/core/tests/stale/world.rs
@@ -7,7 +7,7 @@
             run_share,
         },
         id::{InstanceId, Slots},
-        registry::{Known, Place, ServerEntry, ServerState},
+        registry::{AddressClaim, ServerEntry, ServerRecord, ServerState},
         time::Time,
     },
     rand::{Rng, SeedableRng},
@@ -150,7 +150,7 @@
 }
 
 struct Server {
-    known: Known,
+    known: ServerRecord,
     domain: usize,
     speed: f64,
     running: usize,
@@ -396,8 +396,8 @@
     }
 }
 
-fn known(number: usize, domain: usize, slots: u32) -> Known {
-    Known {
+fn known(number: usize, domain: usize, slots: u32) -> ServerRecord {
+    ServerRecord {
         entry: ServerEntry {
             name: format!("s-{number}").parse().unwrap(),
             service: "postings".parse().unwrap(),
@@ -407,10 +407,10 @@
             state: ServerState::Ready,
             warm_up: Duration::ZERO,
         },
-        left: None,
-        seen: Time::ZERO,
-        cold: Time::ZERO,
-        evacuated: None,
-        place: Place::Own,
+        leaving_since: None,
+        first_seen: Time::ZERO,
+        cold_until: Time::ZERO,
+        evacuated_since: None,
+        address_claim: AddressClaim::Exclusive,
     }
 }
--- a/crates/core/tests/surge/main.rs
+++ b/crates/core/tests/surge/main.rs
@@ -204,7 +204,8 @@
 /// servers, with other slots, run times and loads.
 #[test]
 fn keys_leave_an_evacuated_domain_within_the_bound() {
-    let bound = SendBounds::within(Duration::from_millis(2_500), Duration::from_secs(5)).evacuation;
+    let bound =
+        SendBounds::from_limits(Duration::from_millis(2_500), Duration::from_secs(5)).evacuation;
     let shapes = [
         (5, 2, 150, 20),
         (12, 4, 220, 80),
--- a/crates/fakes/src/backend/fence.rs
+++ b/crates/fakes/src/backend/fence.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::{Epoch, ServiceName},
-        ownership::{Boot, Grant, GrantKind, GrantReply, GrantResult, Lease, Scope},
+        ownership::{BootId, Grant, GrantKind, GrantReply, GrantResult, Scope, ServerLease},
     },
     std::{collections::BTreeMap, time::Duration},
 };
@@ -17,22 +17,22 @@
 /// Grants and lease of one start of a server.
 ///
 /// ```
-/// use {citron_core::ownership::Boot, citron_fakes::backend::Fence, std::time::Duration};
-/// let fence = Fence::new(Boot(1));
+/// use {citron_core::ownership::BootId, citron_fakes::backend::Fence, std::time::Duration};
+/// let fence = Fence::new(BootId(1));
 /// let scope = citron_core::ownership::Scope::Shard("0".parse().unwrap());
 /// let service = "balances".parse().unwrap();
 /// assert!(!fence.allows(&service, scope, "1".parse().unwrap(), Duration::ZERO));
 /// ```
 #[derive(Debug, Clone)]
 pub struct Fence {
-    boot: Boot,
+    boot: BootId,
     until: Duration,
     held: BTreeMap<(ServiceName, Scope), Held>,
 }
 
 impl Fence {
     /// The fence of a server that has just started: nothing is allowed.
-    pub fn new(boot: Boot) -> Self {
+    pub fn new(boot: BootId) -> Self {
         Self {
             boot,
             until: Duration::ZERO,
@@ -43,9 +43,9 @@
     /// Takes an order; `clock` is the server's own.
     pub fn order(
         &mut self,
-        boot: Option<Boot>,
+        boot: Option<BootId>,
         grants: &[Grant],
-        lease: Option<Lease>,
+        lease: Option<ServerLease>,
         clock: Duration,
     ) -> GrantReply {
         let mine = boot.is_none_or(|boot| boot == self.boot);
--- a/crates/fakes/src/backend/server.rs
+++ b/crates/fakes/src/backend/server.rs
@@ -5,7 +5,7 @@
     crate::http::{Answer, json, plain},
     citron_core::{
         id::{Epoch, ServiceName},
-        ownership::{Boot, Grant, GrantKind, GrantResult, Lease, Scope},
+        ownership::{BootId, Grant, GrantKind, GrantResult, Scope, ServerLease},
     },
     citron_wire::grant::{
         GRANTS_PATH, GrantOrderWire, GrantReplyWire, GrantResultWire, HEADER_EPOCH, HEADER_REFUSED,
@@ -71,7 +71,7 @@
     /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, config: BackendConfig) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let boot = Boot(wall_micros());
+        let boot = BootId(wall_micros());
         let server = Self {
             address: listener.local_addr()?,
             runs: Runs::default(),
@@ -178,8 +178,8 @@
             Ok(grants) => grants,
             Err(error) => return plain(StatusCode::BAD_REQUEST, error.to_string().into_bytes()),
         };
-        let boot = order.boot.map(Boot);
-        let lease = order.lease.map(Lease::from);
+        let boot = order.boot.map(BootId);
+        let lease = order.lease.map(ServerLease::from);
         let clock = self.started.elapsed();
         self.thawed().await;
         let reply = self.fence().order(boot, &grants, lease, clock);
--- a/crates/ports/src/grants.rs
+++ b/crates/ports/src/grants.rs
@@ -3,7 +3,7 @@
 use {
     crate::PlatformError,
     citron_core::{
-        ownership::{Boot, Grant, GrantReply, Lease},
+        ownership::{BootId, Grant, GrantReply, ServerLease},
         table::ServerRow,
     },
     std::future::Future,
@@ -17,8 +17,8 @@
     fn order(
         &self,
         server: &ServerRow,
-        boot: Option<Boot>,
+        boot: Option<BootId>,
         grants: &[Grant],
-        lease: Option<Lease>,
+        lease: Option<ServerLease>,
     ) -> impl Future<Output = Result<GrantReply, PlatformError>>;
 }
--- a/crates/ports/src/servers.rs
+++ b/crates/ports/src/servers.rs
@@ -4,7 +4,7 @@
     crate::{Grants, PlatformError},
     bytes::Bytes,
     citron_core::{
-        ownership::{Boot, Grant, GrantReply, Lease},
+        ownership::{BootId, Grant, GrantReply, ServerLease},
         table::ServerRow,
     },
     citron_wire::grant::{
@@ -120,9 +120,9 @@
     async fn order(
         &self,
         server: &ServerRow,
-        boot: Option<Boot>,
+        boot: Option<BootId>,
         grants: &[Grant],
-        lease: Option<Lease>,
+        lease: Option<ServerLease>,
     ) -> Result<GrantReply, PlatformError> {
         let order = GrantOrderWire {
             boot: boot.map(|boot| boot.0),
--- a/crates/ports/tests/grants.rs
+++ b/crates/ports/tests/grants.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::{Epoch, ServerName, ShardId, Slots, Weight},
-        ownership::{Boot, Grant, GrantKind, GrantReply, GrantResult, Lease, Scope},
+        ownership::{BootId, Grant, GrantKind, GrantReply, GrantResult, Scope, ServerLease},
         table::{Fencing, ServerRow, ServerState},
     },
     citron_fakes::{
@@ -135,8 +135,8 @@
     let client = HttpServers::default();
     let row = row(server.address);
     let asked = client.order(&row, None, &[], None).await.unwrap();
-    let older = Boot(asked.boot.0 - 1);
-    let lease = Lease {
+    let older = BootId(asked.boot.0 - 1);
+    let lease = ServerLease {
         boot: older,
         until: asked.clock + Duration::from_secs(60),
     };
--- a/crates/wire/src/grant/grant_wire.rs
+++ b/crates/wire/src/grant/grant_wire.rs
@@ -7,7 +7,7 @@
     },
     citron_core::{
         id::Epoch,
-        ownership::{Boot, Grant, GrantKind, GrantReply, GrantResult, Lease, Scope},
+        ownership::{BootId, Grant, GrantKind, GrantReply, GrantResult, Scope, ServerLease},
     },
     serde::{Deserialize, Serialize},
     std::time::Duration,
@@ -78,8 +78,8 @@
     pub until_us: u64,
 }
 
-impl From<&Lease> for LeaseWire {
-    fn from(core: &Lease) -> Self {
+impl From<&ServerLease> for LeaseWire {
+    fn from(core: &ServerLease) -> Self {
         Self {
             boot: core.boot.0,
             until_us: u64::try_from(core.until.as_micros()).unwrap_or(u64::MAX),
@@ -87,10 +87,10 @@
     }
 }
 
-impl From<LeaseWire> for Lease {
+impl From<LeaseWire> for ServerLease {
     fn from(wire: LeaseWire) -> Self {
         Self {
-            boot: Boot(wire.boot),
+            boot: BootId(wire.boot),
             until: Duration::from_micros(wire.until_us),
         }
     }
@@ -143,7 +143,7 @@
             },
         };
         Self {
-            boot: Boot(wire.boot),
+            boot: BootId(wire.boot),
             clock: Duration::from_micros(wire.clock_us),
             results: wire.results.into_iter().map(result).collect(),
         }
--- a/crates/wire/src/peer/status.rs
+++ b/crates/wire/src/peer/status.rs
@@ -5,7 +5,7 @@
     crate::{WireError, error::parse, peer_capnp::status},
     citron_core::{
         id::{Incarnation, Revision},
-        membership::{InstanceStatus, Remaining},
+        membership::{InstanceStatus, RemainingLease},
     },
     std::time::Duration,
 };
@@ -16,10 +16,10 @@
     builder.set_incarnation(core.incarnation.0);
     builder.set_domain(core.domain.as_str());
     builder.set_revision(core.revision.0);
-    builder.set_leaving(core.leaving);
-    if let Some(left) = &core.left {
+    builder.set_leaving(core.is_leaving);
+    if let Some(left) = &core.remaining {
         builder.set_confirmed(true);
-        builder.set_remaining(micros(left.anywhere));
+        builder.set_remaining(micros(left.any_domain));
         builder.set_age(micros(left.age));
     }
 }
@@ -29,8 +29,8 @@
 /// # Errors
 /// [`WireError`] if a name is not valid or the message is damaged.
 pub fn read_status(reader: status::Reader<'_>) -> Result<InstanceStatus, WireError> {
-    let left = Remaining {
-        anywhere: Duration::from_micros(reader.get_remaining()),
+    let left = RemainingLease {
+        any_domain: Duration::from_micros(reader.get_remaining()),
         age: Duration::from_micros(reader.get_age()),
     };
     Ok(InstanceStatus {
@@ -38,8 +38,8 @@
         incarnation: Incarnation(reader.get_incarnation()),
         domain: parse("domain", text(reader.get_domain())?)?,
         revision: Revision(reader.get_revision()),
-        left: reader.get_confirmed().then_some(left),
-        leaving: reader.get_leaving(),
+        remaining: reader.get_confirmed().then_some(left),
+        is_leaving: reader.get_leaving(),
     })
 }
 
