--- a/crates/citronproxy/src/edge/control/apply.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -130,17 +130,17 @@
                 let cold_span = state.config.as_ref().map(|config| config.cold_span());
                 state
                     .registry
-                    .restore(&domain, cold_span.unwrap_or_default(), now);
+                    .end_evacuation(&domain, cold_span.unwrap_or_default(), now);
             }
         }
-        let evacuated = state.registry.evacuated().len();
+        let evacuated = state.registry.evacuated_domains().len();
         self.metrics.evacuated_domains.set(evacuated as i64);
     }
 
     fn apply_server(&self, state: &mut ControlState, row: &Row, is_logged: bool) {
         let now = self.clock.now();
         if row.value.is_none() {
-            let retention = state.registry.removed(&row.key, now);
+            let retention = state.registry.remove_entry(&row.key, now);
             let (event, id, version) = (events::SERVER_STATE, &row.key, row.version);
             if is_logged {
                 log::info!("{event} {id}: listed no more, row {version}, kept for {retention:?}");
@@ -154,11 +154,11 @@
                     let (event, version) = (events::SERVER_STATE, row.version);
                     log::info!("{event} {}: {:?}, row {version}", entry.name, entry.state);
                 }
-                state.registry.listed(entry, now);
+                state.registry.apply_entry(entry, now);
             }
             Err(error) => {
                 log::error!("{} {error}", events::SERVER_REFUSED);
-                state.registry.unreadable(&row.key, now);
+                state.registry.mark_unreadable(&row.key, now);
             }
         }
     }
--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -363,7 +363,10 @@
         let Some(outage) = outage.filter(|_| table == SERVERS) else {
             return;
         };
-        self.state.borrow_mut().registry.store_back(outage.end);
+        self.state
+            .borrow_mut()
+            .registry
+            .on_store_recovered(outage.end);
         log::info!("{} nothing heard for {:?}", events::STORE_BACK, outage.span);
     }
 
@@ -408,7 +411,7 @@
         if new_peers > heartbeat::LOGGED_PEERS_MAX {
             log::info!("{} {new_peers} instances", events::PEER_HEARD);
         }
-        let servers = self.state.borrow_mut().registry.lists().clone();
+        let servers = self.state.borrow_mut().registry.server_lists().clone();
         let state = self.state.borrow();
         let Some(config) = &state.config else { return };
         if state.replicas[1].version == 0 {
--- a/crates/citronproxy/src/edge/control/planner/capacity.rs
+++ b/crates/citronproxy/src/edge/control/planner/capacity.rs
@@ -2,7 +2,8 @@
 
 use {
     citron_core::{
-        dispatch::LoadBook, ranges::Capacity, registry::Known, slowstart::SlowStart, time::Time,
+        dispatch::LoadBook, ranges::Capacity, registry::ServerRecord, slowstart::SlowStart,
+        time::Time,
     },
     std::time::Duration,
 };
@@ -24,8 +25,8 @@
 
 /// Whether a service's servers seem to be complete: none is new, or the first
 /// has waited long enough.
-pub fn is_server_set_complete(servers: &[&Known], is_requested: bool, now: Time) -> bool {
-    let ages = || servers.iter().map(|known| now - known.seen);
+pub fn is_server_set_complete(servers: &[&ServerRecord], is_requested: bool, now: Time) -> bool {
+    let ages = || servers.iter().map(|known| now - known.first_seen);
     let newest = ages().min().unwrap_or_default();
     let oldest = ages().max().unwrap_or_default();
     let oldest_max = if is_requested {
@@ -39,12 +40,12 @@
 /// What servers can do, by the run times measured. Cold ones that would crash above a
 /// rate take no more keys.
 pub fn capacities(
-    servers: &[&Known],
+    servers: &[&ServerRecord],
     slow_start: Option<SlowStart>,
     loads: &LoadBook,
     now: Time,
 ) -> Vec<Capacity> {
-    let servers: Vec<(&Known, Option<f64>)> = servers
+    let servers: Vec<(&ServerRecord, Option<f64>)> = servers
         .iter()
         .map(|known| (*known, loads.get(&known.entry.name).run(now)))
         .collect();
@@ -53,9 +54,9 @@
         0 => DEFAULT_RUN_SECS,
         count => run_times.iter().sum::<f64>() / count as f64,
     };
-    let capacity = |(known, run): &(&Known, Option<f64>)| {
+    let capacity = |(known, run): &(&ServerRecord, Option<f64>)| {
         let speed = (mean_run / run.unwrap_or(mean_run)).clamp(SPEED_RANGE[0], SPEED_RANGE[1]);
-        let is_warm = known.warm_up(now).is_zero();
+        let is_warm = known.remaining_warm_up(now).is_zero();
         let cold_factor = if is_warm { 1.0 } else { COLD_SPEED_FACTOR };
         let rate = f64::from(known.entry.slots.0) * speed * cold_factor / mean_run;
         let rate_limit = slow_start
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -200,9 +200,9 @@
 ) -> Option<(SocketAddr, String)> {
     let state = controller.state.borrow();
     let address = state.registry.get(server)?.entry.address;
-    let mut listed = state.registry.at(&address);
+    let mut listed = state.registry.servers_at(&address);
     let listening = listed
-        .find(|known| known.is_open())
+        .find(|known| known.is_available())
         .or(state.registry.get(server))?;
     let config = state.config.as_ref()?;
     let service = config.service(&listening.entry.service)?;
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -167,7 +167,7 @@
 
 fn drop_unused_connections<A: Adapter>(controller: &Controller<A>, orders: &OrderClient) {
     let state = controller.state.borrow();
-    orders.retain(|address| state.registry.at(address).next().is_some());
+    orders.retain(|address| state.registry.servers_at(address).next().is_some());
 }
 
 /// Gives up once another start has the leadership, or this one leaves.
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -15,7 +15,7 @@
             Balance, BalanceLimits, Demand, EvenClock, KeyRange, LeaseBook, LeaseTimes, Order,
             OrderEnd, RangeMap, Reconciler, Scope,
         },
-        registry::Known,
+        registry::ServerRecord,
     },
     citron_ports::Adapter,
     std::collections::BTreeMap,
@@ -129,7 +129,12 @@
     /// Decides which keys move.
     pub fn plan<A: Adapter>(&mut self, controller: &Controller<A>, lease_times: LeaseTimes) {
         let now = controller.clock.now();
-        let lists = controller.state.borrow_mut().registry.lists().clone();
+        let lists = controller
+            .state
+            .borrow_mut()
+            .registry
+            .server_lists()
+            .clone();
         let state = controller.state.borrow();
         let Some(config) = &state.config else { return };
         let has_sudden_change = controller.demands.borrow_mut().take_sudden_change();
@@ -149,7 +154,7 @@
             });
             let servers = lists.get(name).map_or(&[][..], |list| list.as_slice());
             let servers = servers.iter().map(|known| &**known);
-            let open: Vec<&Known> = servers.filter(|known| known.is_open()).collect();
+            let open: Vec<&ServerRecord> = servers.filter(|known| known.is_available()).collect();
             let is_requested = controller.demands.borrow().is_requested(name);
             let deal = is_server_set_complete(&open, is_requested, now);
             let capacities = capacities(&open, service.slow_start, &controller.shared.loads(), now);
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -173,7 +173,7 @@
         move |request: &Request<_>| ready::answer(&shared, &names.ready, request.uri().path());
     spawn_local(http_server::serve(balancers, is_ready));
     let front = Rc::new(Front {
-        bounds: SendBounds::within(settings.drain_period, settings.evacuation_period),
+        bounds: SendBounds::from_limits(settings.drain_period, settings.evacuation_period),
         leaving: board.subscribe_leaving(),
         board,
         settings,
