--- a/crates/core/src/ranges/balance/mod.rs
+++ b/crates/core/src/ranges/balance/mod.rs
@@ -1,9 +1,9 @@
 //! Which keys should go from one server to another.
 
-mod joins;
 mod limits;
+mod merge;
 mod plan;
-mod shifts;
+mod rebalance;
 
 pub use {
     limits::{BalanceLimits, Capacity, Shift},
--- a/crates/core/src/ranges/mod.rs
+++ b/crates/core/src/ranges/mod.rs
@@ -6,27 +6,27 @@
 //! planner, one instance at a time, orders grants and releases.
 
 mod balance;
-mod book;
+mod balance_timer;
 mod demand;
 mod error;
-mod even;
 mod key;
+mod leases;
 mod map;
-mod news;
-mod parts;
+mod move_log;
+mod partitions;
 mod reconciler;
 mod windows;
 
 pub use {
     balance::{Balance, BalanceLimits, Capacity, Shift},
-    book::{LeaseBook, LeaseTimes},
+    balance_timer::EvenClock,
     demand::{Demand, KeyDemand},
     error::RangeError,
-    even::EvenClock,
     key::{KeyRange, RangeKey},
+    leases::{LeaseBook, LeaseTimes},
     map::{RangeMap, Slice},
-    news::{MoveLog, MoveNews, OwnerHint},
-    parts::{MapPart, PartedMap, partition},
+    move_log::{MoveLog, MoveNews, OwnerHint},
+    partitions::{MapPart, PartedMap, partition},
     reconciler::{Order, OrderEnd, OwnerState, Owners, Reconciler, Scope},
     windows::DemandWindows,
 };
--- a/crates/core/src/ranges/reconciler/mod.rs
+++ b/crates/core/src/ranges/reconciler/mod.rs
@@ -4,7 +4,7 @@
 mod moves;
 mod order;
 mod renewals;
-mod window;
+mod send_window;
 
 use {
     super::{Balance, KeyRange, LeaseBook, MoveNews, OwnerHint, RangeMap},
--- a/crates/core/src/ranges/reconciler/renewals.rs
+++ b/crates/core/src/ranges/reconciler/renewals.rs
@@ -1,7 +1,7 @@
 //! Grants and their renewals.
 
 use {
-    super::{AGAIN, Order, OrderEnd, Reconciler, moves::unmoved, window::Window},
+    super::{AGAIN, Order, OrderEnd, Reconciler, moves::unmoved, send_window::Window},
     crate::{
         id::Epoch,
         ranges::{KeyRange, RangeKey, Slice},
