--- a/crates/citronproxy/src/edge/board.rs
+++ b/crates/citronproxy/src/edge/board.rs
@@ -7,7 +7,7 @@
         crash::{CrashConfig, CrashLog},
         dispatch::LoadBook,
         id::ServiceName,
-        ranges::{MoveLog, MoveNews, OwnerHint, RangeKey, Slice},
+        ranges::{MoveLog, MoveNotice, OwnerHint, RangeKey, Slice},
         time::Time,
     },
     std::{
@@ -91,9 +91,9 @@
     }
 
     /// Takes in what the planner says of keys on their way.
-    pub fn note_move(&self, service: &ServiceName, news: MoveNews, now: Time) {
+    pub fn note_move(&self, service: &ServiceName, news: MoveNotice, now: Time) {
         let mut moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
-        moves.entry(service.clone()).or_default().note(news, now);
+        moves.entry(service.clone()).or_default().insert(news, now);
     }
 
     /// What is newer about a key than its slice of the map tells.
@@ -109,7 +109,7 @@
     }
 
     /// What was told lately of a service's keys on their way.
-    pub fn move_news(&self, service: &ServiceName, now: Time) -> Vec<MoveNews> {
+    pub fn move_news(&self, service: &ServiceName, now: Time) -> Vec<MoveNotice> {
         let moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
         let log = moves.get(service);
         log.map_or_else(Vec::new, |log| log.recent(now).cloned().collect())
--- a/crates/citronproxy/src/edge/control/demands.rs
+++ b/crates/citronproxy/src/edge/control/demands.rs
@@ -31,7 +31,7 @@
     /// Looks whether other keys of a service are asked for all of a sudden.
     pub fn look(&mut self, service: &ServiceName, now: Time) -> bool {
         let windows = self.services.get_mut(service);
-        let sudden = windows.is_some_and(|windows| windows.look(now));
+        let sudden = windows.is_some_and(|windows| windows.detect_change(now));
         self.sudden |= sudden;
         sudden
     }
@@ -55,6 +55,6 @@
     /// The demand that plans go by.
     pub fn seen(&self, service: &ServiceName, now: Time) -> Demand {
         let windows = self.services.get(service);
-        windows.map_or_else(Demand::default, |windows| windows.seen(now))
+        windows.map_or_else(Demand::default, |windows| windows.snapshot(now))
     }
 }
--- a/crates/citronproxy/src/edge/control/intake.rs
+++ b/crates/citronproxy/src/edge/control/intake.rs
@@ -8,7 +8,7 @@
     },
     crate::events,
     citron_core::{
-        ranges::MapPart,
+        ranges::MapPartition,
         registry::Evacuation,
         time::{StoreTime, Time},
     },
@@ -181,7 +181,7 @@
     let wire = serde_json::from_slice::<MapWire>(value).map_err(|error| error.to_string());
     match wire.and_then(|wire| wire.into_slices(range)) {
         Ok(slices) => {
-            Arc::make_mut(map).put(MapPart {
+            Arc::make_mut(map).insert(MapPartition {
                 range,
                 version,
                 slices,
--- a/crates/citronproxy/src/edge/control/moves.rs
+++ b/crates/citronproxy/src/edge/control/moves.rs
@@ -5,7 +5,7 @@
     crate::events,
     citron_core::{
         id::ServiceName,
-        ranges::{MoveNews, Order, OwnerHint, Slice},
+        ranges::{MoveNotice, Order, OwnerHint, Slice},
     },
     citron_ports::Adapter,
     citron_wire::heartbeat::{Datagram, MovesWire},
@@ -22,7 +22,7 @@
 /// News that wait to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    waiting: RefCell<Vec<(ServiceName, MoveNews)>>,
+    waiting: RefCell<Vec<(ServiceName, MoveNotice)>>,
     filled: Notify,
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// Sends news of one service in as many datagrams as it takes.
-async fn send<A: Adapter>(node: &Node<A>, socket: &UdpSocket, news: &[(ServiceName, MoveNews)]) {
+async fn send<A: Adapter>(node: &Node<A>, socket: &UdpSocket, news: &[(ServiceName, MoveNotice)]) {
     let others = node.state.borrow().peers.addresses(node.clock.now());
     let mut parts = vec![news];
     while let Some(part) = parts.pop() {
@@ -59,7 +59,7 @@
     }
 }
 
-fn encode(news: &[(ServiceName, MoveNews)]) -> Option<Vec<u8>> {
+fn encode(news: &[(ServiceName, MoveNotice)]) -> Option<Vec<u8>> {
     let (service, _) = news.first()?;
     let moves = news.iter().map(|(_, news)| news.clone().into());
     let wire = MovesWire {
@@ -74,10 +74,10 @@
     pub fn announce_releases(&self, orders: &[(ServiceName, Order)]) {
         let releases = orders.iter().filter_map(|(service, order)| match order {
             Order::Release { range, epoch, .. } => {
-                let news = MoveNews {
+                let news = MoveNotice {
                     range: *range,
                     epoch: *epoch,
-                    place: OwnerHint::Released,
+                    hint: OwnerHint::Released,
                 };
                 Some((service.clone(), news))
             }
@@ -89,15 +89,15 @@
     /// Tells all instances that a server holds the keys of a slice now.
     pub fn announce_owner(&self, service: &ServiceName, slice: &Slice) {
         let Some(owner) = &slice.owner else { return };
-        let news = MoveNews {
+        let news = MoveNotice {
             range: slice.range,
             epoch: slice.epoch,
-            place: OwnerHint::Owned(owner.clone()),
+            hint: OwnerHint::Owned(owner.clone()),
         };
         self.announce(vec![(service.clone(), news)]);
     }
 
-    fn announce(&self, news: Vec<(ServiceName, MoveNews)>) {
+    fn announce(&self, news: Vec<(ServiceName, MoveNotice)>) {
         if news.is_empty() {
             return;
         }
@@ -116,7 +116,7 @@
         };
         let now = self.clock.now();
         for news in wire.moves {
-            match MoveNews::try_from(news) {
+            match MoveNotice::try_from(news) {
                 Ok(news) => self.board.note_move(&service, news, now),
                 Err(error) => log::warn!("{} {error}", events::DATAGRAM_REFUSED),
             }
--- a/crates/citronproxy/src/edge/control/node.rs
+++ b/crates/citronproxy/src/edge/control/node.rs
@@ -22,7 +22,7 @@
             StoreOutage, VersionTracker,
         },
         id::{InstanceId, ServerName, ServiceName},
-        ranges::{MapPart, PartedMap},
+        ranges::{MapPartition, PartitionedMap},
         registry::{Registry, RegistryTimes},
         routes::RouteConfig,
         slowstart::{COLD_WINDOW, Group},
@@ -80,7 +80,7 @@
     /// The newest configuration.
     pub config: Option<Arc<RouteConfig>>,
     /// Owners of keys.
-    pub maps: BTreeMap<ServiceName, Arc<PartedMap>>,
+    pub maps: BTreeMap<ServiceName, Arc<PartitionedMap>>,
     /// Who plans.
     pub leadership: Option<Leadership>,
     /// Other instances.
@@ -365,12 +365,12 @@
     }
 
     /// Takes in parts of a map that this instance has just written.
-    pub fn committed(&self, service: &ServiceName, parts: &[MapPart], version: u64) {
+    pub fn committed(&self, service: &ServiceName, parts: &[MapPartition], version: u64) {
         let mut state = self.state.borrow_mut();
         let map = state.maps.entry(service.clone()).or_default();
         let map = Arc::make_mut(map);
         for part in parts {
-            map.put(MapPart {
+            map.insert(MapPartition {
                 range: part.range,
                 version,
                 slices: part.slices.clone(),
--- a/crates/citronproxy/src/edge/control/planner/capacity.rs
+++ b/crates/citronproxy/src/edge/control/planner/capacity.rs
@@ -58,7 +58,7 @@
         Capacity {
             server: known.entry.name.clone(),
             rate: rate.min(limit.unwrap_or(f64::INFINITY)),
-            takes: limit.is_none(),
+            accepts_keys: limit.is_none(),
         }
     };
     servers.iter().map(capacity).collect()
--- a/crates/citronproxy/src/edge/control/planner/claim.rs
+++ b/crates/citronproxy/src/edge/control/planner/claim.rs
@@ -14,7 +14,7 @@
         },
         events,
     },
-    citron_core::ranges::{Demand, EvenClock, LeaseBook, LeaseTimes, Reconciler},
+    citron_core::ranges::{BalanceTimer, Demand, LeaseTimes, LeaseTracker, Reconciler},
     citron_ports::{Adapter, RowCommit, RowStore, RowTable, StoreError},
     std::rc::Rc,
     tokio::task::spawn_local,
@@ -81,7 +81,13 @@
     if !term.before.is_empty() {
         let (leadership, before) = (term.leadership.clone(), term.before.clone());
         let node = Rc::clone(node);
-        spawn_local(formers::note(node, leadership, before, begun, times.blind));
+        spawn_local(formers::note(
+            node,
+            leadership,
+            before,
+            begun,
+            times.outage_limit,
+        ));
     }
     Some(term)
 }
@@ -94,13 +100,13 @@
         return None;
     }
     let now = node.clock.now();
-    let foreign = formers::stopped_by(&state, &before, times.blind, now);
+    let foreign = formers::stopped_by(&state, &before, times.outage_limit, now);
     let maps = state.maps.iter();
     let plans = maps.filter_map(|(service, map)| {
-        let book = LeaseBook::new(times, foreign);
-        let mut reconciler = Reconciler::new(map.whole()?, book);
+        let book = LeaseTracker::new(times, foreign);
+        let mut reconciler = Reconciler::new(map.to_map()?, book);
         for news in node.board.move_news(service, now) {
-            reconciler.note_release(&news);
+            reconciler.restore_release(&news);
         }
         let demand = Demand::default();
         let plan = ServicePlan { reconciler, demand };
@@ -118,6 +124,6 @@
         leadership,
         before,
         plans,
-        even: EvenClock::new(now),
+        even: BalanceTimer::new(now),
     })
 }
--- a/crates/citronproxy/src/edge/control/planner/commit.rs
+++ b/crates/citronproxy/src/edge/control/planner/commit.rs
@@ -11,7 +11,9 @@
     },
     citron_core::{
         id::ServiceName,
-        ranges::{KeyRange, MapPart, OrderEnd, PartedMap, RangeMap, partition},
+        ranges::{
+            KeyRange, MapPartition, OrderOutcome, PartitionedMap, RangeMap, partition_ranges,
+        },
     },
     citron_ports::{Adapter, RowCommit, RowStore, RowTable, StoreError},
     std::{sync::Arc, time::Duration},
@@ -19,7 +21,7 @@
 };
 
 /// What became of a commit, and the version of the newest row then.
-pub type Committed = (OrderEnd, u64);
+pub type Committed = (OrderOutcome, u64);
 
 /// How long a commit may be unanswered before it is sent again under the same
 /// condition; above what a store takes that is sixty times slower than usual.
@@ -48,35 +50,35 @@
     let stored = node.state.borrow().maps.get(service).cloned();
     let stored = stored.unwrap_or_default();
     let most = (node.settings.row_bytes / SLICE_BYTES).clamp(1, SLICES_MAX);
-    let mut newest = stored.newest();
+    let mut newest = stored.max_version();
     for changes in Changes::between(&stored, map, most).transactions() {
         let commit = changes.commit(service, leadership, &stored);
         match write(node, service, &changes.parts, &commit, leadership).await {
-            (OrderEnd::Done { .. }, version) => newest = version,
+            (OrderOutcome::Done { .. }, version) => newest = version,
             end => return end,
         }
     }
-    (OrderEnd::Done { handover: None }, newest)
+    (OrderOutcome::Done { handover: None }, newest)
 }
 
 /// What a map has that differs from the stored one.
 struct Changes {
-    parts: Vec<MapPart>,
+    parts: Vec<MapPartition>,
     removes: Vec<KeyRange>,
 }
 
 impl Changes {
-    fn between(stored: &PartedMap, map: &RangeMap, most: usize) -> Self {
-        let ranges = partition(map, stored, most);
+    fn between(stored: &PartitionedMap, map: &RangeMap, most: usize) -> Self {
+        let ranges = partition_ranges(map, stored, most);
         let removes = stored.ranges().filter(|range| !ranges.contains(range));
         let removes = removes.collect();
-        let part = |range: KeyRange| MapPart {
+        let part = |range: KeyRange| MapPartition {
             range,
             version: 0,
-            slices: map.within(range),
+            slices: map.slices_in(range),
         };
         let parts = ranges.into_iter().map(part);
-        let parts = parts.filter(|part| !stored.holds(part)).collect();
+        let parts = parts.filter(|part| !stored.matches(part)).collect();
         Self { parts, removes }
     }
 
@@ -86,7 +88,7 @@
         let mut parts = self.parts.into_iter().peekable();
         let mut removes = self.removes.into_iter().peekable();
         while parts.peek().is_some() || removes.peek().is_some() {
-            let parts: Vec<MapPart> = parts.by_ref().take(PARTS_MAX).collect();
+            let parts: Vec<MapPartition> = parts.by_ref().take(PARTS_MAX).collect();
             let room = if parts.len() == PARTS_MAX {
                 0
             } else {
@@ -98,7 +100,7 @@
         all
     }
 
-    fn commit(&self, service: &ServiceName, leadership: u64, stored: &PartedMap) -> RowCommit {
+    fn commit(&self, service: &ServiceName, leadership: u64, stored: &PartitionedMap) -> RowCommit {
         let key = |range: KeyRange| {
             let service = service.clone();
             MapKey { service, range }.to_string()
@@ -127,7 +129,7 @@
 async fn write<A: Adapter>(
     node: &Node<A>,
     service: &ServiceName,
-    parts: &[MapPart],
+    parts: &[MapPartition],
     commit: &RowCommit,
     leadership: u64,
 ) -> Committed {
@@ -138,7 +140,7 @@
                 node.store_answered(begun, None);
                 node.confirmed(begun);
                 node.committed(service, parts, version);
-                return (OrderEnd::Done { handover: None }, version);
+                return (OrderOutcome::Done { handover: None }, version);
             }
             Err(StoreError::Conflict) => {
                 if let Some(committed) = settle(node, service, parts).await {
@@ -151,13 +153,13 @@
                 let event = events::ROW_REJECTED;
                 log::error!("{event} map of {service}, {largest} bytes a row: {reason}");
                 sleep(INVALID_PAUSE).await;
-                return (OrderEnd::Unknown, 0);
+                return (OrderOutcome::Unknown, 0);
             }
             Err(error) => node.store_failed("commit", &error),
         }
         watch::pause(node).await;
     }
-    (OrderEnd::Unknown, 0)
+    (OrderOutcome::Unknown, 0)
 }
 
 async fn send<A: Adapter>(node: &Node<A>, commit: &RowCommit) -> Result<u64, StoreError> {
@@ -170,15 +172,15 @@
 async fn settle<A: Adapter>(
     node: &Node<A>,
     service: &ServiceName,
-    parts: &[MapPart],
+    parts: &[MapPartition],
 ) -> Option<Committed> {
     if !refresh::read_maps(node).await {
         return None;
     }
     let state = node.state.borrow();
     let stored = state.maps.get(service).map(Arc::clone).unwrap_or_default();
-    if parts.iter().all(|part| stored.holds(part)) {
-        return Some((OrderEnd::Done { handover: None }, stored.newest()));
+    if parts.iter().all(|part| stored.matches(part)) {
+        return Some((OrderOutcome::Done { handover: None }, stored.max_version()));
     }
-    Some((OrderEnd::Outdated, 0))
+    Some((OrderOutcome::Outdated, 0))
 }
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -5,7 +5,7 @@
     bytes::Bytes,
     citron_core::{
         id::ServerName,
-        ranges::{LeaseTimes, Order, OrderEnd, Slice},
+        ranges::{LeaseTimes, Order, OrderOutcome, Slice},
     },
     citron_ports::{Adapter, CallError, KeptClient},
     http::{HeaderValue, Request, Response, StatusCode},
@@ -47,7 +47,7 @@
         node: &Node<A>,
         order: &Order,
         times: &LeaseTimes,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         match order {
             Order::Grant(slice) => self.grant(node, slice, times).await,
             Order::Release {
@@ -64,14 +64,16 @@
                 };
                 let answer = self.call(node, server, request, RELEASE_TIME).await;
                 let mut end = released(node, &answer);
-                if answer.is_ok() && end == OrderEnd::Unknown && self.is_passed(node, server).await
+                if answer.is_ok()
+                    && end == OrderOutcome::Unknown
+                    && self.is_passed(node, server).await
                 {
-                    end = OrderEnd::Done { handover: None };
+                    end = OrderOutcome::Done { handover: None };
                 }
                 log::debug!("release {range} at {server}, epoch {epoch}: {end:?}");
                 end
             }
-            Order::Commit(_) => OrderEnd::Unknown,
+            Order::Commit(_) => OrderOutcome::Unknown,
         }
     }
 
@@ -112,14 +114,14 @@
         node: &Node<A>,
         slice: &Slice,
         times: &LeaseTimes,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         let Some(owner) = &slice.owner else {
-            return OrderEnd::Unknown;
+            return OrderOutcome::Unknown;
         };
-        let request = node.adapter.grant(slice, times.hold);
-        let answer = self.call(node, owner, request, times.order).await;
+        let request = node.adapter.grant(slice, times.lease);
+        let answer = self.call(node, owner, request, times.order_timeout).await;
         match answer.map(|answer| answer.status()) {
-            Ok(StatusCode::OK) => OrderEnd::Done { handover: None },
+            Ok(StatusCode::OK) => OrderOutcome::Done { handover: None },
             Ok(StatusCode::CONFLICT) => {
                 log::info!(
                     "{} {} at {owner}, epoch {}: a higher one was seen",
@@ -127,7 +129,7 @@
                     slice.range,
                     slice.epoch
                 );
-                OrderEnd::Outdated
+                OrderOutcome::Outdated
             }
             Ok(status) => {
                 log::warn!(
@@ -135,13 +137,13 @@
                     events::GRANT_REFUSED,
                     slice.range
                 );
-                OrderEnd::Unknown
+                OrderOutcome::Unknown
             }
             Err(error) => {
                 log::debug!("grant of {} to {owner}: {error}", slice.range);
                 match error {
-                    CallError::NotSent(_) => OrderEnd::NotSent,
-                    CallError::Unknown(_) => OrderEnd::Unknown,
+                    CallError::NotSent(_) => OrderOutcome::NotSent,
+                    CallError::Unknown(_) => OrderOutcome::Unknown,
                 }
             }
         }
@@ -184,17 +186,20 @@
     Some((address, service.health.clone()))
 }
 
-fn released<A: Adapter>(node: &Node<A>, answer: &Result<Response<Bytes>, CallError>) -> OrderEnd {
+fn released<A: Adapter>(
+    node: &Node<A>,
+    answer: &Result<Response<Bytes>, CallError>,
+) -> OrderOutcome {
     match answer {
-        Ok(answer) if answer.status() == StatusCode::OK => OrderEnd::Done {
+        Ok(answer) if answer.status() == StatusCode::OK => OrderOutcome::Done {
             handover: node.adapter.handover(answer.headers()),
         },
         // The order names the start that it is for, and another one has answered
         // at the address: a process listens there that is not the one released,
         // which therefore has ended and holds nothing.
         Ok(answer) if answer.status() == StatusCode::MISDIRECTED_REQUEST => {
-            OrderEnd::Done { handover: None }
+            OrderOutcome::Done { handover: None }
         }
-        _ => OrderEnd::Unknown,
+        _ => OrderOutcome::Unknown,
     }
 }
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -13,7 +13,7 @@
     },
     citron_core::{
         id::ServiceName,
-        ranges::{LeaseTimes, Order, OrderEnd},
+        ranges::{LeaseTimes, Order, OrderOutcome},
         time::Time,
     },
     citron_ports::Adapter,
@@ -34,7 +34,7 @@
 
 /// Watches the leadership, and plans while this instance has it.
 pub async fn run<A: Adapter>(node: Rc<Node<A>>) {
-    let times = LeaseTimes::within(node.settings.lease);
+    let times = LeaseTimes::with_max_lease(node.settings.lease);
     let orders = Rc::new(Orders::default());
     let (ended, mut results) = mpsc::unbounded_channel::<Ended>();
     let mut election = Election::new(node.clock.now());
@@ -135,11 +135,13 @@
         let (end, version) = match &order {
             // The process stood still since the order was decided. Leases are
             // counted from then: sent now, a grant would outlast its count.
-            _ if self.node.clock.now() - self.begun > times.start => (OrderEnd::NotSent, 0),
+            _ if self.node.clock.now() - self.begun > times.start_timeout => {
+                (OrderOutcome::NotSent, 0)
+            }
             Order::Commit(map) => commit(&self.node, &service, map, self.leadership).await,
             order => (self.orders.send(&self.node, order, &times).await, 0),
         };
-        let done = matches!(end, OrderEnd::Done { .. });
+        let done = matches!(end, OrderOutcome::Done { .. });
         self.node.counts.count_order(&order, done);
         let result = Ended {
             service,
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -12,8 +12,8 @@
     citron_core::{
         id::ServiceName,
         ranges::{
-            Balance, BalanceLimits, Demand, EvenClock, KeyRange, LeaseBook, LeaseTimes, Order,
-            OrderEnd, RangeMap, Reconciler, Scope,
+            BalanceLimits, BalanceTimer, Balancer, Demand, KeyRange, LeaseTimes, LeaseTracker,
+            Order, OrderOutcome, PlanScope, RangeMap, Reconciler,
         },
         registry::Known,
     },
@@ -31,7 +31,7 @@
     /// The order.
     pub order: Order,
     /// What became of it.
-    pub end: OrderEnd,
+    pub end: OrderOutcome,
     /// Version of the newest row after a commit that was done.
     pub version: u64,
 }
@@ -55,7 +55,7 @@
     /// By service.
     pub plans: BTreeMap<ServiceName, ServicePlan>,
     /// When keys are moved for balance.
-    pub even: EvenClock,
+    pub even: BalanceTimer,
 }
 
 impl Term {
@@ -70,28 +70,28 @@
         };
         if matches!(result.order, Order::Commit(_)) {
             match result.end {
-                OrderEnd::Done { .. } => {
+                OrderOutcome::Done { .. } => {
                     log::info!(
                         "{} service={} version={} slices={} moves={}",
                         events::KEYS_MOVED,
                         result.service,
                         result.version,
                         plan.reconciler.map().slices().len(),
-                        plan.reconciler.moves()
+                        plan.reconciler.move_count()
                     );
                 }
-                OrderEnd::Outdated => {
+                OrderOutcome::Outdated => {
                     // Something else lies in the store: it counts.
                     let state = node.state.borrow();
                     let map = state.maps.get(&result.service);
-                    if let Some(map) = map.and_then(|map| map.whole()) {
+                    if let Some(map) = map.and_then(|map| map.to_map()) {
                         plan.reconciler.reload(map);
                     }
                 }
-                OrderEnd::Unknown | OrderEnd::NotSent => {}
+                OrderOutcome::Unknown | OrderOutcome::NotSent => {}
             }
         }
-        if plan.reconciler.ended(&result.order, result.end, now)
+        if plan.reconciler.complete(&result.order, result.end, now)
             && let Order::Grant(slice) = &result.order
         {
             node.announce_owner(&result.service, slice);
@@ -109,7 +109,9 @@
             .retain(|holder| !has_stopped(&state, holder, version));
         if self.before.is_empty() {
             for plan in self.plans.values_mut() {
-                plan.reconciler.book().settle_foreign(node.clock.now());
+                plan.reconciler
+                    .leases_mut()
+                    .bound_previous(node.clock.now());
             }
         }
     }
@@ -117,7 +119,7 @@
     /// Whether the store confirmed the leadership lately. Otherwise another may have it by
     /// now, and counts on this one's silence.
     pub fn may_act<A: Adapter>(node: &Node<A>, times: &LeaseTimes) -> bool {
-        node.clock.now() - node.state.borrow().confirmed <= times.blind
+        node.clock.now() - node.state.borrow().confirmed <= times.outage_limit
     }
 
     /// Decides which keys move.
@@ -128,11 +130,11 @@
         let Some(config) = &state.config else { return };
         let sudden = node.demands.borrow_mut().take_sudden();
         let may = *node.store.borrow() && !node.demands.borrow().is_settling(now);
-        let even = self.even.is_due(sudden, may, now);
+        let may_rebalance = self.even.is_due(sudden, may, now);
         for service in config.services().filter(|service| service.keyed) {
             let name = &service.name;
             let plan = self.plans.entry(name.clone()).or_insert_with(|| {
-                let book = LeaseBook::new(times, now);
+                let book = LeaseTracker::new(times, now);
                 ServicePlan {
                     reconciler: Reconciler::new(RangeMap::new(), book),
                     demand: Demand::default(),
@@ -142,24 +144,27 @@
             let servers = servers.iter().map(|known| &**known);
             let open: Vec<&Known> = servers.filter(|known| known.is_open()).collect();
             let is_asked = node.demands.borrow().is_asked(name);
-            let deal = have_shown_up(&open, is_asked, now);
+            let may_assign = have_shown_up(&open, is_asked, now);
             let capacities = capacities(&open, service.slow_start, &node.board.loads(), now);
-            if even {
+            if may_rebalance {
                 plan.demand = node.demands.borrow().seen(name, now);
             }
             let limits = BalanceLimits::STANDARD;
-            let mut balance = Balance::new(limits, &capacities, &plan.demand);
-            let scope = Scope { deal, even };
+            let mut balance = Balancer::new(limits, &capacities, &plan.demand);
+            let scope = PlanScope {
+                may_assign,
+                may_rebalance,
+            };
             let reconciler = &mut plan.reconciler;
             reconciler.plan(now, &state.times, &state.registry, &mut balance, scope);
-            if even {
+            if may_rebalance {
                 log::info!(
                     "{} service={name} highest={:.2} moves={} slices={} rate={:.0}",
                     events::BALANCE,
-                    balance.highest(),
-                    reconciler.moves(),
+                    balance.max_relative_load(),
+                    reconciler.move_count(),
                     reconciler.map().slices().len(),
-                    plan.demand.of(KeyRange::ALL),
+                    plan.demand.rate(KeyRange::ALL),
                 );
             }
         }
--- a/crates/citronproxy/src/edge/view.rs
+++ b/crates/citronproxy/src/edge/view.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::{ServerName, ServiceName},
-        ranges::PartedMap,
+        ranges::PartitionedMap,
         registry::{Known, ServerList},
         routes::RouteConfig,
         slowstart::Group,
@@ -19,7 +19,7 @@
     /// Servers that are known, by service; also those that leave.
     pub servers: BTreeMap<ServiceName, ServerList>,
     /// Owners of keys, by service.
-    pub maps: BTreeMap<ServiceName, Arc<PartedMap>>,
+    pub maps: BTreeMap<ServiceName, Arc<PartitionedMap>>,
     /// Instances that share the retry budget.
     pub instances: usize,
     /// Those of them whose loads this instance hears of.
--- a/crates/core/examples/fleet_cost.rs
+++ b/crates/core/examples/fleet_cost.rs
@@ -8,8 +8,9 @@
     citron_core::{
         id::{ServerName, Slots},
         ranges::{
-            Balance, BalanceLimits, Capacity, Demand, KeyRange, LeaseBook, LeaseTimes, MapPart,
-            OrderEnd, PartedMap, RangeKey, RangeMap, Reconciler, Scope, partition,
+            BalanceLimits, Balancer, Capacity, Demand, KeyRange, LeaseTimes, LeaseTracker,
+            MapPartition, OrderOutcome, PartitionedMap, PlanScope, RangeKey, RangeMap, Reconciler,
+            partition_ranges,
         },
         registry::{Registry, RegistryTimes, ServerEntry, ServerState},
         time::{StoreClock, Time},
@@ -39,11 +40,11 @@
 
 impl Fleet {
     fn new(instances: usize) -> Self {
-        let book = LeaseBook::new(LeaseTimes::STANDARD, at(0));
+        let book = LeaseTracker::new(LeaseTimes::STANDARD, at(0));
         let capacity = |number| Capacity {
             server: name(number),
             rate: 10.0,
-            takes: true,
+            accepts_keys: true,
         };
         Self {
             instances,
@@ -68,12 +69,12 @@
         self.step("orders, nothing due", |fleet| fleet.orders(at(2_000)));
         self.step("orders, all due, 40 sent", |fleet| fleet.orders(at(9_000)));
         let map = self.reconciler.map().clone();
-        let mut parted = PartedMap::default();
+        let mut parted = PartitionedMap::default();
         self.step("divide a map into parts", |_| {
-            for range in partition(&map, &PartedMap::default(), SLICES_MAX) {
-                let slices = map.within(range);
+            for range in partition_ranges(&map, &PartitionedMap::default(), SLICES_MAX) {
+                let slices = map.slices_in(range);
                 let version = 1;
-                parted.put(MapPart {
+                parted.insert(MapPartition {
                     range,
                     version,
                     slices,
@@ -83,9 +84,9 @@
         let mut copy = parted.clone();
         self.step("take in one part", |_| {
             let range = copy.ranges().next().unwrap_or(KeyRange::ALL);
-            let slices = map.within(range);
+            let slices = map.slices_in(range);
             let version = 2;
-            copy.put(MapPart {
+            copy.insert(MapPartition {
                 range,
                 version,
                 slices,
@@ -112,10 +113,10 @@
 
     fn plan(&mut self, now: Time) {
         let demand = Demand::default();
-        let mut balance = Balance::new(BalanceLimits::STANDARD, &self.capacities, &demand);
-        let scope = Scope {
-            deal: true,
-            even: true,
+        let mut balance = Balancer::new(BalanceLimits::STANDARD, &self.capacities, &demand);
+        let scope = PlanScope {
+            may_assign: true,
+            may_rebalance: true,
         };
         let registry = &self.registry;
         self.reconciler
@@ -135,8 +136,8 @@
                 return;
             }
             for order in orders {
-                let end = OrderEnd::Done { handover: None };
-                self.reconciler.ended(&order, end, now);
+                let end = OrderOutcome::Done { handover: None };
+                self.reconciler.complete(&order, end, now);
             }
         }
     }
--- a/crates/core/src/ranges/balance/mod.rs
+++ b/crates/core/src/ranges/balance/mod.rs
@@ -6,6 +6,6 @@
 mod rebalance;
 
 pub use {
-    limits::{BalanceLimits, Capacity, Shift},
-    plan::Balance,
+    limits::{BalanceLimits, Capacity, Reassignment},
+    plan::Balancer,
 };
--- a/crates/core/src/ranges/balance/plan.rs
+++ b/crates/core/src/ranges/balance/plan.rs
@@ -11,71 +11,73 @@
 
 /// Requests a second that a key counts without any, when keys are shared out: a
 /// thousandth of a server's usual load over the whole space.
-const KEY_WEIGHT: f64 = 1e-6;
+const IDLE_KEY_RATE: f64 = 1e-6;
 /// Stripes that keys are first dealt out in, over all servers: each is renewed
 /// on its own, at some 60 orders a second in all.
-const STRIPES: usize = 120;
+const TOTAL_STRIPES: usize = 120;
 /// Stripes of one server at most.
-const ROUNDS: usize = 6;
+const MAX_STRIPES_PER_SERVER: usize = 6;
 /// Part of a server's mean load up to which keys find a new owner undivided.
-const PART_OUT: f64 = 0.5;
+const UNSPLIT_FRACTION: f64 = 0.5;
 
 /// What a server has, and can do.
 #[derive(Debug)]
-pub(super) struct Share {
+pub(super) struct ServerLoad {
     pub rate: f64,
-    pub takes: bool,
+    pub accepts_keys: bool,
     pub load: f64,
     /// The demand of its busiest key.
-    pub hottest: f64,
+    pub hottest_key_rate: f64,
 }
 
 /// The plan of one moment: servers' loads as they will be after the moves under
 /// way, and where more keys should go.
 #[derive(Debug)]
-pub struct Balance<'a> {
+pub struct Balancer<'a> {
     pub(super) limits: BalanceLimits,
     pub(super) demand: &'a Demand,
-    pub(super) shares: BTreeMap<ServerName, Share>,
+    pub(super) by_server: BTreeMap<ServerName, ServerLoad>,
     /// Load for each unit of rate, if it lay evenly.
-    pub(super) fair: f64,
+    pub(super) fair_utilization: f64,
 }
 
-impl<'a> Balance<'a> {
+impl<'a> Balancer<'a> {
     /// A plan for servers that may take keys.
     pub fn new(limits: BalanceLimits, capacities: &[Capacity], demand: &'a Demand) -> Self {
         // Keys without an owner are worse off than those of a cold one.
-        let none = !capacities.iter().any(|capacity| capacity.takes);
-        let share = |capacity: &Capacity| {
-            let share = Share {
+        let no_recipient = !capacities.iter().any(|capacity| capacity.accepts_keys);
+        let entry = |capacity: &Capacity| {
+            let entry = ServerLoad {
                 rate: capacity.rate.max(f64::MIN_POSITIVE),
-                takes: capacity.takes || none,
+                accepts_keys: capacity.accepts_keys || no_recipient,
                 load: 0.0,
-                hottest: 0.0,
+                hottest_key_rate: 0.0,
             };
-            (capacity.server.clone(), share)
+            (capacity.server.clone(), entry)
         };
         Self {
             limits,
             demand,
-            shares: capacities.iter().map(share).collect(),
-            fair: 0.0,
+            by_server: capacities.iter().map(entry).collect(),
+            fair_utilization: 0.0,
         }
     }
 
     /// Requests a second for a range.
     pub fn demand(&self, range: KeyRange) -> f64 {
-        self.demand.of(range)
+        self.demand.rate(range)
     }
 
     /// How many servers there are.
-    pub fn servers(&self) -> usize {
-        self.shares.len()
+    pub fn server_count(&self) -> usize {
+        self.by_server.len()
     }
 
     /// The servers that may be given keys.
-    pub(super) fn takers(&self) -> impl Iterator<Item = (&ServerName, &Share)> {
-        self.shares.iter().filter(|(_, share)| share.takes)
+    pub(super) fn recipients(&self) -> impl Iterator<Item = (&ServerName, &ServerLoad)> {
+        self.by_server
+            .iter()
+            .filter(|(_, entry)| entry.accepts_keys)
     }
 
     /// The limits in force.
@@ -84,63 +86,68 @@
     }
 
     /// Adds the load of keys to the server that owns them, or will.
-    /// [`Self::level`] follows.
-    pub fn load(&mut self, server: &ServerName, range: KeyRange) {
+    /// [`Self::update_fair_utilization`] follows.
+    pub fn add_load(&mut self, server: &ServerName, range: KeyRange) {
         let demand = self.weight(range);
-        let hottest = self.demand.hottest(range).map_or(0.0, |(_, demand)| demand);
-        if let Some(share) = self.shares.get_mut(server) {
-            share.load += demand;
-            share.hottest = share.hottest.max(hottest);
+        let hottest_key_rate = self
+            .demand
+            .hottest_key(range)
+            .map_or(0.0, |(_, demand)| demand);
+        if let Some(entry) = self.by_server.get_mut(server) {
+            entry.load += demand;
+            entry.hottest_key_rate = entry.hottest_key_rate.max(hottest_key_rate);
         }
     }
 
     /// Works out the fair share, once all loads are known. A server with a key
     /// that alone is more than that has its share already: the others divide
     /// the rest.
-    pub fn level(&mut self) {
+    pub fn update_fair_utilization(&mut self) {
         let (mut load, mut rate) = self.totals();
-        let mut shares: Vec<&Share> = self.shares.values().collect();
-        shares.sort_by(|a, b| (b.hottest / b.rate).total_cmp(&(a.hottest / a.rate)));
-        for share in shares {
-            let others = rate - share.rate;
-            if share.hottest <= load / rate * share.rate || others <= 0.0 {
+        let mut busiest: Vec<&ServerLoad> = self.by_server.values().collect();
+        busiest.sort_by(|a, b| {
+            (b.hottest_key_rate / b.rate).total_cmp(&(a.hottest_key_rate / a.rate))
+        });
+        for entry in busiest {
+            let others = rate - entry.rate;
+            if entry.hottest_key_rate <= load / rate * entry.rate || others <= 0.0 {
                 break;
             }
-            load -= share.hottest;
+            load -= entry.hottest_key_rate;
             rate = others;
         }
-        self.fair = load.max(0.0) / rate;
+        self.fair_utilization = load.max(0.0) / rate;
     }
 
     /// Load over the fair share of the server where it is highest.
-    pub fn highest(&self) -> f64 {
-        let relative = |share: &Share| share.load / (self.fair * share.rate);
-        let all = self.shares.values().map(relative);
+    pub fn max_relative_load(&self) -> f64 {
+        let relative = |entry: &ServerLoad| entry.load / (self.fair_utilization * entry.rate);
+        let all = self.by_server.values().map(relative);
         all.filter(|value| value.is_finite()).fold(0.0, f64::max)
     }
 
     /// Finds new owners for keys, the least loaded servers first; none if there
     /// is no server. Only a range with much demand is divided: each part is an
     /// order of its own, and a renewal every other second from then on.
-    pub fn share_out(&mut self, range: KeyRange) -> Vec<(KeyRange, ServerName)> {
+    pub fn distribute(&mut self, range: KeyRange) -> Vec<(KeyRange, ServerName)> {
         let (load, _) = self.totals();
         let demand = self.weight(range);
-        let takers = self.takers().count().max(1) as f64;
-        let part = (load + demand) / takers * PART_OUT;
-        let count = (demand / part).ceil().clamp(1.0, takers);
+        let recipients = self.recipients().count().max(1) as f64;
+        let max_undivided = (load + demand) / recipients * UNSPLIT_FRACTION;
+        let count = (demand / max_undivided).ceil().clamp(1.0, recipients);
         let mut parts = Vec::new();
         let mut rest = Some(range);
         for number in 1..=count as u32 {
             let Some(left) = rest else { break };
             let (part, above) = self.split(range, left, f64::from(number) / count);
-            let after = |share: &Share| (share.load + self.weight(part)) / share.rate;
-            let taker = self
-                .takers()
+            let after = |entry: &ServerLoad| (entry.load + self.weight(part)) / entry.rate;
+            let recipient = self
+                .recipients()
                 .min_by(|a, b| after(a.1).total_cmp(&after(b.1)));
-            let Some(to) = taker.map(|(server, _)| server.clone()) else {
+            let Some(to) = recipient.map(|(server, _)| server.clone()) else {
                 break;
             };
-            self.load(&to, part);
+            self.add_load(&to, part);
             parts.push((part, to));
             rest = above;
         }
@@ -154,33 +161,44 @@
     /// Deals keys that never had an owner out in stripes. Busy keys lie close to
     /// one another, so that equal parts of the space would give all of them to
     /// one server until the demand is known; of stripes several servers get a part.
-    pub fn deal(&mut self, range: KeyRange) -> Vec<(KeyRange, ServerName)> {
-        let servers: Vec<ServerName> = self.takers().map(|(server, _)| server.clone()).collect();
+    pub fn assign_stripes(&mut self, range: KeyRange) -> Vec<(KeyRange, ServerName)> {
+        let servers: Vec<ServerName> = self
+            .recipients()
+            .map(|(server, _)| server.clone())
+            .collect();
         if servers.is_empty() {
             return Vec::new();
         }
-        let rounds = (STRIPES / servers.len()).clamp(1, ROUNDS);
-        let size = range.len().div_ceil((rounds * servers.len()) as u32).max(1);
+        let stripes_per_server = (TOTAL_STRIPES / servers.len()).clamp(1, MAX_STRIPES_PER_SERVER);
+        let stripe_keys = range
+            .len()
+            .div_ceil((stripes_per_server * servers.len()) as u32)
+            .max(1);
         let mut parts = Vec::new();
         let mut next = Some(range.first);
         while let Some(first) = next.filter(|first| *first <= range.last) {
-            let end = u32::from(first.0) + size - 1;
+            let end = u32::from(first.0) + stripe_keys - 1;
             let last = RangeKey(end.min(u32::from(range.last.0)) as u16);
             let part = KeyRange { first, last };
             parts.push((part, servers[parts.len() % servers.len()].clone()));
-            next = part.above();
+            next = part.next_key();
         }
         for (part, server) in &parts {
-            self.load(server, *part);
+            self.add_load(server, *part);
         }
         parts
     }
 
-    /// Cuts `left`, the upper end of `range`, where the part `share` of the
+    /// Cuts `left`, the upper end of `range`, where the part `entry` of the
     /// whole demand ends. Keys without demand count a little, so that a range
     /// nobody asks for is still cut evenly.
-    fn split(&self, range: KeyRange, left: KeyRange, share: f64) -> (KeyRange, Option<KeyRange>) {
-        let target = self.weight(range) * share;
+    fn split(
+        &self,
+        range: KeyRange,
+        left: KeyRange,
+        fraction: f64,
+    ) -> (KeyRange, Option<KeyRange>) {
+        let target = self.weight(range) * fraction;
         let (mut low, mut high) = (left.first.0, left.last.0);
         while low < high {
             let middle = low + (high - low) / 2;
@@ -198,7 +216,7 @@
             first: left.first,
             last: RangeKey(low),
         };
-        let rest = part.above().filter(|next| *next <= left.last);
+        let rest = part.next_key().filter(|next| *next <= left.last);
         (
             part,
             rest.map(|first| KeyRange {
@@ -209,20 +227,20 @@
     }
 
     fn weight(&self, range: KeyRange) -> f64 {
-        self.demand.of(range) + f64::from(range.len()) * KEY_WEIGHT
+        self.demand.rate(range) + f64::from(range.len()) * IDLE_KEY_RATE
     }
 
     fn totals(&self) -> (f64, f64) {
-        let load: f64 = self.shares.values().map(|share| share.load).sum();
-        let rate: f64 = self.shares.values().map(|share| share.rate).sum();
+        let load: f64 = self.by_server.values().map(|entry| entry.load).sum();
+        let rate: f64 = self.by_server.values().map(|entry| entry.rate).sum();
         (load, rate.max(f64::MIN_POSITIVE))
     }
 }
 
-impl std::fmt::Display for Balance<'_> {
+impl std::fmt::Display for Balancer<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for share in self.shares.values() {
-            write!(f, "{:.1}/{:.1} ", share.load, share.rate)?;
+        for entry in self.by_server.values() {
+            write!(f, "{:.1}/{:.1} ", entry.load, entry.rate)?;
         }
         Ok(())
     }
--- a/crates/core/src/ranges/balance/rebalance.rs
+++ b/crates/core/src/ranges/balance/rebalance.rs
@@ -1,160 +1,178 @@
 //! Moves that make loads more even.
 
 use {
-    super::{Balance, Shift, plan::Share},
+    super::{Balancer, Reassignment, plan::ServerLoad},
     crate::{
         id::ServerName,
-        ranges::{KeyRange, RangeKey, key::cut_out},
+        ranges::{KeyRange, RangeKey, key::subtract},
     },
     std::collections::BTreeMap,
 };
 
 /// Requests in the demand without which nothing is known of where keys should
 /// be: ten cuts made of two requests each would all be wrong.
-const TELLING: f64 = 40.0;
+const MIN_REQUESTS: f64 = 40.0;
 /// Load after the move of a hot key, as a part of the load before, from which
 /// the move is worth its pause.
-const HOT_GAIN: f64 = 0.7;
+const HOT_KEY_GAIN: f64 = 0.7;
 /// How far, in standard deviations, a load must lie over its fair share before
 /// it is taken for more than chance.
-const CHANCE: f64 = 2.0;
+const EXCESS_SIGMAS: f64 = 2.0;
 /// How much of the wished amount a move must carry at least.
-const PART_MIN: f64 = 0.6;
+const MIN_FRACTION: f64 = 0.6;
 /// How much of it a move may carry at most; more would swap the roles.
-const PART_MAX: f64 = 1.25;
+const MAX_FRACTION: f64 = 1.25;
 
 /// Keys of servers that are not on their way, asked for once a server: a hot
 /// range is divided among hundreds of servers, all from the same one.
-struct Free<F> {
-    parts: F,
-    known: BTreeMap<ServerName, Vec<KeyRange>>,
+struct MovableRanges<F> {
+    lookup: F,
+    cache: BTreeMap<ServerName, Vec<KeyRange>>,
 }
 
-impl<F: Fn(&ServerName) -> Vec<KeyRange>> Free<F> {
-    fn of(&mut self, server: &ServerName) -> &[KeyRange] {
-        let parts = &self.parts;
-        let known = self.known.entry(server.clone());
-        known.or_insert_with(|| parts(server))
+impl<F: Fn(&ServerName) -> Vec<KeyRange>> MovableRanges<F> {
+    fn get(&mut self, server: &ServerName) -> &[KeyRange] {
+        let lookup = &self.lookup;
+        let cached = self.cache.entry(server.clone());
+        cached.or_insert_with(|| lookup(server))
     }
 
-    fn take(&mut self, shift: &Shift) {
-        let from = shift.from.as_ref();
-        if let Some(free) = from.and_then(|from| self.known.get_mut(from)) {
-            *free = cut_out(std::mem::take(free), shift.range);
+    fn remove(&mut self, reassignment: &Reassignment) {
+        let from = reassignment.from.as_ref();
+        if let Some(movable) = from.and_then(|from| self.cache.get_mut(from)) {
+            *movable = subtract(std::mem::take(movable), reassignment.range);
         }
     }
 }
 
-impl Balance<'_> {
-    /// Moves that make the loads more even, the most needed first, where `under` of
-    /// them are under way. `parts` are the keys of a server that are not on their
-    /// way; they are only cut if `cut` says so.
-    pub fn shifts(
+impl Balancer<'_> {
+    /// Moves that make the loads more even, the most needed first, where `open_moves` of
+    /// them are under way. `ranges` are the keys of a server that are not on their
+    /// way; they are only cut if `may_split` says so.
+    pub fn reassignments(
         &mut self,
-        under: usize,
-        cut: bool,
-        parts: impl Fn(&ServerName) -> Vec<KeyRange>,
-    ) -> Vec<Shift> {
-        let mut shifts = Vec::new();
-        if self.demand.of(KeyRange::ALL) * self.demand.span() < TELLING {
-            return shifts;
+        open_moves: usize,
+        may_split: bool,
+        lookup: impl Fn(&ServerName) -> Vec<KeyRange>,
+    ) -> Vec<Reassignment> {
+        let mut reassignments = Vec::new();
+        if self.demand.rate(KeyRange::ALL) * self.demand.window_secs() < MIN_REQUESTS {
+            return reassignments;
         }
-        let mut free = Free {
-            parts,
-            known: BTreeMap::new(),
+        let mut movable = MovableRanges {
+            lookup,
+            cache: BTreeMap::new(),
         };
-        while let Some(shift) = self.next_shift(under + shifts.len(), cut, &mut free) {
-            free.take(&shift);
-            shifts.push(shift);
+        while let Some(reassignment) =
+            self.next_reassignment(open_moves + reassignments.len(), may_split, &mut movable)
+        {
+            movable.remove(&reassignment);
+            reassignments.push(reassignment);
         }
-        shifts
+        reassignments
     }
 
-    fn next_shift(
+    fn next_reassignment(
         &mut self,
-        under: usize,
-        cut: bool,
-        free: &mut Free<impl Fn(&ServerName) -> Vec<KeyRange>>,
-    ) -> Option<Shift> {
-        let donors = self.donors(under);
-        let shift = donors.iter().find_map(|from| {
-            let parts = free.of(from);
-            self.spread_shift(from, parts, cut)
-                .or_else(|| self.hot_shift(from, parts))
+        open_moves: usize,
+        may_split: bool,
+        movable: &mut MovableRanges<impl Fn(&ServerName) -> Vec<KeyRange>>,
+    ) -> Option<Reassignment> {
+        let donors = self.donors(open_moves);
+        let reassignment = donors.iter().find_map(|from| {
+            let ranges = movable.get(from);
+            self.move_excess(from, ranges, may_split)
+                .or_else(|| self.move_hot_key(from, ranges))
         });
-        let (shift, moved) = shift?;
-        for (server, change) in [(shift.from.as_ref(), -moved), (Some(&shift.to), moved)] {
-            if let Some(share) = server.and_then(|server| self.shares.get_mut(server)) {
-                share.load += change;
+        let (reassignment, moved_rate) = reassignment?;
+        for (server, change) in [
+            (reassignment.from.as_ref(), -moved_rate),
+            (Some(&reassignment.to), moved_rate),
+        ] {
+            if let Some(entry) = server.and_then(|server| self.by_server.get_mut(server)) {
+                entry.load += change;
             }
         }
-        Some(shift)
+        Some(reassignment)
     }
 
     /// Keys of a server that together make it as loaded as the others.
-    fn spread_shift(
+    fn move_excess(
         &self,
         from: &ServerName,
-        parts: &[KeyRange],
-        cut: bool,
-    ) -> Option<(Shift, f64)> {
-        let donor = self.shares.get(from)?;
-        let excess = donor.load - self.fair * donor.rate;
-        let usual = self.least_loaded();
-        let relief = || match self.is_overloaded(donor) {
-            true => self.roomiest(),
+        ranges: &[KeyRange],
+        may_split: bool,
+    ) -> Option<(Reassignment, f64)> {
+        let donor = self.by_server.get(from)?;
+        let excess = donor.load - self.fair_utilization * donor.rate;
+        let recipient = self.least_loaded();
+        let fallback = || match self.is_overloaded(donor) {
+            true => self.most_headroom(),
             false => None,
         };
-        let give = |(to, room): (&ServerName, f64)| {
-            let amount = room.min(excess);
+        let try_recipient = |(to, headroom): (&ServerName, f64)| {
+            let amount = headroom.min(excess);
             if amount <= 0.0 || from == to {
                 return None;
             }
-            let (range, moved) = self.best_part(parts, cut, amount)?;
-            Some((shift(range, from, to), moved))
+            let (range, moved_rate) = self.best_range(ranges, may_split, amount)?;
+            Some((reassign(range, from, to), moved_rate))
         };
-        usual.and_then(give).or_else(|| relief().and_then(give))
+        recipient
+            .and_then(try_recipient)
+            .or_else(|| fallback().and_then(try_recipient))
     }
 
     /// The part that carries about `amount` in the fewest keys.
-    fn best_part(&self, parts: &[KeyRange], cut: bool, amount: f64) -> Option<(KeyRange, f64)> {
-        let found = parts.iter().filter_map(|range| match cut {
-            true => self.densest(*range, amount),
-            false => self.undivided(*range, amount),
+    fn best_range(
+        &self,
+        ranges: &[KeyRange],
+        may_split: bool,
+        amount: f64,
+    ) -> Option<(KeyRange, f64)> {
+        let found = ranges.iter().filter_map(|range| match may_split {
+            true => self.densest_run(*range, amount),
+            false => self.whole_range(*range, amount),
         });
-        found.max_by(|a, b| worth(*a, amount).total_cmp(&worth(*b, amount)))
+        found.max_by(|a, b| score(*a, amount).total_cmp(&score(*b, amount)))
     }
 
     /// A key that alone is more than a server's share, to a server that is much
     /// faster or has much less beside it. It cannot be divided; each move stops
     /// it for a while, so that a small gain is not worth one.
-    fn hot_shift(&self, from: &ServerName, parts: &[KeyRange]) -> Option<(Shift, f64)> {
-        let donor = self.shares.get(from)?;
-        let hottest = parts.iter().filter_map(|range| self.demand.hottest(*range));
-        let (key, moved) = hottest.max_by(|a, b| a.1.total_cmp(&b.1))?;
+    fn move_hot_key(&self, from: &ServerName, ranges: &[KeyRange]) -> Option<(Reassignment, f64)> {
+        let donor = self.by_server.get(from)?;
+        let hottest = ranges
+            .iter()
+            .filter_map(|range| self.demand.hottest_key(*range));
+        let (key, moved_rate) = hottest.max_by(|a, b| a.1.total_cmp(&b.1))?;
         let range = KeyRange {
             first: key,
             last: key,
         };
-        let after = |share: &Share| (share.load + moved) / share.rate;
-        let takers = self.takers().filter(|(server, _)| *server != from);
-        let (to, taker) = takers.min_by(|a, b| after(a.1).total_cmp(&after(b.1)))?;
-        let gains = after(taker) < HOT_GAIN * donor.load / donor.rate;
-        (gains && moved > self.fair * taker.rate).then(|| (shift(range, from, to), moved))
+        let load_after = |entry: &ServerLoad| (entry.load + moved_rate) / entry.rate;
+        let recipients = self.recipients().filter(|(server, _)| *server != from);
+        let (to, recipient) =
+            recipients.min_by(|a, b| load_after(a.1).total_cmp(&load_after(b.1)))?;
+        let has_gain = load_after(recipient) < HOT_KEY_GAIN * donor.load / donor.rate;
+        (has_gain && moved_rate > self.fair_utilization * recipient.rate)
+            .then(|| (reassign(range, from, to), moved_rate))
     }
 
     /// Servers that should give keys away while so many moves are under way, the
     /// most loaded first.
-    fn donors(&self, under: usize) -> Vec<ServerName> {
-        if under >= self.limits.surge_moves(self.servers()) {
+    fn donors(&self, open_moves: usize) -> Vec<ServerName> {
+        if open_moves >= self.limits.max_surge_moves(self.server_count()) {
             return Vec::new();
         }
-        let usual = under < self.limits.moves;
-        let gives = |share: &Share| (usual || self.is_overloaded(share)) && self.pays(share);
-        let mut donors: Vec<(&ServerName, &Share)> = self
-            .shares
+        let is_below_limit = open_moves < self.limits.max_moves;
+        let can_donate = |entry: &ServerLoad| {
+            (is_below_limit || self.is_overloaded(entry)) && self.is_worthwhile(entry)
+        };
+        let mut donors: Vec<(&ServerName, &ServerLoad)> = self
+            .by_server
             .iter()
-            .filter(|(_, share)| gives(share))
+            .filter(|(_, entry)| can_donate(entry))
             .collect();
         donors.sort_by(|a, b| (b.1.load / b.1.rate).total_cmp(&(a.1.load / a.1.rate)));
         donors
@@ -165,37 +183,40 @@
 
     /// Whether a server is asked for more than it can run.
     pub fn has_overload(&self) -> bool {
-        self.shares.values().any(|share| self.is_overloaded(share))
+        self.by_server
+            .values()
+            .any(|entry| self.is_overloaded(entry))
     }
 
-    fn is_overloaded(&self, share: &Share) -> bool {
-        share.load > share.rate * self.limits.overload
+    fn is_overloaded(&self, entry: &ServerLoad) -> bool {
+        entry.load > entry.rate * self.limits.overload_utilization
     }
 
-    fn pays(&self, donor: &Share) -> bool {
-        let excess = donor.load - self.fair * donor.rate;
-        let counted = donor.load * self.demand.span();
-        if excess * self.demand.span() < CHANCE * (counted + 1.0).sqrt() {
+    fn is_worthwhile(&self, donor: &ServerLoad) -> bool {
+        let excess = donor.load - self.fair_utilization * donor.rate;
+        let counted = donor.load * self.demand.window_secs();
+        if excess * self.demand.window_secs() < EXCESS_SIGMAS * (counted + 1.0).sqrt() {
             return false;
         }
-        let relative = donor.load / (self.fair * donor.rate);
-        let used = donor.load / donor.rate;
-        let busy = relative > self.limits.ratio && used > self.limits.busy;
-        busy || relative > self.limits.skew
+        let relative = donor.load / (self.fair_utilization * donor.rate);
+        let utilization = donor.load / donor.rate;
+        let is_busy =
+            relative > self.limits.busy_ratio && utilization > self.limits.busy_utilization;
+        is_busy || relative > self.limits.idle_ratio
     }
 
     /// The whole range, if it does not carry too much.
-    fn undivided(&self, range: KeyRange, amount: f64) -> Option<(KeyRange, f64)> {
-        let whole = self.demand.of(range);
-        (whole > 0.0 && whole <= amount * PART_MAX).then_some((range, whole))
+    fn whole_range(&self, range: KeyRange, amount: f64) -> Option<(KeyRange, f64)> {
+        let whole = self.demand.rate(range);
+        (whole > 0.0 && whole <= amount * MAX_FRACTION).then_some((range, whole))
     }
 
     /// The shortest run of keys with about `amount` of demand: what moves is
     /// paid by the key, and cold keys gain nothing. Less, if the range has less.
-    fn densest(&self, range: KeyRange, amount: f64) -> Option<(KeyRange, f64)> {
-        let sum = |key: usize| self.demand.below(key);
-        let whole = self.demand.of(range);
-        if whole < amount * PART_MIN {
+    fn densest_run(&self, range: KeyRange, amount: f64) -> Option<(KeyRange, f64)> {
+        let sum = |key: usize| self.demand.rate_below(key);
+        let whole = self.demand.rate(range);
+        if whole < amount * MIN_FRACTION {
             return (whole > 0.0).then_some((range, whole));
         }
         let end = usize::from(range.last.0) + 1;
@@ -203,21 +224,21 @@
         let mut last = usize::from(range.first.0);
         for first in usize::from(range.first.0)..end {
             last = last.max(first + 1);
-            while last < end && sum(last) - sum(first) < amount * PART_MIN {
+            while last < end && sum(last) - sum(first) < amount * MIN_FRACTION {
                 last += 1;
             }
-            let moved = sum(last) - sum(first);
-            if moved < amount * PART_MIN {
+            let moved_rate = sum(last) - sum(first);
+            if moved_rate < amount * MIN_FRACTION {
                 break;
             }
-            if moved > amount * PART_MAX {
+            if moved_rate > amount * MAX_FRACTION {
                 continue;
             }
             let keys = last - first;
             if best.is_none_or(|(range, _)| keys < range.len() as usize) {
                 let first = RangeKey(first as u16);
                 let last = RangeKey((last - 1) as u16);
-                best = Some((KeyRange { first, last }, moved));
+                best = Some((KeyRange { first, last }, moved_rate));
             }
         }
         best
@@ -226,23 +247,26 @@
     /// The least loaded server, and what it lacks of its fair share.
     fn least_loaded(&self) -> Option<(&ServerName, f64)> {
         let least = self
-            .takers()
+            .recipients()
             .min_by(|a, b| (a.1.load / a.1.rate).total_cmp(&(b.1.load / b.1.rate)));
-        least.map(|(server, share)| (server, self.fair * share.rate - share.load))
+        least.map(|(server, entry)| (server, self.fair_utilization * entry.rate - entry.load))
     }
 
     /// The server that can run the most besides what it has, and how much that is.
     /// Keys of an overloaded server may be busier each than what others lack of their
     /// fair share, and would stay where their callers are refused.
-    fn roomiest(&self) -> Option<(&ServerName, f64)> {
-        let room = |share: &Share| share.rate * self.limits.overload - share.load;
-        let rooms = self.takers().map(|(server, share)| (server, room(share)));
-        rooms.max_by(|a, b| a.1.total_cmp(&b.1))
+    fn most_headroom(&self) -> Option<(&ServerName, f64)> {
+        let headroom =
+            |entry: &ServerLoad| entry.rate * self.limits.overload_utilization - entry.load;
+        let headrooms = self
+            .recipients()
+            .map(|(server, entry)| (server, headroom(entry)));
+        headrooms.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 }
 
-fn shift(range: KeyRange, from: &ServerName, to: &ServerName) -> Shift {
-    Shift {
+fn reassign(range: KeyRange, from: &ServerName, to: &ServerName) -> Reassignment {
+    Reassignment {
         range,
         from: Some(from.clone()),
         to: to.clone(),
@@ -251,9 +275,9 @@
 
 /// Prefers what carries the wished amount in few keys; what carries less, by how
 /// much it carries.
-fn worth((range, moved): (KeyRange, f64), amount: f64) -> f64 {
-    match moved >= amount * PART_MIN {
-        true => 1.0 + moved / f64::from(range.len()),
-        false => moved / amount,
+fn score((range, moved_rate): (KeyRange, f64), amount: f64) -> f64 {
+    match moved_rate >= amount * MIN_FRACTION {
+        true => 1.0 + moved_rate / f64::from(range.len()),
+        false => moved_rate / amount,
     }
 }
--- a/crates/core/src/ranges/error.rs
+++ b/crates/core/src/ranges/error.rs
@@ -9,14 +9,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RangeError {
     /// Not a key.
-    #[error("'{found}' is no key from 0 to 65535")]
-    Key {
+    #[error("'{input}' is no key from 0 to 65535")]
+    InvalidKey {
         /// What was found.
-        found: String,
+        input: String,
     },
     /// The ends are in the wrong order.
     #[error("{first} to {last} is no range: its first key is above its last")]
-    Order {
+    InvalidOrder {
         /// The first key.
         first: RangeKey,
         /// The last key.
@@ -24,18 +24,18 @@
     },
     /// Slices leave a key out, or hold it twice.
     #[error("slice {range} does not begin where the one before it ends")]
-    Gap {
+    NotContiguous {
         /// The slice that begins elsewhere.
         range: KeyRange,
     },
     /// An epoch that is not above all former ones of a key.
-    #[error("epoch {epoch} of {range} is not above {former}")]
-    Epoch {
+    #[error("epoch {epoch} of {range} is not above {highest}")]
+    StaleEpoch {
         /// The keys.
         range: KeyRange,
         /// What was to be set.
         epoch: u64,
         /// The highest former epoch.
-        former: u64,
+        highest: u64,
     },
 }
--- a/crates/core/src/ranges/key.rs
+++ b/crates/core/src/ranges/key.rs
@@ -26,8 +26,8 @@
 
     fn from_str(text: &str) -> Result<Self, RangeError> {
         let parsed = text.parse().map(Self);
-        parsed.map_err(|_| RangeError::Key {
-            found: text.to_string(),
+        parsed.map_err(|_| RangeError::InvalidKey {
+            input: text.to_string(),
         })
     }
 }
@@ -62,7 +62,7 @@
     /// If `first` is above `last`.
     pub fn new(first: RangeKey, last: RangeKey) -> Result<Self, RangeError> {
         if first > last {
-            return Err(RangeError::Order { first, last });
+            return Err(RangeError::InvalidOrder { first, last });
         }
         Ok(Self { first, last })
     }
@@ -84,25 +84,25 @@
     }
 
     /// The keys that both hold.
-    pub fn common(self, other: Self) -> Option<Self> {
+    pub fn intersection(self, other: Self) -> Option<Self> {
         let first = self.first.max(other.first);
         let last = self.last.min(other.last);
         (first <= last).then_some(Self { first, last })
     }
 
     /// The key above the last one; `None` at the end of the space.
-    pub fn above(self) -> Option<RangeKey> {
+    pub fn next_key(self) -> Option<RangeKey> {
         self.last.0.checked_add(1).map(RangeKey)
     }
 
-    /// What lies below and above `cut` within this range.
-    pub fn without(self, cut: Self) -> [Option<Self>; 2] {
-        let below = (self.first < cut.first).then(|| Self {
+    /// What lies below and above `excluded` within this range.
+    pub fn difference(self, excluded: Self) -> [Option<Self>; 2] {
+        let below = (self.first < excluded.first).then(|| Self {
             first: self.first,
-            last: RangeKey(cut.first.0 - 1),
+            last: RangeKey(excluded.first.0 - 1),
         });
-        let above = (cut.last < self.last).then(|| Self {
-            first: RangeKey(cut.last.0 + 1),
+        let above = (excluded.last < self.last).then(|| Self {
+            first: RangeKey(excluded.last.0 + 1),
             last: self.last,
         });
         [below, above]
@@ -110,12 +110,16 @@
 }
 
 /// Ranges without the keys of another.
-pub fn cut_out(ranges: Vec<KeyRange>, cut: KeyRange) -> Vec<KeyRange> {
-    let without = |range: KeyRange| match range.common(cut) {
-        Some(common) => range.without(common).into_iter().flatten().collect(),
+pub fn subtract(ranges: Vec<KeyRange>, excluded: KeyRange) -> Vec<KeyRange> {
+    let remainder = |range: KeyRange| match range.intersection(excluded) {
+        Some(intersection) => range
+            .difference(intersection)
+            .into_iter()
+            .flatten()
+            .collect(),
         None => vec![range],
     };
-    ranges.into_iter().flat_map(without).collect()
+    ranges.into_iter().flat_map(remainder).collect()
 }
 
 impl fmt::Display for KeyRange {
@@ -128,8 +132,8 @@
     type Err = RangeError;
 
     fn from_str(text: &str) -> Result<Self, RangeError> {
-        let ends = text.split_once('-').ok_or_else(|| RangeError::Key {
-            found: text.to_string(),
+        let ends = text.split_once('-').ok_or_else(|| RangeError::InvalidKey {
+            input: text.to_string(),
         })?;
         Self::new(ends.0.parse()?, ends.1.parse()?)
     }
--- a/crates/core/src/ranges/leases.rs
+++ b/crates/core/src/ranges/leases.rs
@@ -12,16 +12,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTimes {
     /// How long a grant lets a server hold keys, from its arrival there.
-    pub hold: Duration,
+    pub lease: Duration,
     /// How often a grant is renewed.
-    pub renew: Duration,
+    pub renewal_interval: Duration,
     /// How long an order may wait to be begun; then it is not sent any more.
-    pub start: Duration,
+    pub start_timeout: Duration,
     /// How long an order may be under way. After it the connection is reset, so
     /// that the order cannot arrive later.
-    pub order: Duration,
+    pub order_timeout: Duration,
     /// How long an instance that cannot reach the store goes on renewing.
-    pub blind: Duration,
+    pub outage_limit: Duration,
 }
 
 impl LeaseTimes {
@@ -29,46 +29,49 @@
     /// renewals are at most 2.5 s old when it begins; 15 s without the store are
     /// beyond the outages seen so far.
     pub const STANDARD: Self = Self {
-        hold: Duration::from_secs(9),
-        renew: Duration::from_millis(2_500),
-        start: Duration::from_millis(500),
-        order: Duration::from_millis(700),
-        blind: Duration::from_secs(15),
+        lease: Duration::from_secs(9),
+        renewal_interval: Duration::from_millis(2_500),
+        start_timeout: Duration::from_millis(500),
+        order_timeout: Duration::from_millis(700),
+        outage_limit: Duration::from_secs(15),
     };
 
-    /// The defaults for servers that take leases of at most `most`; renewals are
+    /// The defaults for servers that take leases of at most `max_transit`; renewals are
     /// as often within a lease.
     ///
     /// ```
     /// use {citron_core::ranges::LeaseTimes, std::time::Duration};
-    /// let times = LeaseTimes::within(Duration::from_secs(4));
-    /// assert_eq!(times.hold, Duration::from_secs(4));
-    /// assert!(times.renew * 3 < times.hold);
+    /// let times = LeaseTimes::with_max_lease(Duration::from_secs(4));
+    /// assert_eq!(times.lease, Duration::from_secs(4));
+    /// assert!(times.renewal_interval * 3 < times.lease);
     /// ```
-    pub fn within(most: Duration) -> Self {
-        let hold = Self::STANDARD.hold.min(most);
-        let part = hold.as_secs_f64() / Self::STANDARD.hold.as_secs_f64();
+    pub fn with_max_lease(max_lease: Duration) -> Self {
+        let lease = Self::STANDARD.lease.min(max_lease);
+        let fraction = lease.as_secs_f64() / Self::STANDARD.lease.as_secs_f64();
         Self {
-            hold,
-            renew: Self::STANDARD.renew.mul_f64(part),
+            lease,
+            renewal_interval: Self::STANDARD.renewal_interval.mul_f64(fraction),
             ..Self::STANDARD
         }
     }
 
     /// The longest time from the sending of a grant to its end. A server's clock
     /// may run 2% slow, and a tenth of a second covers what the network held.
-    pub fn reach(&self) -> Duration {
-        self.start + self.order + self.hold.mul_f64(1.02) + Duration::from_millis(100)
+    pub fn max_validity(&self) -> Duration {
+        self.start_timeout
+            + self.order_timeout
+            + self.lease.mul_f64(1.02)
+            + Duration::from_millis(100)
     }
 }
 
 /// Grants that a server was sent.
 #[derive(Debug, Default)]
-struct Sent {
+struct SentGrants {
     /// The last one that may have arrived.
     last: Time,
     /// Those of which it may still turn out that they surely did not.
-    open: Vec<Time>,
+    unsettled: Vec<Time>,
 }
 
 /// When each server was last sent a grant, by this planner and by former ones.
@@ -78,83 +81,83 @@
 /// when the former one could still send renewals.
 ///
 /// ```
-/// use citron_core::{ranges::{LeaseBook, LeaseTimes}, time::Time};
+/// use citron_core::{ranges::{LeaseTracker, LeaseTimes}, time::Time};
 /// let times = LeaseTimes::STANDARD;
 /// let server = "s-1".parse().unwrap();
-/// let mut book = LeaseBook::new(times, Time::ZERO);
+/// let mut leases = LeaseTracker::new(times, Time::ZERO);
 /// let sent = Time::from_micros(5_000_000);
-/// book.sent(&server, sent);
-/// assert_eq!(book.ends(book.last(&server)), sent + times.reach());
+/// leases.record_sent(&server, sent);
+/// assert_eq!(leases.lease_end(leases.last_sent(&server)), sent + times.max_validity());
 /// ```
 #[derive(Debug)]
-pub struct LeaseBook {
+pub struct LeaseTracker {
     times: LeaseTimes,
-    sent: BTreeMap<ServerName, Sent>,
-    foreign: Time,
+    grants: BTreeMap<ServerName, SentGrants>,
+    previous_until: Time,
 }
 
-impl LeaseBook {
-    /// A book of a planner before which others may have sent until `foreign`.
-    pub fn new(times: LeaseTimes, foreign: Time) -> Self {
+impl LeaseTracker {
+    /// A book of a planner before which others may have sent until `previous_until`.
+    pub fn new(times: LeaseTimes, previous_until: Time) -> Self {
         Self {
             times,
-            sent: BTreeMap::new(),
-            foreign,
+            grants: BTreeMap::new(),
+            previous_until,
         }
     }
 
     /// Notes that a grant goes out now.
-    pub fn sent(&mut self, server: &ServerName, now: Time) {
-        let most = self.times.start + self.times.order;
-        let sent = self.sent.entry(server.clone()).or_default();
-        let settled = |open: &Time| now - *open > most;
-        let last = sent.open.iter().copied().filter(settled).max();
+    pub fn record_sent(&mut self, server: &ServerName, now: Time) {
+        let max_transit = self.times.start_timeout + self.times.order_timeout;
+        let sent = self.grants.entry(server.clone()).or_default();
+        let is_settled = |unsettled: &Time| now - *unsettled > max_transit;
+        let last = sent.unsettled.iter().copied().filter(is_settled).max();
         sent.last = sent.last.max(last.unwrap_or_default());
-        sent.open.retain(|open| !settled(open));
-        sent.open.push(now);
+        sent.unsettled.retain(|unsettled| !is_settled(unsettled));
+        sent.unsettled.push(now);
     }
 
     /// Learns that a grant noted at a time has surely not left. A server that
     /// crashed takes no connection: without this each vain renewal would count as
     /// one more lease, and its keys would wait 3 s longer than they have to.
-    pub fn not_sent(&mut self, server: &ServerName, at: Time) {
-        if let Some(sent) = self.sent.get_mut(server)
-            && let Some(place) = sent.open.iter().position(|open| *open == at)
+    pub fn record_unsent(&mut self, server: &ServerName, at: Time) {
+        if let Some(sent) = self.grants.get_mut(server)
+            && let Some(index) = sent.unsettled.iter().position(|unsettled| *unsettled == at)
         {
-            sent.open.swap_remove(place);
+            sent.unsettled.swap_remove(index);
         }
     }
 
     /// Learns that no former planner sends from `until` on.
-    pub fn settle_foreign(&mut self, until: Time) {
-        self.foreign = self.foreign.min(until);
+    pub fn bound_previous(&mut self, until: Time) {
+        self.previous_until = self.previous_until.min(until);
     }
 
     /// When a server was last sent a grant by this planner that may have arrived.
-    pub fn last(&self, server: &ServerName) -> Time {
-        let Some(sent) = self.sent.get(server) else {
+    pub fn last_sent(&self, server: &ServerName) -> Time {
+        let Some(sent) = self.grants.get(server) else {
             return Time::ZERO;
         };
-        let open = sent.open.iter().copied().max();
-        sent.last.max(open.unwrap_or_default())
+        let unsettled = sent.unsettled.iter().copied().max();
+        sent.last.max(unsettled.unwrap_or_default())
     }
 
     /// When a lease has surely run out whose last grant this planner sent at
     /// `sent`, whatever former planners sent.
-    pub fn ends(&self, sent: Time) -> Time {
-        sent.max(self.foreign) + self.times.reach()
+    pub fn lease_end(&self, sent: Time) -> Time {
+        sent.max(self.previous_until) + self.times.max_validity()
     }
 
     /// The same on the store's clock, so that it holds for later planners, too;
     /// `None` until the store has answered after the last grant that counts.
-    pub fn expiry(&self, sent: Time, clock: &StoreClock) -> Option<StoreTime> {
-        let last = clock.after(sent.max(self.foreign));
-        last.map(|last| last + self.times.reach())
+    pub fn store_expiry(&self, sent: Time, clock: &StoreClock) -> Option<StoreTime> {
+        let last = clock.after(sent.max(self.previous_until));
+        last.map(|last| last + self.times.max_validity())
     }
 
     /// Forgets servers that hold nothing.
     pub fn retain(&mut self, keep: impl Fn(&ServerName) -> bool) {
-        self.sent.retain(|server, _| keep(server));
+        self.grants.retain(|server, _| keep(server));
     }
 
     /// The spans in force.
--- a/crates/core/src/ranges/map.rs
+++ b/crates/core/src/ranges/map.rs
@@ -26,8 +26,8 @@
 
 impl Slice {
     /// The part of it within a range.
-    pub(super) fn cut_to(&self, range: KeyRange) -> Option<Self> {
-        let range = self.range.common(range)?;
+    pub(super) fn clipped_to(&self, range: KeyRange) -> Option<Self> {
+        let range = self.range.intersection(range)?;
         Some(Self {
             range,
             ..self.clone()
@@ -59,7 +59,7 @@
 impl RangeMap {
     /// A map in which no key has an owner.
     pub fn new() -> Self {
-        let whole = Slice {
+        let unowned = Slice {
             range: KeyRange::ALL,
             owner: None,
             epoch: Epoch(0),
@@ -67,7 +67,7 @@
             expiry: None,
         };
         Self {
-            slices: vec![whole],
+            slices: vec![unowned],
         }
     }
 
@@ -79,17 +79,17 @@
         let mut next = Some(RangeKey(0));
         for slice in &slices {
             if next != Some(slice.range.first) {
-                return Err(RangeError::Gap { range: slice.range });
+                return Err(RangeError::NotContiguous { range: slice.range });
             }
-            next = slice.range.above();
+            next = slice.range.next_key();
         }
         match next {
             None => {
                 let mut map = Self { slices };
-                map.merge();
+                map.merge_adjacent();
                 Ok(map)
             }
-            Some(_) => Err(RangeError::Gap {
+            Some(_) => Err(RangeError::NotContiguous {
                 range: KeyRange::ALL,
             }),
         }
@@ -102,18 +102,18 @@
 
     /// The slice that holds a key.
     pub fn slice(&self, key: RangeKey) -> &Slice {
-        let at = self.slices.partition_point(|slice| slice.range.last < key);
-        &self.slices[at]
+        let index = self.slices.partition_point(|slice| slice.range.last < key);
+        &self.slices[index]
     }
 
     /// Slices of one server.
-    pub fn owned<'a>(&'a self, server: &'a ServerName) -> impl Iterator<Item = &'a Slice> {
-        let own = move |slice: &&Slice| slice.owner.as_ref() == Some(server);
-        self.slices.iter().filter(own)
+    pub fn owned_by<'a>(&'a self, server: &'a ServerName) -> impl Iterator<Item = &'a Slice> {
+        let is_owner = move |slice: &&Slice| slice.owner.as_ref() == Some(server);
+        self.slices.iter().filter(is_owner)
     }
 
     /// Slices that hold keys of a range.
-    pub fn touching(&self, range: KeyRange) -> impl Iterator<Item = &Slice> {
+    pub fn overlapping(&self, range: KeyRange) -> impl Iterator<Item = &Slice> {
         let first = self
             .slices
             .partition_point(|slice| slice.range.last < range.first);
@@ -122,20 +122,20 @@
     }
 
     /// The slices of a range, cut at its ends.
-    pub fn within(&self, range: KeyRange) -> Vec<Slice> {
-        let slices = self.touching(range);
-        slices.filter_map(|slice| slice.cut_to(range)).collect()
+    pub fn slices_in(&self, range: KeyRange) -> Vec<Slice> {
+        let slices = self.overlapping(range);
+        slices.filter_map(|slice| slice.clipped_to(range)).collect()
     }
 
     /// The highest epoch of any key of a range.
-    pub fn epoch(&self, range: KeyRange) -> Epoch {
-        let epochs = self.touching(range).map(|slice| slice.epoch);
+    pub fn max_epoch(&self, range: KeyRange) -> Epoch {
+        let epochs = self.overlapping(range).map(|slice| slice.epoch);
         epochs.max().unwrap_or(Epoch(0))
     }
 
     /// Gives keys to a server, under an epoch above all former ones of theirs.
-    pub fn assign(&mut self, range: KeyRange, to: &ServerName, handover: Option<String>) {
-        self.assign_all([(range, to.clone(), handover)]);
+    pub fn assign(&mut self, range: KeyRange, owner: &ServerName, handover: Option<String>) {
+        self.assign_all([(range, owner.clone(), handover)]);
     }
 
     /// The same for many ranges that have no key in common, in one pass.
@@ -146,28 +146,28 @@
         let assigned = owners.into_iter().map(|(range, owner, handover)| Slice {
             range,
             owner: Some(owner),
-            epoch: Epoch(self.epoch(range).0 + 1),
+            epoch: Epoch(self.max_epoch(range).0 + 1),
             handover,
             expiry: None,
         });
         let assigned = assigned.collect();
-        self.put_all(assigned);
+        self.replace_all(assigned);
     }
 
     /// Notes when the lease of keys has run out: they are not granted any more.
-    pub fn expire(&mut self, range: KeyRange, expiry: StoreTime) {
-        self.expire_all([(range, expiry)]);
+    pub fn set_expiry(&mut self, range: KeyRange, expiry: StoreTime) {
+        self.set_expiries([(range, expiry)]);
     }
 
     /// The same for many ranges that have no key in common, in one pass.
-    pub fn expire_all(&mut self, expiries: impl IntoIterator<Item = (KeyRange, StoreTime)>) {
+    pub fn set_expiries(&mut self, expiries: impl IntoIterator<Item = (KeyRange, StoreTime)>) {
         let expired = expiries.into_iter().map(|(range, expiry)| Slice {
             range,
             expiry: Some(expiry),
             ..self.slice(range.first).clone()
         });
         let expired = expired.collect();
-        self.put_all(expired);
+        self.replace_all(expired);
     }
 
     /// Sets the slice of a range.
@@ -175,60 +175,63 @@
     /// # Errors
     /// If the epoch is not above all former ones of the keys.
     pub fn set(&mut self, slice: Slice) -> Result<(), RangeError> {
-        let former = self.epoch(slice.range);
-        if slice.epoch <= former {
-            return Err(RangeError::Epoch {
+        let highest = self.max_epoch(slice.range);
+        if slice.epoch <= highest {
+            return Err(RangeError::StaleEpoch {
                 range: slice.range,
                 epoch: slice.epoch.0,
-                former: former.0,
+                highest: highest.0,
             });
         }
-        self.put_all(vec![slice]);
+        self.replace_all(vec![slice]);
         Ok(())
     }
 
     /// Takes out the handovers of slices that need them no more.
-    pub fn take_handovers(&mut self, used: impl Fn(&Slice) -> bool) {
+    pub fn clear_handovers(&mut self, is_used: impl Fn(&Slice) -> bool) {
         for slice in &mut self.slices {
-            if slice.handover.is_some() && used(slice) {
+            if slice.handover.is_some() && is_used(slice) {
                 slice.handover = None;
             }
         }
-        self.merge();
+        self.merge_adjacent();
     }
 
     /// Sets slices that have no key in common.
-    pub(super) fn put_all(&mut self, mut slices: Vec<Slice>) {
+    pub(super) fn replace_all(&mut self, mut slices: Vec<Slice>) {
         slices.sort_by_key(|slice| slice.range);
         let mut next = Vec::with_capacity(self.slices.len() + 2 * slices.len());
         let mut new = slices.into_iter().peekable();
         for old in self.slices.drain(..) {
-            let mut rest = Some(old.range);
-            while let Some(left) = rest {
-                let Some(slice) = new.peek().filter(|new| new.range.first <= left.last) else {
-                    next.push(Slice { range: left, ..old });
+            let mut pending = Some(old.range);
+            while let Some(uncovered) = pending {
+                let Some(slice) = new.peek().filter(|new| new.range.first <= uncovered.last) else {
+                    next.push(Slice {
+                        range: uncovered,
+                        ..old
+                    });
                     break;
                 };
-                let [below, above] = left.without(slice.range);
+                let [below, above] = uncovered.difference(slice.range);
                 next.extend(below.map(|range| Slice {
                     range,
                     ..old.clone()
                 }));
-                if slice.range.last <= left.last {
+                if slice.range.last <= uncovered.last {
                     next.extend(new.next());
                 }
-                rest = above;
+                pending = above;
             }
         }
         self.slices = next;
-        self.merge();
+        self.merge_adjacent();
     }
 
     /// Joins neighbours of one owner under the higher epoch: fewer slices are
     /// fewer renewals, and for its own keys a server takes any higher epoch.
     /// Slices that still carry a handover stay apart, as it belongs to their
     /// keys alone.
-    fn merge(&mut self) {
+    fn merge_adjacent(&mut self) {
         let mut merged: Vec<Slice> = Vec::with_capacity(self.slices.len());
         for slice in self.slices.drain(..) {
             if let Some(last) = merged.last_mut()
--- a/crates/core/src/ranges/mod.rs
+++ b/crates/core/src/ranges/mod.rs
@@ -18,15 +18,15 @@
 mod windows;
 
 pub use {
-    balance::{Balance, BalanceLimits, Capacity, Shift},
-    balance_timer::EvenClock,
+    balance::{BalanceLimits, Balancer, Capacity, Reassignment},
+    balance_timer::BalanceTimer,
     demand::{Demand, KeyDemand},
     error::RangeError,
     key::{KeyRange, RangeKey},
-    leases::{LeaseBook, LeaseTimes},
+    leases::{LeaseTimes, LeaseTracker},
     map::{RangeMap, Slice},
-    move_log::{MoveLog, MoveNews, OwnerHint},
-    partitions::{MapPart, PartedMap, partition},
-    reconciler::{Order, OrderEnd, OwnerState, Owners, Reconciler, Scope},
+    move_log::{MoveLog, MoveNotice, OwnerHint},
+    partitions::{MapPartition, PartitionedMap, partition_ranges},
+    reconciler::{Order, OrderOutcome, OwnerState, Owners, PlanScope, Reconciler},
     windows::DemandWindows,
 };
--- a/crates/core/src/ranges/move_log.rs
+++ b/crates/core/src/ranges/move_log.rs
@@ -11,12 +11,12 @@
 
 /// How long callers of keys that are being released wait for their next owner: a release
 /// that takes longer may never end.
-const RELEASE_TIME: Duration = Duration::from_millis(1_000);
+const RELEASED_TTL: Duration = Duration::from_millis(1_000);
 /// How long a new owner counts: by then the map has come.
-const OWNER_TIME: Duration = Duration::from_secs(3);
+const OWNED_TTL: Duration = Duration::from_secs(3);
 /// How long news is remembered, so that a release that is told again for as long as a
 /// lease lasts is known.
-const MEMORY: Duration = Duration::from_secs(15);
+const RETENTION: Duration = Duration::from_secs(15);
 
 /// Where keys are that have left their owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,13 +29,13 @@
 
 /// One piece of news from the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MoveNews {
+pub struct MoveNotice {
     /// The keys.
     pub range: KeyRange,
     /// The epoch of their next owner.
     pub epoch: Epoch,
     /// Where they are.
-    pub place: OwnerHint,
+    pub hint: OwnerHint,
 }
 
 /// News of one service's keys. Each server checks what it holds, so that news may be late,
@@ -43,13 +43,13 @@
 ///
 /// ```
 /// use citron_core::{id::Epoch, ranges::*, time::Time};
-/// let news = MoveNews {
+/// let notice = MoveNotice {
 ///     range: "0-99".parse().unwrap(),
 ///     epoch: Epoch(1),
-///     place: OwnerHint::Released,
+///     hint: OwnerHint::Released,
 /// };
 /// let mut log = MoveLog::default();
-/// log.note(news, Time::ZERO);
+/// log.insert(notice, Time::ZERO);
 /// let map = RangeMap::new();
 /// let key = RangeKey(7);
 /// assert_eq!(log.find(key, map.slice(key), Time::ZERO), Some(&OwnerHint::Released));
@@ -61,59 +61,63 @@
 
 #[derive(Debug)]
 struct Entry {
-    news: MoveNews,
+    notice: MoveNotice,
     /// When it was first heard.
-    heard: Time,
+    received: Time,
 }
 
 impl Entry {
-    fn counts(&self, now: Time) -> bool {
-        let span = match self.news.place {
-            OwnerHint::Released => RELEASE_TIME,
-            OwnerHint::Owned(_) => OWNER_TIME,
+    fn is_current(&self, now: Time) -> bool {
+        let ttl = match self.notice.hint {
+            OwnerHint::Released => RELEASED_TTL,
+            OwnerHint::Owned(_) => OWNED_TTL,
         };
-        now - self.heard < span
+        now - self.received < ttl
     }
 
     /// Whether news says nothing more than this.
-    fn includes(&self, news: &MoveNews) -> bool {
-        let known = self.news.range == news.range && self.news.epoch >= news.epoch;
-        let owned = matches!(self.news.place, OwnerHint::Owned(_));
-        known && (owned || news.place == OwnerHint::Released)
+    fn supersedes(&self, notice: &MoveNotice) -> bool {
+        let known = self.notice.range == notice.range && self.notice.epoch >= notice.epoch;
+        let owned = matches!(self.notice.hint, OwnerHint::Owned(_));
+        known && (owned || notice.hint == OwnerHint::Released)
     }
 }
 
 impl MoveLog {
     /// Takes in a piece of news. A release that is told again ends no later.
-    pub fn note(&mut self, news: MoveNews, now: Time) {
-        self.entries.retain(|entry| now - entry.heard < MEMORY);
-        if !self.entries.iter().any(|entry| entry.includes(&news)) {
-            self.entries.push(Entry { news, heard: now });
+    pub fn insert(&mut self, notice: MoveNotice, now: Time) {
+        self.entries
+            .retain(|entry| now - entry.received < RETENTION);
+        if !self.entries.iter().any(|entry| entry.supersedes(&notice)) {
+            self.entries.push(Entry {
+                notice,
+                received: now,
+            });
         }
     }
 
     /// All news that is remembered, the oldest first.
-    pub fn recent(&self, now: Time) -> impl Iterator<Item = &MoveNews> {
+    pub fn recent(&self, now: Time) -> impl Iterator<Item = &MoveNotice> {
         let recent = self
             .entries
             .iter()
-            .filter(move |entry| now - entry.heard < MEMORY);
-        recent.map(|entry| &entry.news)
+            .filter(move |entry| now - entry.received < RETENTION);
+        recent.map(|entry| &entry.notice)
     }
 
     /// What is newer about a key than its slice of the map tells. A map may come before
     /// the owner that it names has been granted the keys.
     pub fn find(&self, key: RangeKey, slice: &Slice, now: Time) -> Option<&OwnerHint> {
         let newer = |entry: &&Entry| {
-            let news = &entry.news;
-            news.epoch >= slice.epoch && news.range.contains(key) && entry.counts(now)
+            let notice = &entry.notice;
+            notice.epoch >= slice.epoch && notice.range.contains(key) && entry.is_current(now)
         };
         // Of a release and the owner that follows, both of one epoch, the later one counts.
         let rank = |entry: &&Entry| {
-            let owned = matches!(entry.news.place, OwnerHint::Owned(_));
-            (entry.news.epoch, owned)
+            let owned = matches!(entry.notice.hint, OwnerHint::Owned(_));
+            (entry.notice.epoch, owned)
         };
         let newest = self.entries.iter().filter(newer).max_by_key(rank);
-        newest.map(|entry| &entry.news.place)
+        newest.map(|entry| &entry.notice.hint)
     }
 }
--- a/crates/core/src/ranges/partitions.rs
+++ b/crates/core/src/ranges/partitions.rs
@@ -7,7 +7,7 @@
 
 /// The slices of some keys, as of a version of the row that holds them.
 #[derive(Debug, PartialEq, Eq)]
-pub struct MapPart {
+pub struct MapPartition {
     /// The keys.
     pub range: KeyRange,
     /// Version of the row.
@@ -20,169 +20,180 @@
 /// higher version counts for them. Parts are shared with copies of the map.
 ///
 /// ```
-/// use citron_core::ranges::{KeyRange, MapPart, PartedMap, RangeKey, RangeMap};
+/// use citron_core::ranges::{KeyRange, MapPartition, PartitionedMap, RangeKey, RangeMap};
 /// let mut map = RangeMap::new();
 /// map.assign("0-99".parse().unwrap(), &"s-1".parse().unwrap(), None);
-/// let mut parted = PartedMap::default();
+/// let mut parted = PartitionedMap::default();
 /// for (version, text) in [(7, "0-32767"), (8, "32768-65535")] {
 ///     let range: KeyRange = text.parse().unwrap();
-///     let slices = map.within(range);
-///     parted.put(MapPart { range, version, slices });
+///     let slices = map.slices_in(range);
+///     parted.insert(MapPartition { range, version, slices });
 /// }
 /// assert_eq!(parted.slice(RangeKey(99)), Some(map.slice(RangeKey(99))));
-/// assert_eq!(parted.whole(), Some(map));
+/// assert_eq!(parted.to_map(), Some(map));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct PartedMap {
-    parts: BTreeMap<KeyRange, Arc<MapPart>>,
+pub struct PartitionedMap {
+    partitions: BTreeMap<KeyRange, Arc<MapPartition>>,
     /// The highest version of all rows.
-    newest: u64,
+    max_version: u64,
     /// By the first of its keys, each run of keys for which one part counts.
-    runs: BTreeMap<RangeKey, (RangeKey, Arc<MapPart>)>,
+    segments: BTreeMap<RangeKey, (RangeKey, Arc<MapPartition>)>,
 }
 
-impl PartedMap {
+impl PartitionedMap {
     /// Takes in a part; whether it is newer than the one known of these keys.
-    pub fn put(&mut self, part: MapPart) -> bool {
-        if part.version <= self.version(part.range) {
+    pub fn insert(&mut self, partition: MapPartition) -> bool {
+        if partition.version <= self.version(partition.range) {
             return false;
         }
-        let part = Arc::new(part);
-        let is_newest = part.version >= self.newest;
-        self.newest = self.newest.max(part.version);
-        self.parts.insert(part.range, Arc::clone(&part));
+        let partition = Arc::new(partition);
+        let is_newest = partition.version >= self.max_version;
+        self.max_version = self.max_version.max(partition.version);
+        self.partitions
+            .insert(partition.range, Arc::clone(&partition));
         if is_newest {
-            cover(&mut self.runs, &part);
+            overlay(&mut self.segments, &partition);
         } else {
-            self.rebuild();
+            self.rebuild_segments();
         }
         true
     }
 
     /// Forgets a part whose row is gone as of a version.
     pub fn remove(&mut self, range: KeyRange, version: u64) {
-        if self.parts.contains_key(&range) && version > self.version(range) {
-            self.parts.remove(&range);
-            self.rebuild();
+        if self.partitions.contains_key(&range) && version > self.version(range) {
+            self.partitions.remove(&range);
+            self.rebuild_segments();
         }
     }
 
     /// The part of exactly these keys.
-    pub fn part(&self, range: KeyRange) -> Option<&MapPart> {
-        self.parts.get(&range).map(|part| &**part)
+    pub fn partition(&self, range: KeyRange) -> Option<&MapPartition> {
+        self.partitions.get(&range).map(|partition| &**partition)
     }
 
     /// Whether a part's keys are stored in a row of their own, with the same slices.
-    pub fn holds(&self, part: &MapPart) -> bool {
-        let known = self.part(part.range);
-        known.is_some_and(|known| known.slices == part.slices)
+    pub fn matches(&self, partition: &MapPartition) -> bool {
+        let known = self.partition(partition.range);
+        known.is_some_and(|known| known.slices == partition.slices)
     }
 
     /// Version of the row of exactly these keys; 0 if there is none.
     pub fn version(&self, range: KeyRange) -> u64 {
-        self.part(range).map_or(0, |part| part.version)
+        self.partition(range)
+            .map_or(0, |partition| partition.version)
     }
 
     /// The highest version of all rows.
-    pub fn newest(&self) -> u64 {
-        self.newest
+    pub fn max_version(&self) -> u64 {
+        self.max_version
     }
 
     /// The keys of each part.
     pub fn ranges(&self) -> impl Iterator<Item = KeyRange> {
-        self.parts.keys().copied()
+        self.partitions.keys().copied()
     }
 
     /// Whether some keys of a range are stored in a part of their own.
-    fn is_divided(&self, range: KeyRange) -> bool {
-        let mut within = self.parts.range(range..);
-        let first = within.find(|(part, _)| **part != range);
-        first.is_some_and(|(part, _)| range.covers(*part))
+    fn is_split(&self, range: KeyRange) -> bool {
+        let mut within = self.partitions.range(range..);
+        let first = within.find(|(partition, _)| **partition != range);
+        first.is_some_and(|(partition, _)| range.covers(*partition))
     }
 
     /// The slice that holds a key, cut at the ends of its part; `None` if no part holds it.
     pub fn slice(&self, key: RangeKey) -> Option<&Slice> {
-        let (_, (last, part)) = self.runs.range(..=key).next_back()?;
-        let slices = &part.slices;
-        let at = slices.partition_point(|slice| slice.range.last < key);
-        slices.get(at).filter(|_| key <= *last)
+        let (_, (last, partition)) = self.segments.range(..=key).next_back()?;
+        let slices = &partition.slices;
+        let index = slices.partition_point(|slice| slice.range.last < key);
+        slices.get(index).filter(|_| key <= *last)
     }
 
     /// All parts as one map; `None` if some keys are in no part.
-    pub fn whole(&self) -> Option<RangeMap> {
-        let cut = |(first, (last, part)): (&RangeKey, &(RangeKey, Arc<MapPart>))| {
-            let run = KeyRange {
+    pub fn to_map(&self) -> Option<RangeMap> {
+        let clip = |(first, (last, partition)): (&RangeKey, &(RangeKey, Arc<MapPartition>))| {
+            let covered = KeyRange {
                 first: *first,
                 last: *last,
             };
-            let slices = part.slices.iter();
+            let slices = partition.slices.iter();
             slices
-                .filter_map(|slice| slice.cut_to(run))
+                .filter_map(|slice| slice.clipped_to(covered))
                 .collect::<Vec<_>>()
         };
-        let slices = self.runs.iter().flat_map(cut).collect();
+        let slices = self.segments.iter().flat_map(clip).collect();
         RangeMap::from_slices(slices).ok()
     }
 
-    fn rebuild(&mut self) {
-        let mut parts: Vec<&Arc<MapPart>> = self.parts.values().collect();
-        parts.sort_by_key(|part| part.version);
-        self.runs.clear();
-        for part in parts {
-            cover(&mut self.runs, part);
+    fn rebuild_segments(&mut self) {
+        let mut partitions: Vec<&Arc<MapPartition>> = self.partitions.values().collect();
+        partitions.sort_by_key(|partition| partition.version);
+        self.segments.clear();
+        for partition in partitions {
+            overlay(&mut self.segments, partition);
         }
     }
 }
 
 /// Makes a part count for all of its keys.
-fn cover(runs: &mut BTreeMap<RangeKey, (RangeKey, Arc<MapPart>)>, part: &Arc<MapPart>) {
-    let range = part.range;
-    let touched = runs.range(..=range.last);
-    let touched = touched.filter(|(_, (last, _))| *last >= range.first);
-    let touched: Vec<RangeKey> = touched.map(|(first, _)| *first).collect();
-    for first in touched {
-        let Some((last, old)) = runs.remove(&first) else {
+fn overlay(
+    segments: &mut BTreeMap<RangeKey, (RangeKey, Arc<MapPartition>)>,
+    partition: &Arc<MapPartition>,
+) {
+    let range = partition.range;
+    let overlapping = segments.range(..=range.last);
+    let overlapping = overlapping.filter(|(_, (last, _))| *last >= range.first);
+    let overlapping: Vec<RangeKey> = overlapping.map(|(first, _)| *first).collect();
+    for first in overlapping {
+        let Some((last, old)) = segments.remove(&first) else {
             continue;
         };
-        let [below, above] = KeyRange { first, last }.without(range);
-        for left in [below, above].into_iter().flatten() {
-            runs.insert(left.first, (left.last, Arc::clone(&old)));
+        let [below, above] = KeyRange { first, last }.difference(range);
+        for rest in [below, above].into_iter().flatten() {
+            segments.insert(rest.first, (rest.last, Arc::clone(&old)));
         }
     }
-    runs.insert(range.first, (range.last, Arc::clone(part)));
+    segments.insert(range.first, (range.last, Arc::clone(partition)));
 }
 
-/// Divides the key space into parts of which none holds more than `most` slices, by halving
+/// Divides the key space into parts of which none holds more than `max_slices` slices, by halving
 /// those that do. Halves that `stored` has stay apart until they hold a quarter of that
 /// together: a part that is joined and divided again is written and read whole each time.
 ///
 /// ```
-/// use citron_core::ranges::{KeyRange, PartedMap, RangeMap, partition};
+/// use citron_core::ranges::{KeyRange, PartitionedMap, RangeMap, partition_ranges};
 /// let mut map = RangeMap::new();
 /// map.assign("0-9".parse().unwrap(), &"s-1".parse().unwrap(), None);
-/// let none = PartedMap::default();
-/// assert_eq!(partition(&map, &none, 2), [KeyRange::ALL]);
-/// let halves = partition(&map, &none, 1);
+/// let none = PartitionedMap::default();
+/// assert_eq!(partition_ranges(&map, &none, 2), [KeyRange::ALL]);
+/// let halves = partition_ranges(&map, &none, 1);
 /// assert_eq!(halves.first(), Some(&"0-7".parse().unwrap()));
 /// ```
-pub fn partition(map: &RangeMap, stored: &PartedMap, most: usize) -> Vec<KeyRange> {
-    let mut parts = Vec::new();
-    let mut left = vec![KeyRange::ALL];
-    while let Some(range) = left.pop() {
-        let slices = map.touching(range).count();
-        let keeps = slices * JOINED > most && stored.is_divided(range);
-        match halves(range) {
-            Some([below, above]) if slices > most || keeps => left.extend([above, below]),
-            _ => parts.push(range),
+pub fn partition_ranges(
+    map: &RangeMap,
+    stored: &PartitionedMap,
+    max_slices: usize,
+) -> Vec<KeyRange> {
+    let mut partitions = Vec::new();
+    let mut rest = vec![KeyRange::ALL];
+    while let Some(range) = rest.pop() {
+        let slices = map.overlapping(range).count();
+        let stays_split = slices * MERGE_DIVISOR > max_slices && stored.is_split(range);
+        match bisect(range) {
+            Some([below, above]) if slices > max_slices || stays_split => {
+                rest.extend([above, below])
+            }
+            _ => partitions.push(range),
         }
     }
-    parts
+    partitions
 }
 
 /// Parts are joined when they hold less than this fraction of what one may hold.
-const JOINED: usize = 4;
+const MERGE_DIVISOR: usize = 4;
 
-fn halves(range: KeyRange) -> Option<[KeyRange; 2]> {
+fn bisect(range: KeyRange) -> Option<[KeyRange; 2]> {
     let half = (range.len() / 2) as u16;
     let middle = range.first.0.checked_add(half).filter(|_| half > 0)?;
     let below = KeyRange {
--- a/crates/core/src/ranges/reconciler/commits.rs
+++ b/crates/core/src/ranges/reconciler/commits.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        Order, OrderEnd, OwnerState, Owners, Reconciler,
-        moves::{Move, Phase},
+        Order, OrderOutcome, OwnerState, Owners, Reconciler,
+        moves::{Move, MovePhase},
     },
     crate::{
         id::{Epoch, ServerName},
@@ -16,47 +16,49 @@
 /// How long a release to a lost server may be unanswered before the end of its
 /// lease is written to the map: servers that only leave answer by then, and each
 /// write is read by every instance.
-const UNANSWERED: Duration = Duration::from_millis(1_000);
+const EXPIRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// A commit without an answer for so long may wait for the end of an outage.
-const OVERDUE: Duration = Duration::from_millis(300);
+const OVERDUE_AFTER: Duration = Duration::from_millis(300);
 
 /// How long keys that are free wait for others of the same round: each commit
 /// is read by every instance, and most releases of a round end close together.
-const GATHER: Duration = Duration::from_millis(100);
+const BATCH_WINDOW: Duration = Duration::from_millis(100);
 
 impl Reconciler {
-    pub(super) fn commit_free(
+    pub(super) fn commit_free_keys(
         &mut self,
         now: Time,
         clock: &StoreClock,
         owners: &impl Owners,
         orders: &mut Vec<Order>,
     ) {
-        if self.commit.is_some() || self.gathers(now) {
+        if self.commit_started.is_some() || self.is_batching(now) {
             return;
         }
         let expiries = self.expiries(now, clock, owners);
-        let nothing = expiries.is_empty() && self.outdated.is_empty();
-        if nothing && !self.moves.iter().any(Move::is_free) {
+        let is_unchanged = expiries.is_empty() && self.seen_epochs.is_empty();
+        if is_unchanged && !self.moves.iter().any(Move::is_free) {
             return;
         }
-        let mut next = self.map.clone();
-        for (range, seen) in &self.outdated {
-            raise(&mut next, *range, *seen);
+        let mut updated = self.map.clone();
+        for (range, seen) in &self.seen_epochs {
+            raise_epochs(&mut updated, *range, *seen);
         }
-        let owner = |under: &Move| match &under.phase {
-            Phase::Free { handover, .. } => Some((under.range, under.to.clone(), handover.clone())),
-            Phase::Releasing { .. } => None,
+        let owner = |pending: &Move| match &pending.phase {
+            MovePhase::Free { handover, .. } => {
+                Some((pending.range, pending.to.clone(), handover.clone()))
+            }
+            MovePhase::Releasing { .. } => None,
         };
-        next.assign_all(self.moves.iter().filter_map(owner));
-        next.expire_all(expiries);
-        if next != self.map {
-            self.use_handovers(&mut next);
-            self.commit = Some(now);
-            orders.push(Order::Commit(next));
+        updated.assign_all(self.moves.iter().filter_map(owner));
+        updated.set_expiries(expiries);
+        if updated != self.map {
+            self.clear_used_handovers(&mut updated);
+            self.commit_started = Some(now);
+            orders.push(Order::Commit(updated));
         } else {
-            self.forget_raised();
+            self.drop_raised();
         }
     }
 
@@ -70,81 +72,94 @@
         clock: &StoreClock,
         owners: &impl Owners,
     ) -> Vec<(KeyRange, StoreTime)> {
-        let lost = |under: &&Move| {
-            let waits = matches!(under.phase, Phase::Releasing { .. });
-            let serves = |from| owners.state(from) == OwnerState::Serving;
-            waits && now - under.begun > UNANSWERED && !under.from.as_ref().is_some_and(serves)
+        let is_lost = |pending: &&Move| {
+            let is_releasing = matches!(pending.phase, MovePhase::Releasing { .. });
+            let is_serving = |from| owners.state(from) == OwnerState::Serving;
+            is_releasing
+                && now - pending.started > EXPIRY_DELAY
+                && !pending.from.as_ref().is_some_and(is_serving)
+        };
+        let has_expiry = |pending: &Move| self.map.slice(pending.range.first).expiry.is_some();
+        let waiting = self
+            .moves
+            .iter()
+            .filter(is_lost)
+            .filter(|pending| !has_expiry(pending));
+        let expiry = |pending: &Move| {
+            Some((
+                pending.range,
+                self.leases.store_expiry(pending.last_granted, clock)?,
+            ))
         };
-        let known = |under: &Move| self.map.slice(under.range.first).expiry.is_some();
-        let waiting = self.moves.iter().filter(lost).filter(|under| !known(under));
-        let expiry = |under: &Move| Some((under.range, self.book.expiry(under.granted, clock)?));
         waiting.filter_map(expiry).collect()
     }
 
     /// Whether the outcome of a commit has been unknown for long.
     pub(super) fn is_commit_overdue(&self, now: Time) -> bool {
-        self.commit.is_some_and(|ordered| now - ordered > OVERDUE)
+        self.commit_started
+            .is_some_and(|started| now - started > OVERDUE_AFTER)
     }
 
     /// Whether more keys are expected to be free shortly.
-    fn gathers(&self, now: Time) -> bool {
-        let waits = |under: &Move| matches!(under.phase, Phase::Releasing { .. });
-        let free = |under: &Move| match under.phase {
-            Phase::Free { since, .. } => Some(since),
-            Phase::Releasing { .. } => None,
+    fn is_batching(&self, now: Time) -> bool {
+        let is_releasing = |pending: &Move| matches!(pending.phase, MovePhase::Releasing { .. });
+        let free_since = |pending: &Move| match pending.phase {
+            MovePhase::Free { since, .. } => Some(since),
+            MovePhase::Releasing { .. } => None,
         };
-        let first = self.moves.iter().filter_map(free).min();
-        self.moves.iter().any(waits) && first.is_some_and(|first| now - first < GATHER)
+        let first = self.moves.iter().filter_map(free_since).min();
+        self.moves.iter().any(is_releasing) && first.is_some_and(|first| now - first < BATCH_WINDOW)
     }
 
     /// Takes out the handovers that their owners have, so that slices join.
-    fn use_handovers(&self, next: &mut RangeMap) {
-        let held = |range| {
+    fn clear_used_handovers(&self, updated: &mut RangeMap) {
+        let is_held = |range| {
             self.renewals
                 .get(&range)
-                .is_some_and(|renewal| renewal.held)
+                .is_some_and(|renewal| renewal.is_held)
         };
-        next.take_handovers(|slice| {
-            held(slice.range) && self.map.slice(slice.range.first) == slice
+        updated.clear_handovers(|slice| {
+            is_held(slice.range) && self.map.slice(slice.range.first) == slice
         });
     }
 
-    pub(super) fn committed(&mut self, map: &RangeMap, end: &OrderEnd) {
-        self.commit = None;
-        if !matches!(end, OrderEnd::Done { .. }) {
+    pub(super) fn complete_commit(&mut self, map: &RangeMap, outcome: &OrderOutcome) {
+        self.commit_started = None;
+        if !matches!(outcome, OrderOutcome::Done { .. }) {
             return;
         }
-        let done = |under: &Move| {
-            let slice = map.slice(under.range.first);
-            slice.owner.as_ref() == Some(&under.to) && slice.epoch >= under.epoch
+        let is_in_map = |pending: &Move| {
+            let slice = map.slice(pending.range.first);
+            slice.owner.as_ref() == Some(&pending.to) && slice.epoch >= pending.epoch
         };
-        let ended = |under: &Move| under.is_free() && done(under);
-        let handed = self.moves.iter().filter(|under| ended(under));
-        let handed = handed.filter(|under| under.from.is_some());
-        self.handed.extend(handed.map(|under| under.range));
-        self.moves.retain(|under| !ended(under));
+        let is_committed = |pending: &Move| pending.is_free() && is_in_map(pending);
+        let released = self.moves.iter().filter(|pending| is_committed(pending));
+        let released = released.filter(|pending| pending.from.is_some());
+        self.awaiting_grant
+            .extend(released.map(|pending| pending.range));
+        self.moves.retain(|pending| !is_committed(pending));
         self.map = map.clone();
-        self.forget_raised();
+        self.drop_raised();
         self.renewals.invalidate();
         let owners = self.map.slices().iter();
         let owners: BTreeSet<&ServerName> = owners.filter_map(|s| s.owner.as_ref()).collect();
-        self.book.retain(|server| owners.contains(server));
+        self.leases.retain(|server| owners.contains(server));
     }
 
-    fn forget_raised(&mut self) {
+    fn drop_raised(&mut self) {
         let map = &self.map;
-        self.outdated
+        self.seen_epochs
             .retain(|(range, seen)| needs_raise(map, *range, *seen));
         self.renewals.invalidate();
     }
 }
 
 /// Gives keys to their owners anew, under an epoch above one that those have seen.
-fn raise(map: &mut RangeMap, range: KeyRange, seen: Epoch) {
+fn raise_epochs(map: &mut RangeMap, range: KeyRange, seen: Epoch) {
     let raised = |slice: &Slice| {
         let part = slice
             .range
-            .common(range)
+            .intersection(range)
             .filter(|_| is_outdated(slice, seen))?;
         Some(Slice {
             range: part,
@@ -153,12 +168,12 @@
             ..slice.clone()
         })
     };
-    let raised = map.touching(range).filter_map(raised).collect();
-    map.put_all(raised);
+    let raised = map.overlapping(range).filter_map(raised).collect();
+    map.replace_all(raised);
 }
 
 fn needs_raise(map: &RangeMap, range: KeyRange, seen: Epoch) -> bool {
-    let mut slices = map.touching(range);
+    let mut slices = map.overlapping(range);
     slices.any(|slice| is_outdated(slice, seen))
 }
 
--- a/crates/core/src/ranges/reconciler/mod.rs
+++ b/crates/core/src/ranges/reconciler/mod.rs
@@ -7,20 +7,20 @@
 mod send_window;
 
 use {
-    super::{Balance, KeyRange, LeaseBook, MoveNews, OwnerHint, RangeMap},
+    super::{Balancer, KeyRange, LeaseTracker, MoveNotice, OwnerHint, RangeMap},
     crate::{
         id::Epoch,
         time::{StoreClock, Time},
     },
-    moves::{Move, unmoved},
+    moves::{Move, not_moving},
     renewals::Renewals,
     std::{collections::BTreeSet, time::Duration},
 };
 
-pub use order::{Order, OrderEnd, OwnerState, Owners, Scope};
+pub use order::{Order, OrderOutcome, OwnerState, Owners, PlanScope};
 
 /// First pause before an order is sent again.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The planner's work on one service.
 ///
@@ -33,43 +33,43 @@
 #[derive(Debug)]
 pub struct Reconciler {
     map: RangeMap,
-    book: LeaseBook,
+    leases: LeaseTracker,
     moves: Vec<Move>,
     renewals: Renewals,
     /// Keys that were released for a move and are not granted to their next owner yet.
-    handed: BTreeSet<KeyRange>,
+    awaiting_grant: BTreeSet<KeyRange>,
     /// Keys whose owner has seen this epoch, which is above that of their slice.
-    outdated: Vec<(KeyRange, Epoch)>,
+    seen_epochs: Vec<(KeyRange, Epoch)>,
     /// When the commit under way was ordered.
-    commit: Option<Time>,
+    commit_started: Option<Time>,
 }
 
 impl Reconciler {
     /// Takes over the map as it lies in the store.
-    pub fn new(map: RangeMap, book: LeaseBook) -> Self {
+    pub fn new(map: RangeMap, leases: LeaseTracker) -> Self {
         Self {
             map,
-            book,
+            leases,
             moves: Vec::new(),
             renewals: Renewals::default(),
-            handed: BTreeSet::new(),
-            outdated: Vec::new(),
-            commit: None,
+            awaiting_grant: BTreeSet::new(),
+            seen_epochs: Vec::new(),
+            commit_started: None,
         }
     }
 
     /// Takes in what a former planner told of a move that it may not have finished: the
     /// owner has seen the epoch of the release and refuses any grant below it.
-    pub fn note_release(&mut self, news: &MoveNews) {
-        let newer = news.epoch > self.map.epoch(news.range);
-        if newer && news.place == OwnerHint::Released {
-            self.outdated.push((news.range, news.epoch));
-            self.handed.insert(news.range);
+    pub fn restore_release(&mut self, notice: &MoveNotice) {
+        let newer = notice.epoch > self.map.max_epoch(notice.range);
+        if newer && notice.hint == OwnerHint::Released {
+            self.seen_epochs.push((notice.range, notice.epoch));
+            self.awaiting_grant.insert(notice.range);
         }
     }
 
     /// Moves under way.
-    pub fn moves(&self) -> usize {
+    pub fn move_count(&self) -> usize {
         self.moves.len()
     }
 
@@ -79,9 +79,9 @@
         self.map = map;
         self.moves.clear();
         self.renewals = Renewals::default();
-        self.handed.clear();
-        self.outdated.clear();
-        self.commit = None;
+        self.awaiting_grant.clear();
+        self.seen_epochs.clear();
+        self.commit_started = None;
     }
 
     /// The map as last committed.
@@ -90,8 +90,8 @@
     }
 
     /// The book of leases.
-    pub fn book(&mut self) -> &mut LeaseBook {
-        &mut self.book
+    pub fn leases_mut(&mut self) -> &mut LeaseTracker {
+        &mut self.leases
     }
 
     /// What is to be done now: a plan, and the orders that follow.
@@ -100,10 +100,10 @@
         now: Time,
         clock: &StoreClock,
         owners: &impl Owners,
-        balance: &mut Balance<'_>,
-        scope: Scope,
+        balancer: &mut Balancer<'_>,
+        scope: PlanScope,
     ) -> Vec<Order> {
-        self.plan(now, clock, owners, balance, scope);
+        self.plan(now, clock, owners, balancer, scope);
         self.orders(now, clock, owners)
     }
 
@@ -113,53 +113,55 @@
         now: Time,
         clock: &StoreClock,
         owners: &impl Owners,
-        balance: &mut Balance<'_>,
-        scope: Scope,
+        balancer: &mut Balancer<'_>,
+        scope: PlanScope,
     ) {
-        self.weigh(balance);
-        self.free_ended(now, clock, owners);
-        self.retarget(owners, balance);
-        self.vacate(now, owners, balance, scope.deal);
-        if scope.even && !self.is_commit_overdue(now) {
-            self.even_out(now, balance);
+        self.compute_loads(balancer);
+        self.free_expired(now, clock, owners);
+        self.retarget(owners, balancer);
+        self.reassign_unserved(now, owners, balancer, scope.may_assign);
+        if scope.may_rebalance && !self.is_commit_overdue(now) {
+            self.rebalance(now, balancer);
         }
     }
 
     /// The orders that are due. Looks at moves and at what is due only.
     pub fn orders(&mut self, now: Time, clock: &StoreClock, owners: &impl Owners) -> Vec<Order> {
         let mut orders = Vec::new();
-        self.free_ended(now, clock, owners);
+        self.free_expired(now, clock, owners);
         // Keys that are released during an outage of the store have no owner until its end.
         if !self.is_commit_overdue(now) {
-            self.release(now, &mut orders);
+            self.send_releases(now, &mut orders);
         }
-        self.commit_free(now, clock, owners, &mut orders);
-        self.renew(now, &mut orders);
+        self.commit_free_keys(now, clock, owners, &mut orders);
+        self.send_renewals(now, &mut orders);
         orders
     }
 
-    fn weigh(&self, balance: &mut Balance<'_>) {
-        let moved = self.moved();
+    fn compute_loads(&self, balancer: &mut Balancer<'_>) {
+        let moving = self.moving_ranges();
         for slice in self.map.slices() {
             if let Some(owner) = &slice.owner {
-                for part in unmoved(slice.range, &moved) {
-                    balance.load(owner, part);
+                for part in not_moving(slice.range, &moving) {
+                    balancer.add_load(owner, part);
                 }
             }
         }
-        for under in &self.moves {
-            balance.load(&under.to, under.range);
+        for pending in &self.moves {
+            balancer.add_load(&pending.to, pending.range);
         }
-        balance.level();
+        balancer.update_fair_utilization();
     }
 
     /// Takes in what became of an order; whether a server holds keys that it did not
     /// hold before.
-    pub fn ended(&mut self, order: &Order, end: OrderEnd, now: Time) -> bool {
+    pub fn complete(&mut self, order: &Order, outcome: OrderOutcome, now: Time) -> bool {
         match order {
-            Order::Grant(slice) => return self.granted(slice, end, now),
-            Order::Release { range, epoch, .. } => self.released(*range, *epoch, end, now),
-            Order::Commit(map) => self.committed(map, &end),
+            Order::Grant(slice) => return self.complete_grant(slice, outcome, now),
+            Order::Release { range, epoch, .. } => {
+                self.complete_release(*range, *epoch, outcome, now)
+            }
+            Order::Commit(map) => self.complete_commit(map, &outcome),
         }
         false
     }
--- a/crates/core/src/ranges/reconciler/moves.rs
+++ b/crates/core/src/ranges/reconciler/moves.rs
@@ -1,10 +1,10 @@
 //! Moves: which are begun, and how far they have got.
 
 use {
-    super::{AGAIN, Order, OrderEnd, OwnerState, Owners, Reconciler},
+    super::{Order, OrderOutcome, OwnerState, Owners, RETRY_DELAY, Reconciler},
     crate::{
         id::{Epoch, ServerName},
-        ranges::{Balance, KeyRange, Shift, key::cut_out},
+        ranges::{Balancer, KeyRange, Reassignment, key::subtract},
         time::{StoreClock, Time},
     },
     std::{
@@ -16,26 +16,26 @@
 /// Grants that stay unanswered for so long make their server suspect. A server
 /// that was lost is listed for about as long after its last heartbeat, so that
 /// an earlier guess gains nothing.
-const SUSPECT: Duration = Duration::from_millis(2_500);
+const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
 /// Slices of a service for each of its servers from which none is cut for the
 /// sake of balance: each costs the planner an order every other second, which is most
 /// of what a small processor can do.
-const SLICES: usize = 3;
+const SLICES_PER_SERVER: usize = 3;
 /// The same where servers are overloaded: a map with so many slices still fits into
 /// a row of the store.
-const SURGE_SLICES: usize = 4;
+const SURGE_SLICES_PER_SERVER: usize = 4;
 /// Slices of a service up to which they may be cut in any case.
-const SLICES_MIN: usize = 240;
+const UNLIMITED_SLICES: usize = 240;
 /// Slices for each server above which small ones are joined with a neighbour.
-const JOIN_SLICES: f64 = 1.5;
+const MERGE_SLICES_PER_SERVER: f64 = 1.5;
 /// Moves that one plan begins for servers that leave: each looks at all servers for the one
 /// with the most room.
-const VACATE_MAX: usize = 200;
+const MAX_REASSIGNMENTS: usize = 200;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Phase {
+pub enum MovePhase {
     /// The release is under way, or is sent next at the given time.
-    Releasing { next: Option<Time> },
+    Releasing { send_at: Option<Time> },
     /// The keys are free, with what was handed over.
     Free {
         since: Time,
@@ -51,36 +51,38 @@
     pub to: ServerName,
     pub epoch: Epoch,
     /// When the old owner was last sent a grant that covers the keys.
-    pub granted: Time,
-    pub begun: Time,
-    pub phase: Phase,
+    pub last_granted: Time,
+    pub started: Time,
+    pub phase: MovePhase,
 }
 
 impl Move {
     /// Whether the keys wait for the commit of their new owner.
     pub fn is_free(&self) -> bool {
-        matches!(self.phase, Phase::Free { .. })
+        matches!(self.phase, MovePhase::Free { .. })
     }
 }
 
 impl Reconciler {
     /// Frees keys whose owner's start has ended, or whose lease has run out.
-    pub(super) fn free_ended(&mut self, now: Time, clock: &StoreClock, owners: &impl Owners) {
-        for under in &mut self.moves {
-            let Phase::Releasing { .. } = under.phase else {
+    pub(super) fn free_expired(&mut self, now: Time, clock: &StoreClock, owners: &impl Owners) {
+        for pending in &mut self.moves {
+            let MovePhase::Releasing { .. } = pending.phase else {
                 continue;
             };
-            let over = match &under.from {
+            let is_free = match &pending.from {
                 None => true,
                 Some(from) => {
-                    let ended = owners.state(from) == OwnerState::Ended;
-                    let slice = self.map.slice(under.range.first);
-                    let expired = slice.expiry.is_some_and(|end| clock.is_past(end, now));
-                    ended || expired || now >= self.book.ends(under.granted)
+                    let has_ended = owners.state(from) == OwnerState::Ended;
+                    let slice = self.map.slice(pending.range.first);
+                    let has_expired = slice
+                        .expiry
+                        .is_some_and(|expiry| clock.is_past(expiry, now));
+                    has_ended || has_expired || now >= self.leases.lease_end(pending.last_granted)
                 }
             };
-            if over {
-                under.phase = Phase::Free {
+            if is_free {
+                pending.phase = MovePhase::Free {
                     since: now,
                     handover: None,
                 };
@@ -89,56 +91,56 @@
     }
 
     /// Finds another taker for keys whose taker has gone meanwhile.
-    pub(super) fn retarget(&mut self, owners: &impl Owners, balance: &mut Balance<'_>) {
-        for under in &mut self.moves {
-            if owners.state(&under.to) == OwnerState::Serving {
+    pub(super) fn retarget(&mut self, owners: &impl Owners, balancer: &mut Balancer<'_>) {
+        for pending in &mut self.moves {
+            if owners.state(&pending.to) == OwnerState::Serving {
                 continue;
             }
-            let shared = balance.share_out(under.range);
-            if let Some((_, to)) = shared.into_iter().next() {
-                under.to = to;
+            let assigned = balancer.distribute(pending.range);
+            if let Some((_, to)) = assigned.into_iter().next() {
+                pending.to = to;
             }
         }
     }
 
     /// Moves keys away from servers that leave, are lost, or do not answer.
-    pub(super) fn vacate(
+    pub(super) fn reassign_unserved(
         &mut self,
         now: Time,
         owners: &impl Owners,
-        balance: &mut Balance<'_>,
-        deal: bool,
+        balancer: &mut Balancer<'_>,
+        may_assign: bool,
     ) {
         let suspects = self.suspects(now);
-        let moved = self.moved();
+        let moving = self.moving_ranges();
         let slices = self.map.slices().iter();
-        let mut homeless: Vec<(KeyRange, Option<ServerName>)> = slices
+        let mut unserved: Vec<(KeyRange, Option<ServerName>)> = slices
             .filter(|slice| match &slice.owner {
-                None => deal,
+                None => may_assign,
                 Some(owner) => {
-                    let serves = owners.state(owner) == OwnerState::Serving;
-                    !serves || slice.expiry.is_some() || suspects.contains(owner)
+                    let is_serving = owners.state(owner) == OwnerState::Serving;
+                    !is_serving || slice.expiry.is_some() || suspects.contains(owner)
                 }
             })
             .flat_map(|slice| {
-                let parts = unmoved(slice.range, &moved);
+                let parts = not_moving(slice.range, &moving);
                 parts.into_iter().map(|range| (range, slice.owner.clone()))
             })
             .collect();
         // The busiest first: orders beyond these wait for the next tick.
-        homeless.sort_by(|a, b| balance.demand(b.0).total_cmp(&balance.demand(a.0)));
+        unserved.sort_by(|a, b| balancer.demand(b.0).total_cmp(&balancer.demand(a.0)));
         let before = self.moves.len();
-        for (range, from) in homeless {
-            if self.moves.len() - before >= VACATE_MAX {
+        for (range, from) in unserved {
+            if self.moves.len() - before >= MAX_REASSIGNMENTS {
                 return;
             }
             let parts = match from {
-                None => balance.deal(range),
-                Some(_) => balance.share_out(range),
+                None => balancer.assign_stripes(range),
+                Some(_) => balancer.distribute(range),
             };
             for (part, to) in parts {
                 if from.as_ref() != Some(&to) {
-                    self.begin(part, from.clone(), to, now);
+                    self.start_move(part, from.clone(), to, now);
                 }
             }
         }
@@ -148,133 +150,146 @@
     /// them, the planner itself is cut off, and moves would help nobody.
     fn suspects(&self, now: Time) -> BTreeSet<ServerName> {
         let owner = |range: KeyRange| self.map.slice(range.first).owner.clone();
-        let failing = self.renewals.failing_for(SUSPECT, now);
+        let failing = self.renewals.failing_for(SUSPECT_AFTER, now);
         let suspects: BTreeSet<ServerName> = failing.filter_map(owner).collect();
         if suspects.is_empty() {
             return suspects;
         }
         let slices = self.map.slices().iter();
         let owners = slices.filter_map(|slice| slice.owner.as_ref());
-        let sound: BTreeSet<&ServerName> = owners.filter(|o| !suspects.contains(*o)).collect();
-        if suspects.len() * 3 > sound.len() {
+        let responsive: BTreeSet<&ServerName> = owners.filter(|o| !suspects.contains(*o)).collect();
+        if suspects.len() * 3 > responsive.len() {
             return BTreeSet::new();
         }
         suspects
     }
 
     /// Keys that are on their way, in order.
-    pub(super) fn moved(&self) -> Vec<KeyRange> {
-        let mut moved: Vec<KeyRange> = self.moves.iter().map(|under| under.range).collect();
-        moved.sort();
-        moved
+    pub(super) fn moving_ranges(&self) -> Vec<KeyRange> {
+        let mut moving: Vec<KeyRange> = self.moves.iter().map(|pending| pending.range).collect();
+        moving.sort();
+        moving
     }
 
-    pub(super) fn even_out(&mut self, now: Time, balance: &mut Balance<'_>) {
-        let moved = self.moved();
+    pub(super) fn rebalance(&mut self, now: Time, balancer: &mut Balancer<'_>) {
+        let moving = self.moving_ranges();
         let mut owned: BTreeMap<&ServerName, Vec<KeyRange>> = BTreeMap::new();
         for slice in self.map.slices() {
             if let Some(owner) = &slice.owner {
                 owned.entry(owner).or_default().push(slice.range);
             }
         }
-        let parts = |server: &ServerName| {
+        let movable = |server: &ServerName| {
             let ranges = owned.get(server).into_iter().flatten();
-            ranges.flat_map(|range| unmoved(*range, &moved)).collect()
+            ranges
+                .flat_map(|range| not_moving(*range, &moving))
+                .collect()
         };
         let slices = self.map.slices().len();
-        let most = match balance.has_overload() {
-            true => SURGE_SLICES,
-            false => SLICES,
+        let max_per_server = match balancer.has_overload() {
+            true => SURGE_SLICES_PER_SERVER,
+            false => SLICES_PER_SERVER,
         };
-        let cut = slices < SLICES_MIN.max(balance.servers() * most);
-        let mut shifts = balance.shifts(self.moves.len(), cut, parts);
-        if slices as f64 > (balance.servers() as f64 * JOIN_SLICES).max(SLICES_MIN as f64) {
-            let under = self.moves.len() + shifts.len();
-            shifts.extend(balance.joins(under, &self.still(&shifts)));
+        let may_split = slices < UNLIMITED_SLICES.max(balancer.server_count() * max_per_server);
+        let mut reassignments = balancer.reassignments(self.moves.len(), may_split, movable);
+        if slices as f64
+            > (balancer.server_count() as f64 * MERGE_SLICES_PER_SERVER)
+                .max(UNLIMITED_SLICES as f64)
+        {
+            let open_moves = self.moves.len() + reassignments.len();
+            reassignments.extend(balancer.merges(open_moves, &self.movable_slices(&reassignments)));
         }
-        for shift in shifts {
-            self.begin(shift.range, shift.from, shift.to, now);
+        for reassignment in reassignments {
+            self.start_move(reassignment.range, reassignment.from, reassignment.to, now);
         }
     }
 
     /// Slices in order that are not on their way, and are not about to be.
-    fn still(&self, shifts: &[Shift]) -> Vec<(KeyRange, ServerName)> {
-        let mut moved = self.moved();
-        moved.extend(shifts.iter().map(|shift| shift.range));
-        moved.sort();
+    fn movable_slices(&self, reassignments: &[Reassignment]) -> Vec<(KeyRange, ServerName)> {
+        let mut moving = self.moving_ranges();
+        moving.extend(reassignments.iter().map(|reassignment| reassignment.range));
+        moving.sort();
         let slices = self.map.slices().iter();
         let held = slices.filter(|slice| {
-            slice.expiry.is_none() && unmoved(slice.range, &moved) == [slice.range]
+            slice.expiry.is_none() && not_moving(slice.range, &moving) == [slice.range]
         });
         let owned = held.filter_map(|slice| Some((slice.range, slice.owner.clone()?)));
         owned.collect()
     }
 
-    fn begin(&mut self, range: KeyRange, from: Option<ServerName>, to: ServerName, now: Time) {
+    fn start_move(&mut self, range: KeyRange, from: Option<ServerName>, to: ServerName, now: Time) {
         let phase = match from {
-            Some(_) => Phase::Releasing { next: Some(now) },
-            None => Phase::Free {
+            Some(_) => MovePhase::Releasing { send_at: Some(now) },
+            None => MovePhase::Free {
                 since: now,
                 handover: None,
             },
         };
-        let epoch = Epoch(self.map.epoch(range).0 + 1);
-        let granted = from
+        let epoch = Epoch(self.map.max_epoch(range).0 + 1);
+        let last_granted = from
             .as_ref()
-            .map_or(Time::ZERO, |from| self.book.last(from));
+            .map_or(Time::ZERO, |from| self.leases.last_sent(from));
         self.renewals.invalidate();
         self.moves.push(Move {
             range,
             from,
             to,
             epoch,
-            granted,
-            begun: now,
+            last_granted,
+            started: now,
             phase,
         });
     }
 
-    pub(super) fn release(&mut self, now: Time, orders: &mut Vec<Order>) {
-        for under in &mut self.moves {
-            let (Some(server), Phase::Releasing { next }) = (&under.from, &mut under.phase) else {
+    pub(super) fn send_releases(&mut self, now: Time, orders: &mut Vec<Order>) {
+        for pending in &mut self.moves {
+            let (Some(server), MovePhase::Releasing { send_at }) =
+                (&pending.from, &mut pending.phase)
+            else {
                 continue;
             };
-            if next.is_some_and(|next| next <= now) {
-                *next = None;
+            if send_at.is_some_and(|time| time <= now) {
+                *send_at = None;
                 orders.push(Order::Release {
                     server: server.clone(),
-                    range: under.range,
-                    epoch: under.epoch,
+                    range: pending.range,
+                    epoch: pending.epoch,
                 });
             }
         }
     }
 
-    pub(super) fn released(&mut self, range: KeyRange, epoch: Epoch, end: OrderEnd, now: Time) {
+    pub(super) fn complete_release(
+        &mut self,
+        range: KeyRange,
+        epoch: Epoch,
+        outcome: OrderOutcome,
+        now: Time,
+    ) {
         let found = self
             .moves
             .iter_mut()
-            .find(|under| under.range == range && under.epoch == epoch);
-        let Some(under) = found else { return };
-        if let Phase::Releasing { next } = &mut under.phase {
-            match end {
-                OrderEnd::Done { handover } => {
+            .find(|pending| pending.range == range && pending.epoch == epoch);
+        let Some(pending) = found else { return };
+        if let MovePhase::Releasing { send_at } = &mut pending.phase {
+            match outcome {
+                OrderOutcome::Done { handover } => {
                     let since = now;
-                    under.phase = Phase::Free { since, handover };
+                    pending.phase = MovePhase::Free { since, handover };
                 }
-                OrderEnd::Outdated | OrderEnd::Unknown | OrderEnd::NotSent => {
-                    *next = Some(now + AGAIN);
+                OrderOutcome::Outdated | OrderOutcome::Unknown | OrderOutcome::NotSent => {
+                    *send_at = Some(now + RETRY_DELAY);
                 }
             }
         }
     }
 }
 
-/// The parts of a range that are not on their way; `moved` are the keys that are, in order
+/// The parts of a range that are not on their way; `moving` are the keys that are, in order
 /// and without a key in common.
-pub fn unmoved(range: KeyRange, moved: &[KeyRange]) -> Vec<KeyRange> {
-    let first = moved.partition_point(|moved| moved.last < range.first);
-    let within = moved[first..].iter();
-    let within = within.take_while(|moved| moved.first <= range.last);
-    within.fold(vec![range], |parts, moved| cut_out(parts, *moved))
+pub fn not_moving(range: KeyRange, moving: &[KeyRange]) -> Vec<KeyRange> {
+    let first = moving.partition_point(|moving| moving.last < range.first);
+    let within = moving[first..].iter();
+    let within = within.take_while(|moving| moving.first <= range.last);
+    within.fold(vec![range], |parts, moving| subtract(parts, *moving))
 }
--- a/crates/core/src/ranges/reconciler/order.rs
+++ b/crates/core/src/ranges/reconciler/order.rs
@@ -7,12 +7,12 @@
 
 /// What may be begun at a tick.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Scope {
+pub struct PlanScope {
     /// Whether keys that never had an owner are dealt out: not before the
     /// servers have all shown up, or the first one would get everything.
-    pub deal: bool,
-    /// Whether keys may move for balance.
-    pub even: bool,
+    pub may_assign: bool,
+    /// Whether keys may move for balancer.
+    pub may_rebalance: bool,
 }
 
 /// What is known of the owner of keys.
@@ -33,7 +33,7 @@
     fn state(&self, server: &ServerName) -> OwnerState;
 }
 
-/// Something to be done outside; each is answered with [`super::Reconciler::ended`].
+/// Something to be done outside; each is answered with [`super::Reconciler::complete`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// Let a server hold keys for the span of a lease.
@@ -53,7 +53,7 @@
 
 /// What became of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It took effect; a release may hand over what the server has in memory.
     Done {
         /// For the next owner.
--- a/crates/core/src/ranges/reconciler/renewals.rs
+++ b/crates/core/src/ranges/reconciler/renewals.rs
@@ -1,7 +1,9 @@
 //! Grants and their renewals.
 
 use {
-    super::{AGAIN, Order, OrderEnd, Reconciler, moves::unmoved, send_window::Window},
+    super::{
+        Order, OrderOutcome, RETRY_DELAY, Reconciler, moves::not_moving, send_window::SendWindow,
+    },
     crate::{
         id::Epoch,
         ranges::{KeyRange, RangeKey, Slice},
@@ -18,34 +20,34 @@
 pub struct Renewal {
     pub epoch: Epoch,
     /// Since when an order is under way.
-    pub open: Option<Time>,
+    pub sent_at: Option<Time>,
     /// When the next one is due.
-    pub next: Time,
+    pub due: Time,
     /// Since when all of them have failed.
-    pub failing: Option<Time>,
+    pub failing_since: Option<Time>,
     /// Whether the server has taken this grant once.
-    pub held: bool,
+    pub is_held: bool,
 }
 
 /// The grants of a service, in the order in which they are due.
 #[derive(Debug)]
 pub struct Renewals {
-    grants: BTreeMap<KeyRange, Renewal>,
+    by_range: BTreeMap<KeyRange, Renewal>,
     /// Those that are not under way. What its server does not hold yet comes first: its
     /// callers wait.
-    waiting: BTreeSet<(bool, Time, KeyRange)>,
-    window: Window,
+    queue: BTreeSet<(bool, Time, KeyRange)>,
+    window: SendWindow,
     /// Whether slices or moves have changed since the grants were listed.
-    stale: bool,
+    is_stale: bool,
 }
 
 impl Default for Renewals {
     fn default() -> Self {
         Self {
-            grants: BTreeMap::new(),
-            waiting: BTreeSet::new(),
-            window: Window::default(),
-            stale: true,
+            by_range: BTreeMap::new(),
+            queue: BTreeSet::new(),
+            window: SendWindow::default(),
+            is_stale: true,
         }
     }
 }
@@ -53,64 +55,75 @@
 impl Renewals {
     /// Slices or moves have changed.
     pub fn invalidate(&mut self) {
-        self.stale = true;
+        self.is_stale = true;
     }
 
     /// The grant of a slice.
     pub fn get(&self, range: &KeyRange) -> Option<&Renewal> {
-        self.grants.get(range)
+        self.by_range.get(range)
     }
 
     /// Grants that have failed for longer than a span.
     pub fn failing_for(&self, span: Duration, now: Time) -> impl Iterator<Item = KeyRange> {
         let failing = move |(_, renewal): &(&KeyRange, &Renewal)| {
-            renewal.failing.is_some_and(|since| now - since > span)
+            renewal
+                .failing_since
+                .is_some_and(|since| now - since > span)
         };
-        self.grants.iter().filter(failing).map(|(range, _)| *range)
+        self.by_range
+            .iter()
+            .filter(failing)
+            .map(|(range, _)| *range)
     }
 
     /// Brings the list up to date with the slices that owners are to keep.
-    fn relist(&mut self, parts: &[(KeyRange, Epoch)], now: Time) {
+    fn sync(&mut self, parts: &[(KeyRange, Epoch)], now: Time) {
         let listed = |range: &KeyRange, renewal: &Renewal| {
             let part = parts.binary_search_by_key(range, |part| part.0);
             part.is_ok_and(|at| parts[at].1 == renewal.epoch)
         };
-        self.grants.retain(|range, renewal| listed(range, renewal));
+        self.by_range
+            .retain(|range, renewal| listed(range, renewal));
         for (range, epoch) in parts {
-            self.grants.entry(*range).or_insert(Renewal {
+            self.by_range.entry(*range).or_insert(Renewal {
                 epoch: *epoch,
-                open: None,
-                next: now,
-                failing: None,
-                held: false,
+                sent_at: None,
+                due: now,
+                failing_since: None,
+                is_held: false,
             });
         }
-        let waiting = self
-            .grants
+        let queue = self
+            .by_range
             .iter()
-            .filter(|(_, renewal)| renewal.open.is_none());
-        let place = |(range, renewal): (&KeyRange, &Renewal)| (renewal.held, renewal.next, *range);
-        self.waiting = waiting.map(place).collect();
-        self.stale = false;
+            .filter(|(_, renewal)| renewal.sent_at.is_none());
+        let entry =
+            |(range, renewal): (&KeyRange, &Renewal)| (renewal.is_held, renewal.due, *range);
+        self.queue = queue.map(entry).collect();
+        self.is_stale = false;
     }
 
     /// Takes the grants that are due, as many as may be under way.
     fn take_due(&mut self, now: Time) -> Vec<KeyRange> {
-        let room = self.window.room(now);
-        let end = KeyRange {
+        let available = self.window.available(now);
+        let last_key = KeyRange {
             first: RangeKey(u16::MAX),
             last: RangeKey(u16::MAX),
         };
         let due = |held| {
             let from = (held, Time::ZERO, KeyRange::ALL);
-            self.waiting.range(from..=(held, now, end))
+            self.queue.range(from..=(held, now, last_key))
         };
-        let due: Vec<_> = due(false).chain(due(true)).take(room).copied().collect();
-        for place in &due {
-            self.waiting.remove(place);
-            self.window.add(now, place.2);
-            if let Some(renewal) = self.grants.get_mut(&place.2) {
-                renewal.open = Some(now);
+        let due: Vec<_> = due(false)
+            .chain(due(true))
+            .take(available)
+            .copied()
+            .collect();
+        for entry in &due {
+            self.queue.remove(entry);
+            self.window.add(now, entry.2);
+            if let Some(renewal) = self.by_range.get_mut(&entry.2) {
+                renewal.sent_at = Some(now);
             }
         }
         due.into_iter().map(|(_, _, range)| range).collect()
@@ -118,15 +131,15 @@
 }
 
 impl Reconciler {
-    pub(super) fn renew(&mut self, now: Time, orders: &mut Vec<Order>) {
-        if self.renewals.stale {
-            let parts = self.held_parts();
-            self.renewals.relist(&parts, now);
+    pub(super) fn send_renewals(&mut self, now: Time, orders: &mut Vec<Order>) {
+        if self.renewals.is_stale {
+            let parts = self.renewable_ranges();
+            self.renewals.sync(&parts, now);
         }
         for range in self.renewals.take_due(now) {
             let slice = self.map.slice(range.first);
             let Some(owner) = &slice.owner else { continue };
-            self.book.sent(owner, now);
+            self.leases.record_sent(owner, now);
             orders.push(Order::Grant(Slice {
                 range,
                 ..slice.clone()
@@ -135,17 +148,19 @@
     }
 
     /// What owners are to keep: slices, less the keys that are on their way.
-    fn held_parts(&self) -> Vec<(KeyRange, Epoch)> {
-        let outdated = |slice: &Slice| {
-            let mut seen = self.outdated.iter();
-            seen.any(|(range, seen)| range.common(slice.range).is_some() && slice.epoch < *seen)
+    fn renewable_ranges(&self) -> Vec<(KeyRange, Epoch)> {
+        let is_outdated = |slice: &Slice| {
+            let mut seen = self.seen_epochs.iter();
+            seen.any(|(range, seen)| {
+                range.intersection(slice.range).is_some() && slice.epoch < *seen
+            })
         };
         let held =
-            |slice: &&Slice| slice.owner.is_some() && slice.expiry.is_none() && !outdated(slice);
+            |slice: &&Slice| slice.owner.is_some() && slice.expiry.is_none() && !is_outdated(slice);
         let owned = self.map.slices().iter().filter(held);
-        let moved = self.moved();
+        let moving = self.moving_ranges();
         let parts = owned.flat_map(|slice| {
-            let parts = unmoved(slice.range, &moved);
+            let parts = not_moving(slice.range, &moving);
             parts.into_iter().map(|range| (range, slice.epoch))
         });
         parts.collect()
@@ -153,46 +168,55 @@
 
     /// Takes in what became of a grant; whether keys that were released for a move are
     /// held again.
-    pub(super) fn granted(&mut self, slice: &Slice, end: OrderEnd, now: Time) -> bool {
-        let Some(renewal) = self.renewals.grants.get_mut(&slice.range) else {
+    pub(super) fn complete_grant(
+        &mut self,
+        slice: &Slice,
+        outcome: OrderOutcome,
+        now: Time,
+    ) -> bool {
+        let Some(renewal) = self.renewals.by_range.get_mut(&slice.range) else {
             return false;
         };
         if renewal.epoch != slice.epoch {
             return false;
         }
-        let begun = renewal.open.take();
-        if let Some(begun) = begun {
-            self.renewals.window.end(begun, slice.range);
+        let sent_at = renewal.sent_at.take();
+        if let Some(sent_at) = sent_at {
+            self.renewals.window.remove(sent_at, slice.range);
         }
-        if let (OrderEnd::NotSent, Some(begun), Some(owner)) = (&end, begun, &slice.owner) {
-            self.book.not_sent(owner, begun);
+        if let (OrderOutcome::NotSent, Some(sent_at), Some(owner)) =
+            (&outcome, sent_at, &slice.owner)
+        {
+            self.leases.record_unsent(owner, sent_at);
         }
-        let mut first = false;
-        match end {
-            OrderEnd::Done { .. } => {
-                renewal.next = now + self.book.times().renew;
-                renewal.failing = None;
-                first = !std::mem::replace(&mut renewal.held, true);
+        let mut is_first = false;
+        match outcome {
+            OrderOutcome::Done { .. } => {
+                renewal.due = now + self.leases.times().renewal_interval;
+                renewal.failing_since = None;
+                is_first = !std::mem::replace(&mut renewal.is_held, true);
             }
-            OrderEnd::Outdated => {
-                renewal.next = now + AGAIN;
-                self.outdated.push((slice.range, Epoch(slice.epoch.0 + 1)));
-                self.renewals.stale = true;
+            OrderOutcome::Outdated => {
+                renewal.due = now + RETRY_DELAY;
+                self.seen_epochs
+                    .push((slice.range, Epoch(slice.epoch.0 + 1)));
+                self.renewals.is_stale = true;
             }
-            OrderEnd::Unknown | OrderEnd::NotSent => {
-                renewal.next = now + AGAIN;
-                renewal.failing.get_or_insert(now);
+            OrderOutcome::Unknown | OrderOutcome::NotSent => {
+                renewal.due = now + RETRY_DELAY;
+                renewal.failing_since.get_or_insert(now);
             }
         }
-        let place = (renewal.held, renewal.next, slice.range);
-        self.renewals.waiting.insert(place);
-        first && self.take_handed(slice.range)
+        let entry = (renewal.is_held, renewal.due, slice.range);
+        self.renewals.queue.insert(entry);
+        is_first && self.clear_awaiting(slice.range)
     }
 
     /// Whether a slice holds keys that were released for a move, which are then forgotten.
-    fn take_handed(&mut self, range: KeyRange) -> bool {
-        let before = self.handed.len();
-        self.handed.retain(|handed| handed.common(range).is_none());
-        self.handed.len() < before
+    fn clear_awaiting(&mut self, range: KeyRange) -> bool {
+        let before = self.awaiting_grant.len();
+        self.awaiting_grant
+            .retain(|keys| keys.intersection(range).is_none());
+        self.awaiting_grant.len() < before
     }
 }
--- a/crates/core/src/ranges/windows.rs
+++ b/crates/core/src/ranges/windows.rs
@@ -1,40 +1,40 @@
 //! Demand over windows of different length.
 
 use {
-    super::{Demand, KeyDemand, RangeKey, demand::PARTS},
+    super::{Demand, KeyDemand, RangeKey, demand::BUCKETS},
     crate::time::Time,
     std::time::Duration,
 };
 
 /// Half-life of the demand that plans go by: some hundred requests of a small
 /// service, so that chance is a tenth of a server's load.
-const SLOW: Duration = Duration::from_secs(3);
+const LONG_HALF_LIFE: Duration = Duration::from_secs(3);
 /// Half-lives of the windows that show a sudden change, the shortest first.
-const QUICK: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(700)];
+const SHORT_HALF_LIVES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(700)];
 /// Requests without which a window tells nothing.
-const COUNT_MIN: f64 = 40.0;
+const MIN_REQUESTS: f64 = 40.0;
 /// How far, in standard deviations, the requests for a part of the key space must
 /// be from what another window makes expect. Callers send in groups, which alone
 /// makes two of what would be one.
-const SIGMAS: f64 = 5.0;
+const CHANGE_SIGMAS: f64 = 5.0;
 /// The same for the end of a change: as long as it is not sure that the long window
 /// has caught up, the other one is right.
-const SIGMAS_OVER: f64 = 3.0;
+const END_SIGMAS: f64 = 3.0;
 /// Requests since a change, or time, after which they tell where keys should go. A plan
 /// made on the first few of them would give servers several times what they can run.
-const SETTLED_COUNT: f64 = 300.0;
-const SETTLED_TIME: Duration = Duration::from_millis(300);
+const SETTLED_REQUESTS: f64 = 300.0;
+const SETTLED_AFTER: Duration = Duration::from_millis(300);
 /// After so long a change of which too little is known is none: callers have left, and
 /// plans would wait for them for good.
-const SETTLED_MOST: Duration = Duration::from_secs(1);
+const SETTLING_TIMEOUT: Duration = Duration::from_secs(1);
 /// Half-lives after a change by which a short window holds next to nothing from before
 /// it. Until then it differs from what has come since, though nothing changes.
-const FLUSHED: u32 = 3;
+const FLUSH_HALF_LIVES: u32 = 3;
 /// Requests since a change before which it does not count as over.
-const COUNT_OVER: f64 = 200.0;
+const END_MIN_REQUESTS: f64 = 200.0;
 
 /// For each part of the key space whether something is true of it.
-type Parts = [bool; PARTS];
+type BucketFlags = [bool; BUCKETS];
 
 /// What callers of one service ask for.
 ///
@@ -52,51 +52,51 @@
 ///     now = now + Duration::from_millis(1);
 ///     demand.add(RangeKey(number.wrapping_mul(40_503)), now);
 /// }
-/// assert!(!demand.look(now));
-/// let mut sudden = false;
+/// assert!(!demand.detect_change(now));
+/// let mut has_changed = false;
 /// for number in 0..500_u16 {
 ///     now = now + Duration::from_millis(1);
 ///     demand.add(RangeKey(number % 10), now);
-///     sudden |= demand.look(now);
+///     has_changed |= demand.detect_change(now);
 /// }
-/// assert!(sudden);
-/// let first = demand.seen(now).of("0-9".parse().unwrap());
+/// assert!(has_changed);
+/// let first = demand.snapshot(now).rate("0-9".parse().unwrap());
 /// assert!(first > 500.0, "{first} requests a second");
 /// ```
 #[derive(Debug)]
 pub struct DemandWindows {
-    slow: KeyDemand,
-    quick: [KeyDemand; QUICK.len()],
+    long: KeyDemand,
+    short: [KeyDemand; SHORT_HALF_LIVES.len()],
     /// The last sudden change, as long as the slow window differs.
     change: Option<Change>,
     /// One after it of which too little is known to plan by.
-    next: Option<Change>,
+    pending: Option<Change>,
 }
 
 #[derive(Debug)]
 struct Change {
-    begun: Time,
+    started: Time,
     /// Requests since then.
-    since: KeyDemand,
+    demand: KeyDemand,
     /// The parts of the key space that have changed.
-    parts: Parts,
+    buckets: BucketFlags,
 }
 
 impl Change {
     /// Whether enough is known of it to plan by.
-    fn tells(&self, now: Time) -> bool {
-        let count = self.since.count(now);
-        count >= SETTLED_COUNT || (count >= COUNT_MIN && now - self.begun >= SETTLED_TIME)
+    fn is_settled(&self, now: Time) -> bool {
+        let count = self.demand.count(now);
+        count >= SETTLED_REQUESTS || (count >= MIN_REQUESTS && now - self.started >= SETTLED_AFTER)
     }
 }
 
 impl Default for DemandWindows {
     fn default() -> Self {
         Self {
-            slow: KeyDemand::new(SLOW),
-            quick: QUICK.map(KeyDemand::new),
+            long: KeyDemand::new(LONG_HALF_LIFE),
+            short: SHORT_HALF_LIVES.map(KeyDemand::new),
             change: None,
-            next: None,
+            pending: None,
         }
     }
 }
@@ -104,32 +104,32 @@
 impl DemandWindows {
     /// Counts a request.
     pub fn add(&mut self, key: RangeKey, now: Time) {
-        self.slow.add(key, now);
-        for window in &mut self.quick {
+        self.long.add(key, now);
+        for window in &mut self.short {
             window.add(key, now);
         }
-        for change in self.change.iter_mut().chain(&mut self.next) {
-            change.since.add(key, now);
+        for change in self.change.iter_mut().chain(&mut self.pending) {
+            change.demand.add(key, now);
         }
     }
 
     /// Compares the windows; whether plans are out of date all of a sudden.
-    pub fn look(&mut self, now: Time) -> bool {
+    pub fn detect_change(&mut self, now: Time) -> bool {
         if self.is_settling(now) {
-            let settled = self.next.take_if(|next| next.tells(now));
-            let any = settled.is_some();
+            let settled = self.pending.take_if(|pending| pending.is_settled(now));
+            let has_settled = settled.is_some();
             self.change = settled.or(self.change.take());
-            return any;
+            return has_settled;
         }
-        self.next = None;
-        let (parts, before) = self.sudden(now);
-        if parts.contains(&true) {
-            self.next = Some(Change {
-                begun: now,
-                since: KeyDemand::new(SLOW),
-                parts: either(parts, before),
+        self.pending = None;
+        let (buckets, before) = self.changed_buckets(now);
+        if buckets.contains(&true) {
+            self.pending = Some(Change {
+                started: now,
+                demand: KeyDemand::new(LONG_HALF_LIFE),
+                buckets: union(buckets, before),
             });
-        } else if self.is_over(now) {
+        } else if self.has_ended(now) {
             self.change = None;
         }
         false
@@ -138,68 +138,81 @@
     /// Whether other keys are asked for and too little is known of them: a plan made now
     /// would divide what is hot by a fraction of what is asked for.
     pub fn is_settling(&self, now: Time) -> bool {
-        let next = self.next.as_ref();
-        next.is_some_and(|next| now - next.begun < SETTLED_MOST)
+        let pending = self.pending.as_ref();
+        pending.is_some_and(|pending| now - pending.started < SETTLING_TIMEOUT)
     }
 
     /// Parts in which a short window differs from what is known, and those that have
     /// changed before.
-    fn sudden(&mut self, now: Time) -> (Parts, Parts) {
+    fn changed_buckets(&mut self, now: Time) -> (BucketFlags, BucketFlags) {
         let Some(change) = &mut self.change else {
-            return (sudden(&self.quick, &self.slow, now), Parts::default());
+            return (
+                first_differing(&self.short, &self.long, now),
+                BucketFlags::default(),
+            );
         };
         // A range that cools down as another one turns hot shows later than that.
-        let late = differ(&self.slow, &change.since, SIGMAS, now);
-        change.parts = either(change.parts, late);
-        let age = now - change.begun;
-        let pure = QUICK
+        let late_buckets = differing_buckets(&self.long, &change.demand, CHANGE_SIGMAS, now);
+        change.buckets = union(change.buckets, late_buckets);
+        let age = now - change.started;
+        let settled_windows = SHORT_HALF_LIVES
             .iter()
-            .take_while(|half_life| age > **half_life * FLUSHED);
-        let quick = &self.quick[..pure.count()];
-        (sudden(quick, &change.since, now), change.parts)
+            .take_while(|half_life| age > **half_life * FLUSH_HALF_LIVES);
+        let pure_windows = &self.short[..settled_windows.count()];
+        (
+            first_differing(pure_windows, &change.demand, now),
+            change.buckets,
+        )
     }
 
     /// Whether the long window has caught up with the last change.
-    fn is_over(&self, now: Time) -> bool {
+    fn has_ended(&self, now: Time) -> bool {
         let Some(change) = &self.change else {
             return false;
         };
-        let lasts = differ(&self.slow, &change.since, SIGMAS_OVER, now);
-        change.since.count(now) >= COUNT_OVER && !lasts.contains(&true)
+        let differing = differing_buckets(&self.long, &change.demand, END_SIGMAS, now);
+        change.demand.count(now) >= END_MIN_REQUESTS && !differing.contains(&true)
     }
 
     /// The demand that plans go by.
-    pub fn seen(&self, now: Time) -> Demand {
-        let slow = self.slow.seen(now);
+    pub fn snapshot(&self, now: Time) -> Demand {
+        let long = self.long.snapshot(now);
         match &self.change {
-            Some(change) => slow.updated(&change.since.seen(now), &change.parts),
-            None => slow,
+            Some(change) => long.with_changes(&change.demand.snapshot(now), &change.buckets),
+            None => long,
         }
     }
 }
 
 /// Parts in which the first of the short windows that does differs from a known one.
-fn sudden(quick: &[KeyDemand], known: &KeyDemand, now: Time) -> Parts {
-    let differing = quick.iter().map(|quick| differ(known, quick, SIGMAS, now));
-    let mut differing = differing.filter(|parts| parts.contains(&true));
+fn first_differing(short: &[KeyDemand], baseline: &KeyDemand, now: Time) -> BucketFlags {
+    let differing = short
+        .iter()
+        .map(|window| differing_buckets(baseline, window, CHANGE_SIGMAS, now));
+    let mut differing = differing.filter(|buckets| buckets.contains(&true));
     differing.next().unwrap_or_default()
 }
 
-fn either(one: Parts, other: Parts) -> Parts {
-    std::array::from_fn(|part| one[part] || other[part])
+fn union(one: BucketFlags, other: BucketFlags) -> BucketFlags {
+    std::array::from_fn(|bucket| one[bucket] || other[bucket])
 }
 
 /// The parts of the key space in which a window differs from a known one by more than
 /// chance.
-fn differ(known: &KeyDemand, window: &KeyDemand, sigmas: f64, now: Time) -> Parts {
+fn differing_buckets(
+    baseline: &KeyDemand,
+    window: &KeyDemand,
+    sigmas: f64,
+    now: Time,
+) -> BucketFlags {
     let count = window.count(now);
-    if count < COUNT_MIN {
-        return Parts::default();
+    if count < MIN_REQUESTS {
+        return BucketFlags::default();
     }
-    let (usual, seen) = (known.spread(), window.spread());
-    let both = 1.0 / count + 1.0 / known.count(now).max(1.0);
-    std::array::from_fn(|part| {
-        let chance = ((usual[part] + 1.0 / count) * both).sqrt();
-        (seen[part] - usual[part]).abs() > sigmas * chance
+    let (expected, observed) = (baseline.distribution(), window.distribution());
+    let both = 1.0 / count + 1.0 / baseline.count(now).max(1.0);
+    std::array::from_fn(|bucket| {
+        let chance = ((expected[bucket] + 1.0 / count) * both).sqrt();
+        (observed[bucket] - expected[bucket]).abs() > sigmas * chance
     })
 }
--- a/crates/core/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -6,8 +6,9 @@
     citron_core::{
         id::{ServerName, ServiceName, Slots},
         ranges::{
-            Balance, BalanceLimits, Capacity, Demand, KeyRange, LeaseBook, LeaseTimes, Order,
-            OrderEnd, PartedMap, RangeKey, RangeMap, Reconciler, Scope, partition,
+            BalanceLimits, Balancer, Capacity, Demand, KeyRange, LeaseTimes, LeaseTracker, Order,
+            OrderOutcome, PartitionedMap, PlanScope, RangeKey, RangeMap, Reconciler,
+            partition_ranges,
         },
         registry::{Registry, RegistryTimes, ServerEntry, ServerState},
         time::{StoreClock, Time},
@@ -87,7 +88,7 @@
 
 impl Planner {
     /// A planner whose servers all hold their keys, some time after the first deal.
-    fn settled(servers: usize) -> Self {
+    fn with_held_keys(servers: usize) -> Self {
         let service: ServiceName = "ledger".parse().unwrap();
         let mut registry = Registry::new(RegistryTimes::STANDARD);
         for number in 0..servers {
@@ -98,32 +99,32 @@
             };
             registry.listed(entry, at(0));
         }
-        let book = LeaseBook::new(LeaseTimes::STANDARD, at(0));
+        let leases = LeaseTracker::new(LeaseTimes::STANDARD, at(0));
         let mut planner = Self {
-            reconciler: Reconciler::new(RangeMap::new(), book),
+            reconciler: Reconciler::new(RangeMap::new(), leases),
             registry,
             clock: StoreClock::default(),
         };
-        planner.deal(servers);
+        planner.assign_and_grant(servers);
         planner
     }
 
-    fn deal(&mut self, servers: usize) {
+    fn assign_and_grant(&mut self, servers: usize) {
         let capacity = |number| Capacity {
             server: name(number),
             rate: 10.0,
-            takes: true,
+            accepts_keys: true,
         };
         let capacities: Vec<Capacity> = (0..servers).map(capacity).collect();
         let demand = Demand::default();
-        let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, &demand);
-        let scope = Scope {
-            deal: true,
-            even: false,
+        let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, &demand);
+        let scope = PlanScope {
+            may_assign: true,
+            may_rebalance: false,
         };
         let now = at(1_000);
         self.reconciler
-            .plan(now, &self.clock, &self.registry, &mut balance, scope);
+            .plan(now, &self.clock, &self.registry, &mut balancer, scope);
         for step in 0..1_000 {
             let now = at(1_000 + step);
             let orders = self.reconciler.orders(now, &self.clock, &self.registry);
@@ -131,8 +132,8 @@
                 return;
             }
             for order in orders {
-                let end = OrderEnd::Done { handover: None };
-                self.reconciler.ended(&order, end, now);
+                let outcome = OrderOutcome::Done { handover: None };
+                self.reconciler.complete(&order, outcome, now);
             }
         }
     }
@@ -142,7 +143,7 @@
 #[test]
 fn orders_cost_what_is_due() {
     let idle = |servers: usize| {
-        let mut planner = Planner::settled(servers);
+        let mut planner = Planner::with_held_keys(servers);
         allocations(|| {
             let now = at(2_500);
             let reconciler = &mut planner.reconciler;
@@ -156,7 +157,7 @@
 /// Guards against a first deal whose cost is the square of the servers.
 #[test]
 fn a_first_deal_is_committed_in_one_pass() {
-    let deal = |servers: usize| allocations(|| drop(Planner::settled(servers)));
+    let deal = |servers: usize| allocations(|| drop(Planner::with_held_keys(servers)));
     let (few, many) = (deal(500), deal(4_000));
     assert!(many < few * 12, "{few} at 500, {many} at 4,000");
 }
@@ -165,7 +166,7 @@
 /// answer makes room for the next order.
 #[test]
 fn renewals_of_thousands_of_servers_follow_the_answers() {
-    let mut planner = Planner::settled(6_889);
+    let mut planner = Planner::with_held_keys(6_889);
     let mut granted = 0;
     // A millisecond from an order to its answer.
     for milli in 3_300..5_800 {
@@ -175,8 +176,8 @@
         for order in orders {
             assert!(matches!(order, Order::Grant(_)));
             granted += 1;
-            let end = OrderEnd::Done { handover: None };
-            planner.reconciler.ended(&order, end, now);
+            let outcome = OrderOutcome::Done { handover: None };
+            planner.reconciler.complete(&order, outcome, now);
         }
     }
     let slices = planner.reconciler.map().slices().len();
@@ -194,8 +195,8 @@
             last: RangeKey((number * 2 + 1) as u16),
         };
         map.assign_all((0..servers).map(|number| (range(number), name(number), None)));
-        let parts = partition(&map, &PartedMap::default(), 256);
-        let slices = parts.iter().map(|part| map.within(*part).len());
+        let parts = partition_ranges(&map, &PartitionedMap::default(), 256);
+        let slices = parts.iter().map(|part| map.slices_in(*part).len());
         assert!(slices.clone().max().unwrap() <= 256);
         assert!(slices.sum::<usize>() >= servers);
     }
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::{Epoch, ServerName},
-        ranges::{KeyRange, MoveLog, MoveNews, OwnerHint, RangeKey, RangeMap},
+        ranges::{KeyRange, MoveLog, MoveNotice, OwnerHint, RangeKey, RangeMap},
         time::Time,
     },
     std::time::Duration,
@@ -23,17 +23,17 @@
     "0-99".parse().unwrap()
 }
 
-fn released(epoch: u64) -> MoveNews {
-    MoveNews {
+fn released(epoch: u64) -> MoveNotice {
+    MoveNotice {
         range: range(),
         epoch: Epoch(epoch),
-        place: OwnerHint::Released,
+        hint: OwnerHint::Released,
     }
 }
 
-fn owned(epoch: u64, number: usize) -> MoveNews {
-    MoveNews {
-        place: OwnerHint::Owned(server(number)),
+fn owned(epoch: u64, number: usize) -> MoveNotice {
+    MoveNotice {
+        hint: OwnerHint::Owned(server(number)),
         ..released(epoch)
     }
 }
@@ -56,13 +56,13 @@
 fn callers_follow_keys_through_a_move() {
     let (mut log, map) = (MoveLog::default(), map(1));
     assert_eq!(find(&log, &map, at(0)), None);
-    log.note(released(2), at(0));
+    log.insert(released(2), at(0));
     assert_eq!(find(&log, &map, at(10)), Some(OwnerHint::Released));
-    log.note(owned(2, 2), at(200));
+    log.insert(owned(2, 2), at(200));
     let owner = Some(OwnerHint::Owned(server(2)));
     assert_eq!(find(&log, &map, at(210)), owner);
     // A datagram that was overtaken.
-    log.note(released(2), at(220));
+    log.insert(released(2), at(220));
     assert_eq!(find(&log, &map, at(230)), owner);
     assert_eq!(
         log.find(RangeKey(100), map.slice(RangeKey(100)), at(230)),
@@ -75,15 +75,15 @@
 #[test]
 fn news_ends_with_the_map_or_by_itself() {
     let mut log = MoveLog::default();
-    log.note(owned(2, 2), at(0));
+    log.insert(owned(2, 2), at(0));
     assert_eq!(find(&log, &map(3), at(10)), None);
     assert_eq!(find(&log, &map(1), at(60_000)), None);
-    log.note(released(5), at(60_000));
+    log.insert(released(5), at(60_000));
     for again in 1..10 {
-        log.note(released(5), at(60_000 + again * 250));
+        log.insert(released(5), at(60_000 + again * 250));
     }
     assert_eq!(find(&log, &map(1), at(62_500)), None);
-    log.note(released(6), at(120_000));
+    log.insert(released(6), at(120_000));
     assert_eq!(find(&log, &map(1), at(120_010)), Some(OwnerHint::Released));
 }
 
@@ -92,11 +92,11 @@
 #[test]
 fn a_map_that_comes_before_the_grant_is_not_followed() {
     let mut log = MoveLog::default();
-    log.note(released(2), at(0));
+    log.insert(released(2), at(0));
     assert_eq!(find(&log, &map(2), at(100)), Some(OwnerHint::Released));
-    log.note(owned(2, 2), at(150));
+    log.insert(owned(2, 2), at(150));
     let owner = Some(OwnerHint::Owned(server(2)));
     assert_eq!(find(&log, &map(2), at(160)), owner);
-    log.note(released(9), at(200));
+    log.insert(released(9), at(200));
     assert_eq!(find(&log, &map(2), at(1_500)), owner);
 }
--- a/crates/core/tests/ranges.rs
+++ b/crates/core/tests/ranges.rs
@@ -4,8 +4,9 @@
     citron_core::{
         id::{Epoch, ServerName},
         ranges::{
-            Balance, BalanceLimits, Capacity, Demand, KeyDemand, KeyRange, LeaseBook, LeaseTimes,
-            Order, OrderEnd, OwnerState, Owners, RangeKey, RangeMap, Reconciler, Scope, Slice,
+            BalanceLimits, Balancer, Capacity, Demand, KeyDemand, KeyRange, LeaseTimes,
+            LeaseTracker, Order, OrderOutcome, OwnerState, Owners, PlanScope, RangeKey, RangeMap,
+            Reconciler, Slice,
         },
         time::{StoreClock, StoreTime, Time},
     },
@@ -27,7 +28,7 @@
     let capacity = |(number, rate): (usize, &f64)| Capacity {
         server: server(number),
         rate: *rate,
-        takes: true,
+        accepts_keys: true,
     };
     rates.iter().enumerate().map(capacity).collect()
 }
@@ -42,10 +43,10 @@
     ) {
         let mut map = RangeMap::new();
         for (one, other, to) in moves {
-            let cut = range(one.min(other), one.max(other));
-            let before = map.epoch(cut);
-            map.assign(cut, &server(to), None);
-            let slice = map.slice(cut.first);
+            let keys = range(one.min(other), one.max(other));
+            let before = map.max_epoch(keys);
+            map.assign(keys, &server(to), None);
+            let slice = map.slice(keys.first);
             prop_assert_eq!(slice.owner.as_ref(), Some(&server(to)));
             prop_assert!(slice.epoch > before);
             prop_assert!(RangeMap::from_slices(map.slices().to_vec()).is_ok());
@@ -82,16 +83,16 @@
     let mut map = RangeMap::new();
     map.assign(range(0, 99), &server(0), Some("warm".to_string()));
     map.assign(range(100, 199), &server(0), None);
-    assert_eq!(map.owned(&server(0)).count(), 2);
-    map.take_handovers(|_| true);
-    assert_eq!(map.owned(&server(0)).count(), 1);
+    assert_eq!(map.owned_by(&server(0)).count(), 2);
+    map.clear_handovers(|_| true);
+    assert_eq!(map.owned_by(&server(0)).count(), 1);
     assert_eq!(map.slice(RangeKey(0)).range, range(0, 199));
 }
 
 /// Demand that falls steeply with the key, as where the busiest keys lie at one
 /// end of the space: the first 5% of the keys get three eighths of the requests,
 /// and the first key alone a fortieth.
-fn steep(requests: u32, seed: u64) -> Demand {
+fn skewed_demand(requests: u32, seed: u64) -> Demand {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut demand = KeyDemand::new(Duration::from_secs(3));
     let mut now = Time::from_micros(0);
@@ -100,42 +101,49 @@
         let drawn: f64 = rng.random();
         demand.add(RangeKey((drawn.powi(3) * 65_535.0) as u16), now);
     }
-    demand.seen(now)
+    demand.snapshot(now)
 }
 
 fn loads(map: &RangeMap, demand: &Demand) -> BTreeMap<ServerName, f64> {
     let mut loads = BTreeMap::new();
     for slice in map.slices() {
         if let Some(owner) = &slice.owner {
-            *loads.entry(owner.clone()).or_insert(0.0) += demand.of(slice.range);
+            *loads.entry(owner.clone()).or_insert(0.0) += demand.rate(slice.range);
         }
     }
     loads
 }
 
 /// Applies rounds of shifts; the busiest server's load over the mean after each.
-fn even_out(map: &mut RangeMap, demand: &Demand, rates: &[f64], rounds: usize) -> Vec<f64> {
-    shift(map, demand, rates, rounds, true)
+fn rebalance(map: &mut RangeMap, demand: &Demand, rates: &[f64], rounds: usize) -> Vec<f64> {
+    apply_reassignments(map, demand, rates, rounds, true)
 }
 
-fn shift(map: &mut RangeMap, demand: &Demand, rates: &[f64], rounds: usize, cut: bool) -> Vec<f64> {
-    let mut busiest = Vec::new();
+fn apply_reassignments(
+    map: &mut RangeMap,
+    demand: &Demand,
+    rates: &[f64],
+    rounds: usize,
+    may_split: bool,
+) -> Vec<f64> {
+    let mut max_over_mean = Vec::new();
     for _ in 0..rounds {
         let capacities = capacities(rates);
-        let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, demand);
+        let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, demand);
         for slice in map.slices() {
-            balance.load(slice.owner.as_ref().unwrap(), slice.range);
+            balancer.add_load(slice.owner.as_ref().unwrap(), slice.range);
         }
-        balance.level();
-        let parts = |server: &ServerName| map.owned(server).map(|slice| slice.range).collect();
-        for shift in balance.shifts(0, cut, parts) {
-            map.assign(shift.range, &shift.to, None);
+        balancer.update_fair_utilization();
+        let owned_ranges =
+            |server: &ServerName| map.owned_by(server).map(|slice| slice.range).collect();
+        for reassignment in balancer.reassignments(0, may_split, owned_ranges) {
+            map.assign(reassignment.range, &reassignment.to, None);
         }
         let loads = loads(map, demand);
         let mean = loads.values().sum::<f64>() / rates.len() as f64;
-        busiest.push(loads.values().fold(0.0, |a: f64, b| a.max(*b)) / mean);
+        max_over_mean.push(loads.values().fold(0.0, |a: f64, b| a.max(*b)) / mean);
     }
-    busiest
+    max_over_mean
 }
 
 /// A calm day's start. Servers show up, and nobody knows which keys will be busy;
@@ -145,19 +153,19 @@
 #[test]
 fn stripes_spread_busy_neighbours_before_anything_is_known() {
     let rates = [20.0; 19];
-    let nothing = Demand::default();
+    let no_demand = Demand::default();
     let capacities = capacities(&rates);
-    let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, &nothing);
+    let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, &no_demand);
     let mut map = RangeMap::new();
-    for (part, to) in balance.deal(KeyRange::ALL) {
+    for (part, to) in balancer.assign_stripes(KeyRange::ALL) {
         map.assign(part, &to, None);
     }
     assert!(map.slices().iter().all(|slice| slice.owner.is_some()));
-    let demand = steep(500, 1);
-    let dealt = loads(&map, &demand);
-    let mean = dealt.values().sum::<f64>() / 19.0;
-    let striped = dealt.values().fold(0.0, |a: f64, b| a.max(*b)) / mean;
-    let equal = demand.of(range(0, u16::MAX / 19)) / mean;
+    let demand = skewed_demand(500, 1);
+    let striped_loads = loads(&map, &demand);
+    let mean = striped_loads.values().sum::<f64>() / 19.0;
+    let striped = striped_loads.values().fold(0.0, |a: f64, b| a.max(*b)) / mean;
+    let equal = demand.rate(range(0, u16::MAX / 19)) / mean;
     assert!(equal > 6.0, "the pattern is not steep: {equal}");
     assert!(striped < equal * 0.6, "striped {striped}, equal {equal}");
 }
@@ -168,13 +176,13 @@
 fn a_steep_demand_is_even_after_three_rounds() {
     for seed in 0..10 {
         let rates = [20.0; 19];
-        let demand = steep(500, seed);
+        let demand = skewed_demand(500, seed);
         let mut map = RangeMap::new();
         for (at, first) in (0..19_u16).map(|at| (usize::from(at), at * 3_450)) {
             map.assign(range(first, u16::MAX), &server(at), None);
         }
-        let busiest = even_out(&mut map, &demand, &rates, 3);
-        assert!(busiest[2] < 1.7, "seed {seed}: {busiest:?}");
+        let max_over_mean = rebalance(&mut map, &demand, &rates, 3);
+        assert!(max_over_mean[2] < 1.7, "seed {seed}: {max_over_mean:?}");
         let moved = map.slices().iter().filter(|slice| slice.epoch.0 > 19);
         let moved: u32 = moved.map(|slice| slice.range.len()).sum();
         assert!(moved < 13_000, "seed {seed}: {moved} keys moved");
@@ -197,22 +205,22 @@
         };
         demand.add(RangeKey(key), now);
     }
-    let demand = demand.seen(now);
+    let demand = demand.snapshot(now);
     let mut rates = [18.0; 12];
     rates[7] = 36.0;
     let mut map = RangeMap::new();
     for (at, first) in (0..12_u16).map(|at| (usize::from(at), at * 5_462)) {
         map.assign(range(first, u16::MAX), &server(at), None);
     }
-    even_out(&mut map, &demand, &rates, 6);
+    rebalance(&mut map, &demand, &rates, 6);
     let hot = map.slice(RangeKey(700)).clone();
     assert_eq!(hot.owner, Some(server(7)));
-    let beside = loads(&map, &demand)[&server(7)] - demand.of(range(700, 700));
+    let beside = loads(&map, &demand)[&server(7)] - demand.rate(range(700, 700));
     assert!(
         beside < 4.0,
         "{beside} requests a second beside the hot key"
     );
-    even_out(&mut map, &demand, &rates, 6);
+    rebalance(&mut map, &demand, &rates, 6);
     assert_eq!(
         map.slice(RangeKey(700)).epoch,
         hot.epoch,
@@ -225,13 +233,13 @@
 #[test]
 fn few_requests_move_nothing() {
     let rates = [20.0; 19];
-    let demand = steep(40, 3);
+    let demand = skewed_demand(40, 3);
     let mut map = RangeMap::new();
     for (at, first) in (0..19_u16).map(|at| (usize::from(at), at * 3_450)) {
         map.assign(range(first, u16::MAX), &server(at), None);
     }
     let before = map.clone();
-    even_out(&mut map, &demand, &rates, 1);
+    rebalance(&mut map, &demand, &rates, 1);
     assert_eq!(map, before);
 }
 
@@ -241,13 +249,13 @@
 #[test]
 fn small_slices_find_new_owners_undivided() {
     let rates = [20.0; 19];
-    let demand = steep(500, 5);
+    let demand = skewed_demand(500, 5);
     let capacities = capacities(&rates);
-    let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, &demand);
+    let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, &demand);
     let mut parts = 0;
     for number in 0..34_u16 {
         let slice = range(number * 1_900, number * 1_900 + 600);
-        let shared = balance.share_out(slice);
+        let shared = balancer.distribute(slice);
         assert_eq!(shared.first().unwrap().0.first, slice.first);
         assert_eq!(shared.last().unwrap().0.last, slice.last);
         parts += shared.len();
@@ -262,15 +270,17 @@
 fn a_lease_ends_only_after_transit_and_the_slowest_clock() {
     let times = LeaseTimes::STANDARD;
     let server = server(1);
-    let mut book = LeaseBook::new(times, Time::ZERO);
+    let mut leases = LeaseTracker::new(times, Time::ZERO);
     let sent = Time::from_micros(90_000_000);
-    book.sent(&server, sent);
-    let latest = sent + times.start + times.order + times.hold.mul_f64(1.02);
-    assert!(book.ends(book.last(&server)) > latest);
+    leases.record_sent(&server, sent);
+    let latest = sent + times.start_timeout + times.order_timeout + times.lease.mul_f64(1.02);
+    assert!(leases.lease_end(leases.last_sent(&server)) > latest);
     // A planner before this one may have sent until later.
-    let foreign = sent + times.blind;
-    let book = LeaseBook::new(times, foreign);
-    assert!(book.ends(sent) > foreign + times.order + times.hold.mul_f64(1.02));
+    let previous_until = sent + times.outage_limit;
+    let leases = LeaseTracker::new(times, previous_until);
+    assert!(
+        leases.lease_end(sent) > previous_until + times.order_timeout + times.lease.mul_f64(1.02)
+    );
 }
 
 /// A server has crashed and takes no connection. Each of the renewals that it is
@@ -280,20 +290,24 @@
 fn grants_that_never_left_do_not_prolong_a_lease() {
     let times = LeaseTimes::STANDARD;
     let server = server(1);
-    let mut book = LeaseBook::new(times, Time::ZERO);
+    let mut leases = LeaseTracker::new(times, Time::ZERO);
     let at = |millis: u64| Time::from_micros(millis * 1_000);
-    book.sent(&server, at(1_000));
-    for vain in [3_500, 3_750, 4_000, 6_000] {
-        book.sent(&server, at(vain));
-        assert_eq!(book.last(&server), at(vain), "it may arrive as yet");
-        book.not_sent(&server, at(vain));
-        assert_eq!(book.last(&server), at(1_000));
+    leases.record_sent(&server, at(1_000));
+    for unsent in [3_500, 3_750, 4_000, 6_000] {
+        leases.record_sent(&server, at(unsent));
+        assert_eq!(
+            leases.last_sent(&server),
+            at(unsent),
+            "it may arrive as yet"
+        );
+        leases.record_unsent(&server, at(unsent));
+        assert_eq!(leases.last_sent(&server), at(1_000));
     }
     // Of this one nothing is heard: it may have arrived.
-    book.sent(&server, at(6_250));
-    book.sent(&server, at(9_000));
-    book.not_sent(&server, at(9_000));
-    assert_eq!(book.last(&server), at(6_250));
+    leases.record_sent(&server, at(6_250));
+    leases.record_sent(&server, at(9_000));
+    leases.record_unsent(&server, at(9_000));
+    assert_eq!(leases.last_sent(&server), at(6_250));
 }
 
 /// A day with many busy ranges at 167 servers cut the space into a thousand
@@ -302,7 +316,7 @@
 #[test]
 fn with_enough_slices_none_is_cut() {
     let rates = [20.0; 19];
-    let demand = steep(500, 2);
+    let demand = skewed_demand(500, 2);
     let mut map = RangeMap::new();
     for number in 0..120_u16 {
         let owner = server(usize::from(number / 7).min(18));
@@ -315,15 +329,15 @@
         );
     }
     let slices = map.slices().len();
-    let most = |map: &RangeMap| {
+    let max_load = |map: &RangeMap| {
         loads(map, &demand)
             .values()
             .fold(0.0, |a: f64, b| a.max(*b))
     };
-    let before = most(&map);
-    shift(&mut map, &demand, &rates, 3, false);
+    let before = max_load(&map);
+    apply_reassignments(&mut map, &demand, &rates, 3, false);
     assert!(map.slices().len() <= slices);
-    let after = most(&map);
+    let after = max_load(&map);
     assert!(
         after < before * 0.8,
         "{before} requests a second before, {after} after"
@@ -331,9 +345,9 @@
 }
 
 /// The servers of a test that are lost.
-struct Lost<'a>(&'a [ServerName]);
+struct LostServers<'a>(&'a [ServerName]);
 
-impl Owners for Lost<'_> {
+impl Owners for LostServers<'_> {
     fn state(&self, server: &ServerName) -> OwnerState {
         match self.0.contains(server) {
             true => OwnerState::Leaving,
@@ -358,31 +372,31 @@
     let capacities: Vec<Capacity> = vec![Capacity {
         server: other.clone(),
         rate: 20.0,
-        takes: true,
+        accepts_keys: true,
     }];
-    let scope = Scope {
-        deal: true,
-        even: false,
+    let scope = PlanScope {
+        may_assign: true,
+        may_rebalance: false,
     };
     let mut clock = StoreClock::default();
     for planner in 0..3 {
         let begun = at(100 + planner * 5);
-        let mut reconciler = Reconciler::new(map.clone(), LeaseBook::new(times, begun));
+        let mut reconciler = Reconciler::new(map.clone(), LeaseTracker::new(times, begun));
         for second in 0..5 {
             let now = begun + Duration::from_secs(second);
             clock.heard(now, now, StoreTime(7_000 + now.as_micros() / 1_000));
-            let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, &demand);
-            let lost = Lost(std::slice::from_ref(&lost));
-            for order in reconciler.tick(now, &clock, &lost, &mut balance, scope) {
+            let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, &demand);
+            let lost = LostServers(std::slice::from_ref(&lost));
+            for order in reconciler.tick(now, &clock, &lost, &mut balancer, scope) {
                 let end = match &order {
-                    Order::Release { .. } => OrderEnd::NotSent,
-                    _ => OrderEnd::Done { handover: None },
+                    Order::Release { .. } => OrderOutcome::NotSent,
+                    _ => OrderOutcome::Done { handover: None },
                 };
-                reconciler.ended(&order, end, now);
+                reconciler.complete(&order, end, now);
             }
         }
         map = reconciler.map().clone();
     }
-    assert!(at(115) > at(100) + times.reach());
+    assert!(at(115) > at(100) + times.max_validity());
     assert_eq!(map.slice(RangeKey(0)).owner, Some(other));
 }
--- a/crates/core/tests/ranges_model/main.rs
+++ b/crates/core/tests/ranges_model/main.rs
@@ -17,7 +17,7 @@
 /// Walks of the correct rules; one of 100 before showed a fault at seed 99.
 const SEEDS: u64 = 120;
 /// Walks of each flaw at most.
-const FLAW_SEEDS: u64 = 600;
+const MAX_FLAW_SEEDS: u64 = 600;
 /// Steps of 50 ms: a minute.
 const STEPS: u32 = 1_200;
 
@@ -25,8 +25,10 @@
     let mut world = match flaw {
         // One answer that is lost is made good by the next grant, and a planner without the
         // store is harmless to servers that its successor reaches.
-        Flaw::LostGrant | Flaw::NeverBlind => World::with_mutes(seed, Some(flaw)),
-        Flaw::EarlyExpiry | Flaw::ClockAhead => World::with_kills(seed, Some(flaw)),
+        Flaw::AssumeUnsentGrant | Flaw::RenewWithoutStore => {
+            World::with_one_way_links(seed, Some(flaw))
+        }
+        Flaw::EarlyExpiry | Flaw::ClockAhead => World::with_planner_kills(seed, Some(flaw)),
         _ => World::new(seed, Some(flaw)),
     };
     (0..STEPS).any(|_| {
@@ -36,45 +38,49 @@
 }
 
 /// What the correct rules did in a walk.
-struct Done {
+struct WalkResult {
     commits: u64,
     /// Keys held, as a part of all, on average over the steps.
-    held: f64,
+    held_share: f64,
 }
 
-fn correct_walk(seed: u64, mut world: World) -> Done {
-    let mut held = 0.0;
+fn correct_walk(seed: u64, mut world: World) -> WalkResult {
+    let mut held_share = 0.0;
     for _ in 0..STEPS {
         world.step();
         let checked = world.check();
         checked.unwrap_or_else(|what| panic!("seed {seed}: {what}"));
-        held += world.held();
+        held_share += world.held_share();
     }
-    Done {
+    WalkResult {
         commits: world.commits,
-        held: held / f64::from(STEPS),
+        held_share: held_share / f64::from(STEPS),
     }
 }
 
 #[test]
 fn no_key_is_held_twice() {
     let plain = (0..SEEDS).map(|seed| correct_walk(seed, World::new(seed, None)));
-    let mutes = (0..SEEDS).map(|seed| correct_walk(seed, World::with_mutes(seed, None)));
-    let kills = (0..SEEDS).map(|seed| correct_walk(seed, World::with_kills(seed, None)));
-    let doubts = (0..SEEDS).map(|seed| correct_walk(seed, World::with_doubts(seed, None)));
-    let walks: Vec<Done> = plain.chain(mutes).chain(kills).chain(doubts).collect();
+    let one_way = (0..SEEDS).map(|seed| correct_walk(seed, World::with_one_way_links(seed, None)));
+    let killed = (0..SEEDS).map(|seed| correct_walk(seed, World::with_planner_kills(seed, None)));
+    let late = (0..SEEDS).map(|seed| correct_walk(seed, World::with_late_commits(seed, None)));
+    let walks: Vec<WalkResult> = plain.chain(one_way).chain(killed).chain(late).collect();
     // Walks in which nothing happens, or in which nobody holds anything, prove nothing.
-    let commits: u64 = walks.iter().map(|done| done.commits).sum();
-    let held: f64 = walks.iter().map(|done| done.held).sum::<f64>() / walks.len() as f64;
+    let commits: u64 = walks.iter().map(|walk| walk.commits).sum();
+    let held_share: f64 =
+        walks.iter().map(|walk| walk.held_share).sum::<f64>() / walks.len() as f64;
     assert!(commits > 20 * SEEDS, "{commits} commits");
-    assert!(held > 0.5, "{held} of the keys are held on average");
+    assert!(
+        held_share > 0.5,
+        "{held_share} of the keys are held on average"
+    );
 }
 
 /// Each flaw takes one safeguard away. A model that does not notice would not
 /// notice its loss in the product either.
 #[test]
 fn every_flaw_is_caught() {
-    let caught = |flaw| (0..FLAW_SEEDS).find(|seed| is_caught(*seed, flaw));
+    let caught = |flaw| (0..MAX_FLAW_SEEDS).find(|seed| is_caught(*seed, flaw));
     let found = thread::scope(|scope| {
         let search = |flaw| scope.spawn(move || (flaw, caught(flaw)));
         let searches: Vec<_> = Flaw::ALL.into_iter().map(search).collect();
@@ -84,6 +90,6 @@
     let missed: Vec<_> = found.iter().filter(|(_, seed)| seed.is_none()).collect();
     assert!(
         missed.is_empty(),
-        "unnoticed in {FLAW_SEEDS} walks: {found:?}"
+        "unnoticed in {MAX_FLAW_SEEDS} walks: {found:?}"
     );
 }
--- a/crates/core/tests/ranges_model/planner.rs
+++ b/crates/core/tests/ranges_model/planner.rs
@@ -2,7 +2,7 @@
 
 use citron_core::{
     id::ServerName,
-    ranges::{Order, OrderEnd, Reconciler},
+    ranges::{Order, OrderOutcome, Reconciler},
     time::{StoreClock, Time},
 };
 
@@ -22,9 +22,9 @@
     /// Whether it has read that another leads.
     pub stopped: bool,
     /// Servers that it does not reach.
-    pub cut: Vec<ServerName>,
+    pub unreachable: Vec<ServerName>,
     /// Servers that get its grants only, and whose answers are lost.
-    pub mute: Vec<ServerName>,
+    pub one_way: Vec<ServerName>,
     /// Ends that are still on their way to it.
-    pub ends: Vec<(Time, Order, OrderEnd)>,
+    pub outcomes: Vec<(Time, Order, OrderOutcome)>,
 }
--- a/crates/core/tests/ranges_model/server.rs
+++ b/crates/core/tests/ranges_model/server.rs
@@ -11,7 +11,7 @@
 
 /// Keys that a server may run requests on.
 #[derive(Debug, Clone)]
-pub struct Hold {
+pub struct HeldRange {
     pub range: KeyRange,
     pub epoch: Epoch,
     pub until: Time,
@@ -21,70 +21,73 @@
 #[derive(Debug)]
 pub struct Server {
     pub name: ServerName,
-    pub up: bool,
-    pub leaving: bool,
-    pub holds: Vec<Hold>,
-    seen: Vec<(KeyRange, Epoch)>,
-    slow: bool,
+    pub is_up: bool,
+    pub is_leaving: bool,
+    pub held: Vec<HeldRange>,
+    seen_epochs: Vec<(KeyRange, Epoch)>,
+    has_slow_clock: bool,
 }
 
 impl Server {
-    pub fn new(name: ServerName, slow: bool) -> Self {
+    pub fn new(name: ServerName, has_slow_clock: bool) -> Self {
         Self {
             name,
-            up: true,
-            leaving: false,
-            holds: Vec::new(),
-            seen: Vec::new(),
-            slow,
+            is_up: true,
+            is_leaving: false,
+            held: Vec::new(),
+            seen_epochs: Vec::new(),
+            has_slow_clock,
         }
     }
 
-    /// Takes a grant that arrived at `arrived`, however much later it is carried
+    /// Takes a grant that arrived at `received_at`, however much later it is carried
     /// out; `false` if a higher epoch was seen.
-    pub fn grant(&mut self, slice: &Slice, hold: Duration, arrived: Time) -> bool {
-        if self.seen(slice.range) > slice.epoch {
+    pub fn grant(&mut self, slice: &Slice, lease: Duration, received_at: Time) -> bool {
+        if self.max_seen_epoch(slice.range) > slice.epoch {
             return false;
         }
-        let factor = if self.slow { 1.02 } else { 1.0 };
-        self.drop_keys(slice.range);
-        self.seen.push((slice.range, slice.epoch));
-        self.holds.push(Hold {
+        let factor = if self.has_slow_clock { 1.02 } else { 1.0 };
+        self.remove_keys(slice.range);
+        self.seen_epochs.push((slice.range, slice.epoch));
+        self.held.push(HeldRange {
             range: slice.range,
             epoch: slice.epoch,
-            until: arrived + hold.mul_f64(factor),
+            until: received_at + lease.mul_f64(factor),
         });
         true
     }
 
     /// Gives keys up, whatever the epoch.
     pub fn release(&mut self, range: KeyRange, epoch: Epoch) {
-        self.drop_keys(range);
-        self.seen.push((range, epoch));
+        self.remove_keys(range);
+        self.seen_epochs.push((range, epoch));
     }
 
-    fn seen(&self, range: KeyRange) -> Epoch {
-        let touched = self
-            .seen
+    fn max_seen_epoch(&self, range: KeyRange) -> Epoch {
+        let overlapping = self
+            .seen_epochs
             .iter()
-            .filter(|(seen, _)| seen.common(range).is_some());
-        touched.map(|(_, epoch)| *epoch).max().unwrap_or(Epoch(0))
+            .filter(|(seen, _)| seen.intersection(range).is_some());
+        overlapping
+            .map(|(_, epoch)| *epoch)
+            .max()
+            .unwrap_or(Epoch(0))
     }
 
-    fn drop_keys(&mut self, cut: KeyRange) {
-        let mut holds = Vec::new();
-        for hold in self.holds.drain(..) {
-            match hold.range.common(cut) {
-                None => holds.push(hold),
+    fn remove_keys(&mut self, removed: KeyRange) {
+        let mut held = Vec::new();
+        for current in self.held.drain(..) {
+            match current.range.intersection(removed) {
+                None => held.push(current),
                 Some(common) => {
-                    let parts = hold.range.without(common).into_iter().flatten();
-                    holds.extend(parts.map(|range| Hold {
+                    let remaining_parts = current.range.difference(common).into_iter().flatten();
+                    held.extend(remaining_parts.map(|range| HeldRange {
                         range,
-                        ..hold.clone()
+                        ..current.clone()
                     }));
                 }
             }
         }
-        self.holds = holds;
+        self.held = held;
     }
 }
