--- a/crates/core/tests/ranges_model/world.rs
+++ b/crates/core/tests/ranges_model/world.rs
@@ -5,8 +5,8 @@
     citron_core::{
         id::ServerName,
         ranges::{
-            Balance, BalanceLimits, Capacity, Demand, LeaseBook, LeaseTimes, MoveNews, Order,
-            OrderEnd, OwnerHint, OwnerState, Owners, RangeMap, Reconciler, Scope,
+            BalanceLimits, Balancer, Capacity, Demand, LeaseTimes, LeaseTracker, MoveNotice, Order,
+            OrderOutcome, OwnerHint, OwnerState, Owners, PlanScope, RangeMap, Reconciler,
         },
         time::{StoreClock, StoreTime, Time},
     },
@@ -22,27 +22,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
     /// A new planner does not wait for what the former one may have sent.
-    NoForeign,
+    IgnorePreviousPlanners,
     /// A new planner knows of the one just before it only: an earlier one that
     /// was cut off may still renew when the one after it is killed.
-    NoChain,
+    OnlyLastPlanner,
     /// A planner without the store renews for ever.
-    NeverBlind,
+    RenewWithoutStore,
     /// Leases are thought to be shorter than granted.
     ShortLease,
     /// A release that was not answered counts as done.
-    LostRelease,
+    AssumeReleased,
     /// A server that leaves counts as ended.
-    LeavingEnded,
+    AssumeLeavingEnded,
     /// Maps are written whoever leads.
-    NoLeadership,
+    NoLeaderCheck,
     /// A commit that was not answered counts as done.
-    LostCommit,
+    AssumeCommitted,
     /// A planner that is killed and replaced counts as never having sent: the
     /// span for leases given by instances that are listed no more is zero.
-    NoQuiet,
+    NoQuietPeriod,
     /// A grant that was not answered counts as never sent.
-    LostGrant,
+    AssumeUnsentGrant,
     /// The end of a lost owner's lease is written as if it had been granted long
     /// before it was.
     EarlyExpiry,
@@ -52,16 +52,16 @@
 
 impl Flaw {
     pub const ALL: [Self; 12] = [
-        Self::NoForeign,
-        Self::NoChain,
-        Self::NeverBlind,
+        Self::IgnorePreviousPlanners,
+        Self::OnlyLastPlanner,
+        Self::RenewWithoutStore,
         Self::ShortLease,
-        Self::LostRelease,
-        Self::LeavingEnded,
-        Self::NoLeadership,
-        Self::LostCommit,
-        Self::NoQuiet,
-        Self::LostGrant,
+        Self::AssumeReleased,
+        Self::AssumeLeavingEnded,
+        Self::NoLeaderCheck,
+        Self::AssumeCommitted,
+        Self::NoQuietPeriod,
+        Self::AssumeUnsentGrant,
         Self::EarlyExpiry,
         Self::ClockAhead,
     ];
@@ -69,18 +69,18 @@
 
 /// An order on its way to a server.
 #[derive(Debug)]
-struct Sent {
-    arrives: Time,
+struct OrderInTransit {
+    arrival: Time,
     /// When it is carried out; later than it arrives if the server is late.
-    done: Time,
+    execution: Time,
     planner: u64,
     order: Order,
-    answered: bool,
+    is_answered: bool,
 }
 
 /// A commit that the store carries out late, if its condition still holds then.
 #[derive(Debug)]
-struct LateCommit {
+struct DelayedCommit {
     due: Time,
     planner: u64,
     map: RangeMap,
@@ -99,18 +99,18 @@
     leader: u64,
     map: RangeMap,
     version: u64,
-    sent: Vec<Sent>,
-    late: Vec<LateCommit>,
+    in_transit: Vec<OrderInTransit>,
+    delayed: Vec<DelayedCommit>,
     /// Releases that planners told the others of.
-    news: Vec<MoveNews>,
-    births: usize,
+    releases: Vec<MoveNotice>,
+    servers_started: usize,
     pub commits: u64,
     /// Whether some servers get grants only, and their answers are lost.
-    mutes: bool,
+    one_way_links: bool,
     /// Whether planners end when they are replaced, and none is cut off.
-    kills: bool,
+    planner_kills: bool,
     /// Whether the store loses answers to commits and carries some out late.
-    doubts: bool,
+    late_commits: bool,
 }
 
 struct Listed<'a> {
@@ -126,8 +126,8 @@
         }
         let found = self.servers.iter().find(|known| known.name == *server);
         match found {
-            Some(known) if known.up && !known.leaving => OwnerState::Serving,
-            _ if self.flaw == Some(Flaw::LeavingEnded) => OwnerState::Ended,
+            Some(known) if known.is_up && !known.is_leaving => OwnerState::Serving,
+            _ if self.flaw == Some(Flaw::AssumeLeavingEnded) => OwnerState::Ended,
             _ => OwnerState::Leaving,
         }
     }
@@ -146,14 +146,14 @@
             leader: 0,
             map: RangeMap::new(),
             version: 0,
-            sent: Vec::new(),
-            late: Vec::new(),
-            news: Vec::new(),
-            births: 0,
+            in_transit: Vec::new(),
+            delayed: Vec::new(),
+            releases: Vec::new(),
+            servers_started: 0,
             commits: 0,
-            mutes: false,
-            kills: false,
-            doubts: false,
+            one_way_links: false,
+            planner_kills: false,
+            late_commits: false,
         };
         for _ in 0..SERVERS {
             world.start_server();
@@ -164,55 +164,55 @@
 
     /// The same with servers that for a while get nothing but the grants of some
     /// planners, and whose answers are lost: the worst a link can do to a lease.
-    pub fn with_mutes(seed: u64, flaw: Option<Flaw>) -> Self {
+    pub fn with_one_way_links(seed: u64, flaw: Option<Flaw>) -> Self {
         Self {
-            mutes: true,
+            one_way_links: true,
             ..Self::new(seed, flaw)
         }
     }
 
     /// The same with planners that are killed and replaced in quick succession, so
     /// that the end of a lease is written by one and read by the next.
-    pub fn with_kills(seed: u64, flaw: Option<Flaw>) -> Self {
+    pub fn with_planner_kills(seed: u64, flaw: Option<Flaw>) -> Self {
         Self {
-            kills: true,
+            planner_kills: true,
             ..Self::new(seed, flaw)
         }
     }
 
     /// The same with commits that are done without an answer, or done late, and planners
     /// that know of most releases of those before them.
-    pub fn with_doubts(seed: u64, flaw: Option<Flaw>) -> Self {
+    pub fn with_late_commits(seed: u64, flaw: Option<Flaw>) -> Self {
         Self {
-            doubts: true,
+            late_commits: true,
             ..Self::new(seed, flaw)
         }
     }
 
     pub fn step(&mut self) {
         self.now = self.now + STEP;
-        self.disturb();
+        self.inject_faults();
         self.deliver();
-        self.commit_late();
-        for at in 0..self.planners.len() {
-            self.plan(at);
+        self.apply_delayed_commits();
+        for index in 0..self.planners.len() {
+            self.plan(index);
         }
     }
 
     /// No two servers hold a key.
     pub fn check(&self) -> Result<(), String> {
-        let held = |server: &Server| {
-            let live = server.holds.iter().filter(|hold| hold.until > self.now);
-            live.cloned().collect::<Vec<_>>()
+        let active = |server: &Server| {
+            let unexpired = server.held.iter().filter(|hold| hold.until > self.now);
+            unexpired.cloned().collect::<Vec<_>>()
         };
-        let up: Vec<&Server> = self.servers.iter().filter(|server| server.up).collect();
+        let up: Vec<&Server> = self.servers.iter().filter(|server| server.is_up).collect();
         for (at, one) in up.iter().enumerate() {
             for other in &up[at + 1..] {
-                for (a, b) in held(one)
+                for (a, b) in active(one)
                     .iter()
-                    .flat_map(|a| held(other).into_iter().map(move |b| (a.clone(), b)))
+                    .flat_map(|a| active(other).into_iter().map(move |b| (a.clone(), b)))
                 {
-                    if let Some(range) = a.range.common(b.range) {
+                    if let Some(range) = a.range.intersection(b.range) {
                         return Err(format!(
                             "{range} is held by {} under {} and {} under {} at {}",
                             one.name, a.epoch, other.name, b.epoch, self.now
@@ -225,9 +225,9 @@
     }
 
     /// Keys that some server holds, as a part of all.
-    pub fn held(&self) -> f64 {
-        let live = self.servers.iter().filter(|server| server.up);
-        let holds = live.flat_map(|server| &server.holds);
+    pub fn held_share(&self) -> f64 {
+        let up_servers = self.servers.iter().filter(|server| server.is_up);
+        let holds = up_servers.flat_map(|server| &server.held);
         let keys: u32 = holds
             .filter(|hold| hold.until > self.now)
             .map(|hold| hold.range.len())
@@ -239,16 +239,16 @@
         self.rng.random_range(0..1_000) < per_mille
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         if self.chance(6) {
             self.crash_server();
         }
         if self.chance(5) {
             let at = self.rng.random_range(0..self.servers.len());
-            self.servers[at].leaving = true;
+            self.servers[at].is_leaving = true;
             self.start_server();
         }
-        if self.kills {
+        if self.planner_kills {
             if self.chance(20) {
                 self.take_over(true);
             }
@@ -284,15 +284,15 @@
             .iter()
             .map(|server| server.name.clone())
             .collect();
-        for at in 0..self.planners.len() {
-            let mut cut = names.clone();
-            cut.retain(|_| self.chance(300));
-            let (mute, cut) = match self.mutes {
-                true => cut.into_iter().partition(|_| self.chance(500)),
-                false => (Vec::new(), cut),
+        for index in 0..self.planners.len() {
+            let mut unreachable = names.clone();
+            unreachable.retain(|_| self.chance(300));
+            let (one_way, unreachable) = match self.one_way_links {
+                true => unreachable.into_iter().partition(|_| self.chance(500)),
+                false => (Vec::new(), unreachable),
             };
-            self.planners[at].cut = cut;
-            self.planners[at].mute = mute;
+            self.planners[index].unreachable = unreachable;
+            self.planners[index].one_way = one_way;
         }
     }
 
@@ -300,7 +300,7 @@
         let at = self.rng.random_range(0..self.servers.len());
         let restarts = self.chance(600);
         let server = &mut self.servers[at];
-        server.up = false;
+        server.is_up = false;
         let name = server.name.clone();
         if restarts {
             // Its address shows another start: this one has surely ended.
@@ -310,24 +310,24 @@
     }
 
     fn start_server(&mut self) {
-        self.births += 1;
-        let name = format!("s-{}", self.births).parse().unwrap();
-        let slow = self.chance(500);
-        self.servers.push(Server::new(name, slow));
+        self.servers_started += 1;
+        let name = format!("s-{}", self.servers_started).parse().unwrap();
+        let has_slow_clock = self.chance(500);
+        self.servers.push(Server::new(name, has_slow_clock));
         if self.servers.len() > SERVERS + 6 {
-            let gone = self.servers.iter().position(|server| {
-                let held = server.holds.iter().any(|hold| hold.until > self.now);
-                (!server.up || server.leaving) && !held
+            let removable = self.servers.iter().position(|server| {
+                let is_holding = server.held.iter().any(|hold| hold.until > self.now);
+                (!server.is_up || server.is_leaving) && !is_holding
             });
-            if let Some(at) = gone {
+            if let Some(at) = removable {
                 self.servers.remove(at);
             }
         }
     }
 
-    /// Another instance leads from now on; `killed` if the former one's process has ended.
-    fn take_over(&mut self, killed: bool) {
-        if killed {
+    /// Another instance leads from now on; `is_killed` if the former one's process has ended.
+    fn take_over(&mut self, is_killed: bool) {
+        if is_killed {
             let leader = self.leader;
             self.planners.retain(|planner| planner.number != leader);
         }
@@ -335,25 +335,25 @@
             .retain(|planner| self.now - planner.confirmed < Duration::from_secs(60));
         let former = self.leader;
         self.leader += 1;
-        let doubtful = self.planners.iter().any(|planner| {
-            let known = self.flaw != Some(Flaw::NoChain) || planner.number == former;
+        let may_still_act = self.planners.iter().any(|planner| {
+            let known = self.flaw != Some(Flaw::OnlyLastPlanner) || planner.number == former;
             known && !planner.stopped
         });
-        let foreign = match (self.flaw, doubtful) {
-            (Some(Flaw::NoForeign), _) => self.now,
-            (Some(Flaw::NoQuiet), false) => Time::ZERO,
+        let previous_until = match (self.flaw, may_still_act) {
+            (Some(Flaw::IgnorePreviousPlanners), _) => self.now,
+            (Some(Flaw::NoQuietPeriod), false) => Time::ZERO,
             (_, false) => self.now,
-            (_, true) => self.now + self.times.blind,
+            (_, true) => self.now + self.times.outage_limit,
         };
         let mut times = self.times;
         if self.flaw == Some(Flaw::ShortLease) {
-            times.hold /= 2;
+            times.lease /= 2;
         }
-        let book = LeaseBook::new(times, foreign);
-        let mut reconciler = Reconciler::new(self.map.clone(), book);
-        for news in std::mem::take(&mut self.news) {
-            if self.doubts && self.chance(700) {
-                reconciler.note_release(&news);
+        let leases = LeaseTracker::new(times, previous_until);
+        let mut reconciler = Reconciler::new(self.map.clone(), leases);
+        for notice in std::mem::take(&mut self.releases) {
+            if self.late_commits && self.chance(700) {
+                reconciler.restore_release(&notice);
             }
         }
         self.planners.push(Planner {
@@ -363,17 +363,17 @@
             connected: true,
             confirmed: self.now,
             clock: StoreClock::default(),
-            ends: Vec::new(),
-            cut: Vec::new(),
-            mute: Vec::new(),
+            outcomes: Vec::new(),
+            unreachable: Vec::new(),
+            one_way: Vec::new(),
             stopped: false,
         });
     }
 
-    fn plan(&mut self, at: usize) {
+    fn plan(&mut self, index: usize) {
         let now = self.now;
         let capacities = self.capacities();
-        let planner = &mut self.planners[at];
+        let planner = &mut self.planners[index];
         if planner.stopped {
             return;
         }
@@ -384,20 +384,21 @@
                 _ => Duration::ZERO,
             };
             planner.clock.heard(now, now, store_time(now + ahead));
-            if planner.number != self.leader && self.flaw != Some(Flaw::NoLeadership) {
+            if planner.number != self.leader && self.flaw != Some(Flaw::NoLeaderCheck) {
                 // It reads that another leads, and plans no more.
                 planner.stopped = true;
                 return;
             }
         }
-        let blind = now - planner.confirmed > self.times.blind;
-        if blind && self.flaw != Some(Flaw::NeverBlind) {
+        let is_cut_off = now - planner.confirmed > self.times.outage_limit;
+        if is_cut_off && self.flaw != Some(Flaw::RenewWithoutStore) {
             return;
         }
-        let (due, later): (Vec<_>, Vec<_>) = planner.ends.drain(..).partition(|end| end.0 <= now);
-        planner.ends = later;
+        let (due, later): (Vec<_>, Vec<_>) =
+            planner.outcomes.drain(..).partition(|end| end.0 <= now);
+        planner.outcomes = later;
         for (_, order, end) in due {
-            planner.reconciler.ended(&order, end, now);
+            planner.reconciler.complete(&order, end, now);
         }
         let listed = Listed {
             servers: &self.servers,
@@ -405,20 +406,20 @@
             flaw: self.flaw,
         };
         let demand = Demand::default();
-        let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, &demand);
-        let scope = Scope {
-            deal: true,
-            even: true,
+        let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, &demand);
+        let scope = PlanScope {
+            may_assign: true,
+            may_rebalance: true,
         };
         let orders = {
             let clock = planner.clock.clone();
             let reconciler = &mut planner.reconciler;
-            reconciler.tick(now, &clock, &listed, &mut balance, scope)
+            reconciler.tick(now, &clock, &listed, &mut balancer, scope)
         };
         for order in orders {
             match order {
-                Order::Commit(map) => self.commit(at, map),
-                order => self.send(at, order),
+                Order::Commit(map) => self.commit(index, map),
+                order => self.send(index, order),
             }
         }
     }
@@ -427,62 +428,63 @@
         let open = self
             .servers
             .iter()
-            .filter(|server| server.up && !server.leaving);
+            .filter(|server| server.is_up && !server.is_leaving);
         let capacity = |server: &Server| Capacity {
             server: server.name.clone(),
             rate: 20.0,
-            takes: true,
+            accepts_keys: true,
         };
         open.map(capacity).collect()
     }
 
-    fn commit(&mut self, at: usize, map: RangeMap) {
-        let lost = self.chance(150);
+    fn commit(&mut self, index: usize, map: RangeMap) {
+        let is_lost = self.chance(150);
         let flaw = self.flaw;
-        let planner = &mut self.planners[at];
+        let planner = &mut self.planners[index];
         let order = Order::Commit(map.clone());
-        let leading = planner.number == self.leader || flaw == Some(Flaw::NoLeadership);
-        let fits = planner.version == self.version || flaw == Some(Flaw::NoLeadership);
-        if !planner.connected || (lost && flaw != Some(Flaw::LostCommit)) {
+        let is_leading = planner.number == self.leader || flaw == Some(Flaw::NoLeaderCheck);
+        let is_current_version =
+            planner.version == self.version || flaw == Some(Flaw::NoLeaderCheck);
+        if !planner.connected || (is_lost && flaw != Some(Flaw::AssumeCommitted)) {
             planner
-                .ends
-                .push((self.now + STEP, order, OrderEnd::Unknown));
+                .outcomes
+                .push((self.now + STEP, order, OrderOutcome::Unknown));
             return;
         }
-        if lost {
+        if is_lost {
             // Not done, and taken for done.
             planner
-                .ends
-                .push((self.now, order, OrderEnd::Done { handover: None }));
+                .outcomes
+                .push((self.now, order, OrderOutcome::Done { handover: None }));
             return;
         }
-        if !leading || !fits {
+        if !is_leading || !is_current_version {
             planner.reconciler.reload(self.map.clone());
             planner.version = self.version;
             return;
         }
         let number = planner.number;
-        if self.doubts && self.chance(60) {
+        if self.late_commits && self.chance(60) {
             let due = self.now + Duration::from_millis(self.rng.random_range(500..3_000));
             let planner = number;
-            return self.late.push(LateCommit { due, planner, map });
+            return self.delayed.push(DelayedCommit { due, planner, map });
         }
         // Without an answer it is sent again, and then read back.
-        let answered = match self.doubts && self.chance(60) {
+        let answered = match self.late_commits && self.chance(60) {
             true => self.now + Duration::from_millis(self.rng.random_range(500..3_000)),
             false => self.now,
         };
         self.apply(map);
-        let planner = &mut self.planners[at];
+        let planner = &mut self.planners[index];
         planner.version = self.version;
         planner
-            .ends
-            .push((answered, order, OrderEnd::Done { handover: None }));
+            .outcomes
+            .push((answered, order, OrderOutcome::Done { handover: None }));
     }
 
     fn apply(&mut self, map: RangeMap) {
         self.map = match self.flaw {
-            Some(Flaw::EarlyExpiry) => with_early_expiries(&map, self.times.reach()),
+            Some(Flaw::EarlyExpiry) => expire_early(&map, self.times.max_validity()),
             _ => map,
         };
         self.version += 1;
@@ -490,19 +492,20 @@
     }
 
     /// Carries out late commits whose condition still holds.
-    fn commit_late(&mut self) {
+    fn apply_delayed_commits(&mut self) {
         let now = self.now;
-        let late = std::mem::take(&mut self.late);
-        let (due, later): (Vec<_>, Vec<_>) = late.into_iter().partition(|late| late.due <= now);
-        self.late = later;
-        for LateCommit { planner, map, .. } in due {
-            let fenced = self.flaw != Some(Flaw::NoLeadership);
+        let delayed = std::mem::take(&mut self.delayed);
+        let (due, later): (Vec<_>, Vec<_>) =
+            delayed.into_iter().partition(|commit| commit.due <= now);
+        self.delayed = later;
+        for DelayedCommit { planner, map, .. } in due {
+            let is_checked = self.flaw != Some(Flaw::NoLeaderCheck);
             let planners = self.planners.iter();
             let mut found = planners.filter(|known| known.number == planner);
-            let fits = found
+            let is_current_version = found
                 .next()
                 .is_some_and(|known| known.version == self.version);
-            if fenced && (planner != self.leader || !fits) {
+            if is_checked && (planner != self.leader || !is_current_version) {
                 self.reload(planner);
                 continue;
             }
@@ -511,8 +514,8 @@
             let mut planners = self.planners.iter_mut();
             if let Some(known) = planners.find(|known| known.number == planner) {
                 known.version = version;
-                let end = OrderEnd::Done { handover: None };
-                known.ends.push((now, Order::Commit(map), end));
+                let end = OrderOutcome::Done { handover: None };
+                known.outcomes.push((now, Order::Commit(map), end));
             }
         }
     }
@@ -525,113 +528,121 @@
         }
     }
 
-    fn send(&mut self, at: usize, order: Order) {
+    fn send(&mut self, index: usize, order: Order) {
         // What is not there within the time of an order is reset and never arrives.
-        let most = self.times.order.as_millis() as u64;
+        let max_delay = self.times.order_timeout.as_millis() as u64;
         let delay = match self.chance(850) {
             true => self.rng.random_range(1..10),
-            false => self.rng.random_range(10..most),
+            false => self.rng.random_range(10..max_delay),
         };
-        let arrives = self.now + Duration::from_millis(delay);
-        let late = self.chance(60);
-        let done = match late {
-            true => arrives + Duration::from_millis(self.rng.random_range(2_000..12_000)),
-            false => arrives,
+        let arrival = self.now + Duration::from_millis(delay);
+        let is_late = self.chance(60);
+        let execution = match is_late {
+            true => arrival + Duration::from_millis(self.rng.random_range(2_000..12_000)),
+            false => arrival,
         };
         let to = match &order {
             Order::Grant(slice) => slice.owner.clone(),
             Order::Release { server, .. } => Some(server.clone()),
             Order::Commit(_) => None,
         };
-        let planner = &self.planners[at];
-        let cut = to.as_ref().is_some_and(|to| planner.cut.contains(to));
-        let mute = to.is_some_and(|to| planner.mute.contains(&to));
+        let planner = &self.planners[index];
+        let unreachable = to
+            .as_ref()
+            .is_some_and(|to| planner.unreachable.contains(to));
+        let one_way = to.is_some_and(|to| planner.one_way.contains(&to));
         if let Order::Release { range, epoch, .. } = &order {
-            self.news.push(MoveNews {
+            self.releases.push(MoveNotice {
                 range: *range,
                 epoch: *epoch,
-                place: OwnerHint::Released,
+                hint: OwnerHint::Released,
             });
         }
         let release = matches!(order, Order::Release { .. });
-        let lost = cut || (mute && release) || self.chance(50);
-        let answered = !late && !mute;
-        if lost || !answered {
-            let over = self.now + self.times.order;
+        let is_lost = unreachable || (one_way && release) || self.chance(50);
+        let is_answered = !is_late && !one_way;
+        if is_lost || !is_answered {
+            let timeout = self.now + self.times.order_timeout;
             // To a server that is cut off no connection is made at all.
-            let end = match cut {
-                true => OrderEnd::NotSent,
+            let end = match unreachable {
+                true => OrderOutcome::NotSent,
                 false => self.unanswered(&order),
             };
-            self.planners[at].ends.push((over, order.clone(), end));
+            self.planners[index]
+                .outcomes
+                .push((timeout, order.clone(), end));
         }
-        if lost {
+        if is_lost {
             return;
         }
-        self.sent.push(Sent {
-            arrives,
-            done,
-            planner: self.planners[at].number,
+        self.in_transit.push(OrderInTransit {
+            arrival,
+            execution,
+            planner: self.planners[index].number,
             order,
-            answered,
+            is_answered,
         });
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<Sent>, Vec<Sent>) =
-            self.sent.drain(..).partition(|sent| sent.done <= now);
-        self.sent = later;
+        let (due, later): (Vec<OrderInTransit>, Vec<OrderInTransit>) = self
+            .in_transit
+            .drain(..)
+            .partition(|sent| sent.execution <= now);
+        self.in_transit = later;
         for sent in due {
             let end = self.carry_out(&sent);
-            self.tell(&sent, end);
+            self.answer(&sent, end);
         }
     }
 
-    fn carry_out(&mut self, sent: &Sent) -> OrderEnd {
-        let hold = self.times.hold;
+    fn carry_out(&mut self, sent: &OrderInTransit) -> OrderOutcome {
+        let hold = self.times.lease;
         let name = match &sent.order {
             Order::Grant(slice) => slice.owner.clone().unwrap(),
             Order::Release { server, .. } => server.clone(),
-            Order::Commit(_) => return OrderEnd::Unknown,
+            Order::Commit(_) => return OrderOutcome::Unknown,
         };
         let found = self
             .servers
             .iter_mut()
-            .find(|server| server.name == name && server.up);
+            .find(|server| server.name == name && server.is_up);
         let Some(server) = found else {
-            return OrderEnd::NotSent;
+            return OrderOutcome::NotSent;
         };
         match &sent.order {
-            Order::Grant(slice) => match server.grant(slice, hold, sent.arrives) {
-                true => OrderEnd::Done { handover: None },
-                false => OrderEnd::Outdated,
+            Order::Grant(slice) => match server.grant(slice, hold, sent.arrival) {
+                true => OrderOutcome::Done { handover: None },
+                false => OrderOutcome::Outdated,
             },
             Order::Release { range, epoch, .. } => {
                 server.release(*range, *epoch);
-                OrderEnd::Done {
+                OrderOutcome::Done {
                     handover: Some("warm".to_string()),
                 }
             }
-            Order::Commit(_) => OrderEnd::Unknown,
+            Order::Commit(_) => OrderOutcome::Unknown,
         }
     }
 
-    fn unanswered(&self, order: &Order) -> OrderEnd {
+    fn unanswered(&self, order: &Order) -> OrderOutcome {
         match (order, self.flaw) {
-            (Order::Release { .. }, Some(Flaw::LostRelease)) => OrderEnd::Done { handover: None },
-            (Order::Grant(_), Some(Flaw::LostGrant)) => OrderEnd::NotSent,
-            _ => OrderEnd::Unknown,
+            (Order::Release { .. }, Some(Flaw::AssumeReleased)) => {
+                OrderOutcome::Done { handover: None }
+            }
+            (Order::Grant(_), Some(Flaw::AssumeUnsentGrant)) => OrderOutcome::NotSent,
+            _ => OrderOutcome::Unknown,
         }
     }
 
-    fn tell(&mut self, sent: &Sent, end: OrderEnd) {
-        if !sent.answered {
+    fn answer(&mut self, sent: &OrderInTransit, outcome: OrderOutcome) {
+        if !sent.is_answered {
             return;
         }
-        let end = match self.chance(60) {
+        let outcome = match self.chance(60) {
             true => self.unanswered(&sent.order),
-            false => end,
+            false => outcome,
         };
         let at = self.now;
         let planner = self
@@ -639,7 +650,7 @@
             .iter_mut()
             .find(|planner| planner.number == sent.planner);
         if let Some(planner) = planner {
-            planner.ends.push((at, sent.order.clone(), end));
+            planner.outcomes.push((at, sent.order.clone(), outcome));
         }
     }
 }
@@ -648,12 +659,12 @@
     StoreTime(now.as_micros() / 1_000)
 }
 
-fn with_early_expiries(map: &RangeMap, by: Duration) -> RangeMap {
+fn expire_early(map: &RangeMap, by: Duration) -> RangeMap {
     let mut early = map.clone();
     for slice in map.slices() {
         if let Some(expiry) = slice.expiry {
             let by = by.as_millis() as u64;
-            early.expire(slice.range, StoreTime(expiry.0.saturating_sub(by)));
+            early.set_expiry(slice.range, StoreTime(expiry.0.saturating_sub(by)));
         }
     }
     early
--- a/crates/core/tests/surge/main.rs
+++ b/crates/core/tests/surge/main.rs
@@ -21,11 +21,11 @@
 const LARGE: Shape = Shape {
     servers: 413,
     slots: 4,
-    run: Duration::from_millis(520),
+    run_time: Duration::from_millis(520),
     requests: 2_110,
-    things: 60_000,
-    hot: 200,
-    share: 0.44,
+    items: 60_000,
+    hot_items: 200,
+    hot_share: 0.44,
     limits: BalanceLimits::STANDARD,
 };
 
@@ -33,11 +33,11 @@
 const SMALL: Shape = Shape {
     servers: 19,
     slots: 4,
-    run: Duration::from_millis(220),
+    run_time: Duration::from_millis(220),
     requests: 173,
-    things: 4_000,
-    hot: 6,
-    share: 0.35,
+    items: 4_000,
+    hot_items: 6,
+    hot_share: 0.35,
     limits: BalanceLimits::STANDARD,
 };
 
@@ -46,9 +46,9 @@
 
 /// Plays one shape with several seeds; the times until the hot range is spread, the
 /// shortest first.
-fn spread(shape: Shape, seeds: u64) -> Vec<Duration> {
-    let play = |seed| World::new(shape, seed).hot_range();
-    let mut times: Vec<Duration> = (0..seeds).map(play).collect();
+fn spread_times(shape: Shape, seeds: u64) -> Vec<Duration> {
+    let measure = |seed| World::new(shape, seed).measure_hot_range();
+    let mut times: Vec<Duration> = (0..seeds).map(measure).collect();
     times.sort();
     times
 }
@@ -59,19 +59,19 @@
 /// there are servers to share the range are begun at once.
 #[test]
 fn a_hot_range_is_divided_among_hundreds_of_servers_in_one_step() {
-    let few = Shape {
+    let few_moves = Shape {
         limits: BalanceLimits {
-            surge: 0.0,
+            surge_per_server: 0.0,
             ..BalanceLimits::STANDARD
         },
         ..LARGE
     };
-    let before = spread(few, 2);
+    let before = spread_times(few_moves, 2);
     assert!(
         before[0] > Duration::from_secs(3),
         "the pattern is gone: {before:?}"
     );
-    let after = spread(LARGE, 20);
+    let after = spread_times(LARGE, 20);
     assert!(after[9] <= Duration::from_millis(1_000), "{after:?}");
     assert!(after[18] <= Duration::from_millis(1_500), "{after:?}");
 }
@@ -80,7 +80,7 @@
 /// that turns hot shows within some dozen of them.
 #[test]
 fn a_hot_range_is_noticed_where_requests_are_few() {
-    let times = spread(SMALL, 9);
+    let times = spread_times(SMALL, 9);
     assert!(times[4] <= SERVED_AGAIN, "{times:?}");
 }
 
@@ -96,17 +96,17 @@
         (300, 8, 400, 3_000, 150, 0.3),
         (600, 4, 520, 3_000, 250, 0.4),
     ];
-    for (servers, slots, run, requests, hot, share) in shapes {
+    for (servers, slots, run_time, requests, hot_items, hot_share) in shapes {
         let shape = Shape {
             servers,
             slots,
-            run: Duration::from_millis(run),
+            run_time: Duration::from_millis(run_time),
             requests,
-            hot,
-            share,
+            hot_items,
+            hot_share,
             ..LARGE
         };
-        let times = spread(shape, 3);
+        let times = spread_times(shape, 3);
         assert!(times[1] <= SERVED_AGAIN, "{servers}: {times:?}");
     }
 }
@@ -117,15 +117,15 @@
 #[test]
 fn slices_of_a_range_that_was_hot_are_joined_again() {
     let mut world = World::new(LARGE, 3);
-    let calm = world.slices();
+    let initial = world.slices();
     for _ in 0..3 {
-        world.hot_range();
-        world.calm(Duration::from_secs(12));
+        world.measure_hot_range();
+        world.run_without_hot_range(Duration::from_secs(12));
     }
     let after = world.slices();
     assert!(
         after < LARGE.servers * 2,
-        "{calm} slices at first, {after} after three ranges"
+        "{initial} slices at first, {after} after three ranges"
     );
 }
 
@@ -133,8 +133,8 @@
 /// Its owner is overloaded whatever is done, and must not keep the range from others.
 #[test]
 fn a_hot_range_is_spread_though_a_key_turns_hot_besides() {
-    let play = |seed| World::new(LARGE, seed).hot_range_and_key();
-    let mut times: Vec<Duration> = (0..9).map(play).collect();
+    let measure = |seed| World::new(LARGE, seed).measure_hot_range_and_key();
+    let mut times: Vec<Duration> = (0..9).map(measure).collect();
     times.sort();
     assert!(times[4] <= Duration::from_millis(1_500), "{times:?}");
 }
@@ -145,18 +145,18 @@
 fn a_change_whose_callers_leave_holds_no_plan_up() {
     let mut demand = DemandWindows::default();
     let mut now = Time::from_micros(1_000_000);
-    let mut ask = |demand: &mut DemandWindows, key: u16| {
+    let mut request = |demand: &mut DemandWindows, key: u16| {
         now = now + Duration::from_millis(5);
         demand.add(RangeKey(key), now);
-        demand.look(now);
+        demand.detect_change(now);
         now
     };
     for number in 0..2_000_u16 {
-        ask(&mut demand, number.wrapping_mul(40_503));
+        request(&mut demand, number.wrapping_mul(40_503));
     }
     let mut last = Time::ZERO;
     for _ in 0..200 {
-        last = ask(&mut demand, 7);
+        last = request(&mut demand, 7);
         if demand.is_settling(last) {
             break;
         }
@@ -172,7 +172,7 @@
     for shape in [LARGE, SMALL] {
         let mut world = World::new(shape, 5);
         let before = world.moved();
-        world.calm(Duration::from_secs(20));
+        world.run_without_hot_range(Duration::from_secs(20));
         let moved = world.moved() - before;
         assert!(moved < 20_000, "{moved} of 65,536 keys within 20 s");
     }
@@ -184,17 +184,17 @@
 #[test]
 fn nothing_is_released_for_balance_while_the_store_is_away() {
     let mut world = World::new(LARGE, 4);
-    world.calm(Duration::from_secs(1));
-    world.answers = false;
-    world.calm(Duration::from_secs(2));
+    world.run_without_hot_range(Duration::from_secs(1));
+    world.is_store_up = false;
+    world.run_without_hot_range(Duration::from_secs(2));
     let before = world.moved();
-    world.hot_range();
+    world.measure_hot_range();
     assert_eq!(world.moved(), before);
-    world.answers = true;
-    let spread = world.hot_range();
+    world.is_store_up = true;
+    let spread_time = world.measure_hot_range();
     assert!(
-        spread <= SERVED_AGAIN,
-        "{spread:?}, {} moves",
+        spread_time <= SERVED_AGAIN,
+        "{spread_time:?}, {} moves",
         world.moved() - before
     );
 }
@@ -218,17 +218,17 @@
         (400, 3, 260, 2_400),
     ];
     let mut worst = Duration::ZERO;
-    for (number, (servers, slots, run, requests)) in shapes.into_iter().enumerate() {
+    for (number, (servers, slots, run_time, requests)) in shapes.into_iter().enumerate() {
         let shape = Shape {
             servers,
             slots,
-            run: Duration::from_millis(run),
+            run_time: Duration::from_millis(run_time),
             requests,
             ..SMALL
         };
-        let late = World::new(shape, number as u64).evacuate();
-        assert!(late < bound, "{servers} servers: {late:?}");
-        worst = worst.max(late);
+        let duration = World::new(shape, number as u64).evacuate();
+        assert!(duration < bound, "{servers} servers: {duration:?}");
+        worst = worst.max(duration);
     }
     println!("worst of ten deployments: {worst:?}, bound {bound:?}");
 }
--- a/crates/core/tests/surge/world.rs
+++ b/crates/core/tests/surge/world.rs
@@ -4,9 +4,9 @@
     citron_core::{
         id::ServerName,
         ranges::{
-            Balance, BalanceLimits, Capacity, Demand, DemandWindows, EvenClock, KeyRange,
-            LeaseBook, LeaseTimes, Order, OrderEnd, OwnerState, Owners, RangeKey, RangeMap,
-            Reconciler, Scope,
+            BalanceLimits, BalanceTimer, Balancer, Capacity, Demand, DemandWindows, KeyRange,
+            LeaseTimes, LeaseTracker, Order, OrderOutcome, OwnerState, Owners, PlanScope, RangeKey,
+            RangeMap, Reconciler,
         },
         time::{StoreClock, StoreTime, Time},
     },
@@ -20,37 +20,37 @@
 
 const STEP: Duration = Duration::from_millis(10);
 /// Reports of keys come so late at most.
-const REPORT: Duration = Duration::from_millis(150);
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(150);
 /// The planner's pauses between looks, with and without results.
-const TICK: Duration = Duration::from_millis(200);
-const GAP: Duration = Duration::from_millis(20);
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
+const RESULT_INTERVAL: Duration = Duration::from_millis(20);
 /// Orders and commits.
-const ORDER: Duration = Duration::from_millis(10);
-const COMMIT: Duration = Duration::from_millis(30);
+const ORDER_TIME: Duration = Duration::from_millis(10);
+const COMMIT_TIME: Duration = Duration::from_millis(30);
 /// Requests that wait at an overloaded server, besides those that run.
-const QUEUE: usize = 16;
+const MAX_QUEUED: usize = 16;
 /// A range counts as spread once so much of its requests goes to servers that are not
 /// overloaded. The rest is the keys with requests on them, which last.
-const SPREAD: f64 = 0.75;
+const SPREAD_SHARE: f64 = 0.75;
 /// What a server is asked for, over what it can run, from which it is overloaded: a
 /// quarter more makes a queue of a second within four.
-const OVERLOAD: f64 = 1.25;
+const OVERLOAD_RATIO: f64 = 1.25;
 /// A hot range is given up after so long.
-const LONGEST: Duration = Duration::from_secs(8);
+const MAX_DURATION: Duration = Duration::from_secs(8);
 
 /// A deployment, and the range that turns hot.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
     pub servers: usize,
     pub slots: u32,
-    pub run: Duration,
+    pub run_time: Duration,
     /// Requests a second.
     pub requests: u32,
-    pub things: u32,
+    pub items: u32,
     /// Things that turn hot, side by side.
-    pub hot: u32,
+    pub hot_items: u32,
     /// Their part of all requests.
-    pub share: f64,
+    pub hot_share: f64,
     pub limits: BalanceLimits,
 }
 
@@ -73,20 +73,20 @@
     now: Time,
     windows: DemandWindows,
     /// Requests that the planner has not heard of.
-    unheard: Vec<(Time, RangeKey)>,
+    unreported: Vec<(Time, RangeKey)>,
     reconciler: Reconciler,
     capacities: Vec<Capacity>,
-    plan: Demand,
-    ticked: Time,
-    even: EvenClock,
-    sudden: bool,
+    planned_demand: Demand,
+    last_tick: Time,
+    balance_timer: BalanceTimer,
+    has_changed: bool,
     /// Whether the store answers.
-    pub answers: bool,
+    pub is_store_up: bool,
     orders: Vec<(Time, Order)>,
     /// The first thing of the hot range.
-    hot: Option<u32>,
+    hot_range: Option<u32>,
     /// A single thing that draws a part of all requests besides.
-    pub single: Option<(u32, f64)>,
+    pub hot_item: Option<(u32, f64)>,
     evacuated: Evacuated,
     moved: u64,
 }
@@ -97,38 +97,38 @@
         let now = Time::from_micros(1_000_000);
         let capacity = |number: usize| Capacity {
             server: format!("s-{number:03}").parse().unwrap(),
-            rate: f64::from(shape.slots) / shape.run.as_secs_f64(),
-            takes: true,
+            rate: f64::from(shape.slots) / shape.run_time.as_secs_f64(),
+            accepts_keys: true,
         };
         let mut world = Self {
             shape,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
             windows: DemandWindows::default(),
-            unheard: Vec::new(),
+            unreported: Vec::new(),
             reconciler: Reconciler::new(
                 RangeMap::new(),
-                LeaseBook::new(LeaseTimes::STANDARD, Time::ZERO),
+                LeaseTracker::new(LeaseTimes::STANDARD, Time::ZERO),
             ),
             capacities: (0..shape.servers).map(capacity).collect(),
-            plan: Demand::default(),
-            ticked: now,
-            even: EvenClock::new(now),
-            sudden: false,
-            answers: true,
+            planned_demand: Demand::default(),
+            last_tick: now,
+            balance_timer: BalanceTimer::new(now),
+            has_changed: false,
+            is_store_up: true,
             orders: Vec::new(),
-            hot: None,
-            single: None,
+            hot_range: None,
+            hot_item: None,
             evacuated: Evacuated::default(),
             moved: 0,
         };
-        world.calm(Duration::from_secs(12));
+        world.run_without_hot_range(Duration::from_secs(12));
         world
     }
 
     /// Lets time pass in which no range is hot.
-    pub fn calm(&mut self, span: Duration) {
-        self.hot = None;
+    pub fn run_without_hot_range(&mut self, span: Duration) {
+        self.hot_range = None;
         let end = self.now + span;
         while self.now < end {
             self.step();
@@ -136,28 +136,34 @@
     }
 
     /// Makes a range hot; how long it takes until it is spread.
-    pub fn hot_range(&mut self) -> Duration {
+    pub fn measure_hot_range(&mut self) -> Duration {
         let begun = self.now;
-        self.hot = Some(self.rng.random_range(0..self.shape.things - self.shape.hot));
+        self.hot_range = Some(
+            self.rng
+                .random_range(0..self.shape.items - self.shape.hot_items),
+        );
         self.until_spread(begun)
     }
 
     /// The same, and 300 ms later a single thing turns hot, too, that no server can
     /// run alone.
-    pub fn hot_range_and_key(&mut self) -> Duration {
+    pub fn measure_hot_range_and_key(&mut self) -> Duration {
         let begun = self.now;
-        self.hot = Some(self.rng.random_range(0..self.shape.things - self.shape.hot));
+        self.hot_range = Some(
+            self.rng
+                .random_range(0..self.shape.items - self.shape.hot_items),
+        );
         while self.now - begun < Duration::from_millis(300) {
             self.step();
         }
-        self.single = Some((self.rng.random_range(0..self.shape.things), 0.2));
+        self.hot_item = Some((self.rng.random_range(0..self.shape.items), 0.2));
         let spread = self.until_spread(begun);
-        self.single = None;
+        self.hot_item = None;
         spread
     }
 
     fn until_spread(&mut self, begun: Time) -> Duration {
-        while self.now - begun < LONGEST && self.overloaded() > 1.0 - SPREAD {
+        while self.now - begun < MAX_DURATION && self.overloaded_share() > 1.0 - SPREAD_SHARE {
             self.step();
         }
         self.now - begun
@@ -168,17 +174,17 @@
         let begun = self.now;
         let servers = self.capacities.iter().step_by(3);
         self.evacuated.0 = servers.map(|capacity| capacity.server.clone()).collect();
-        let left = &self.evacuated.0;
+        let leaving = &self.evacuated.0;
         self.capacities
-            .retain(|capacity| !left.contains(&capacity.server));
-        self.ticked = Time::ZERO;
-        while self.now - begun < LONGEST && self.are_owners_evacuated() {
+            .retain(|capacity| !leaving.contains(&capacity.server));
+        self.last_tick = Time::ZERO;
+        while self.now - begun < MAX_DURATION && self.has_evacuated_owner() {
             self.step();
         }
         self.now - begun
     }
 
-    fn are_owners_evacuated(&self) -> bool {
+    fn has_evacuated_owner(&self) -> bool {
         let mut owners = self.reconciler.map().slices().iter();
         owners.any(|slice| {
             let owner = slice.owner.as_ref();
@@ -197,32 +203,34 @@
 
     /// The part of the hot requests that goes to servers which are asked for more
     /// than they can run.
-    fn overloaded(&self) -> f64 {
-        let Some(first) = self.hot else { return 0.0 };
-        let hot = self.shape.share / f64::from(self.shape.hot);
-        let cold = (1.0 - self.shape.share) / f64::from(KeyRange::ALL.len());
+    fn overloaded_share(&self) -> f64 {
+        let Some(first) = self.hot_range else {
+            return 0.0;
+        };
+        let hot = self.shape.hot_share / f64::from(self.shape.hot_items);
+        let cold = (1.0 - self.shape.hot_share) / f64::from(KeyRange::ALL.len());
         let mut loads: BTreeMap<&ServerName, [f64; 2]> = BTreeMap::new();
         for slice in self.reconciler.map().slices() {
             let Some(owner) = &slice.owner else { continue };
-            let of_owner = loads.entry(owner).or_default();
-            of_owner[0] += f64::from(slice.range.len()) * cold;
+            let owner_load = loads.entry(owner).or_default();
+            owner_load[0] += f64::from(slice.range.len()) * cold;
         }
-        for thing in first..first + self.shape.hot {
-            let slice = self.reconciler.map().slice(self.key(thing));
+        for item in first..first + self.shape.hot_items {
+            let slice = self.reconciler.map().slice(self.key(item));
             if let Some(owner) = &slice.owner {
                 loads.entry(owner).or_default()[1] += hot;
             }
         }
         let rate = self.capacities[0].rate / f64::from(self.shape.requests);
-        let over = loads
+        let overloaded_loads = loads
             .values()
-            .filter(|[cold, hot]| cold + hot > rate * OVERLOAD);
-        over.map(|[_, hot]| hot).sum::<f64>() / self.shape.share
+            .filter(|[cold, hot]| cold + hot > rate * OVERLOAD_RATIO);
+        overloaded_loads.map(|[_, hot]| hot).sum::<f64>() / self.shape.hot_share
     }
 
-    fn key(&self, thing: u32) -> RangeKey {
+    fn key(&self, item: u32) -> RangeKey {
         let keys = u64::from(KeyRange::ALL.len());
-        RangeKey((u64::from(thing) * keys / u64::from(self.shape.things)) as u16)
+        RangeKey((u64::from(item) * keys / u64::from(self.shape.items)) as u16)
     }
 
     fn step(&mut self) {
@@ -230,8 +238,12 @@
         self.request();
         self.report();
         let ended = self.end_orders();
-        let pause = if ended { GAP } else { TICK };
-        if self.now - self.ticked >= pause {
+        let pause = if ended {
+            RESULT_INTERVAL
+        } else {
+            PLAN_INTERVAL
+        };
+        if self.now - self.last_tick >= pause {
             self.tick();
         }
     }
@@ -239,81 +251,84 @@
     /// Instances report the keys that they were asked for, each at its own times.
     fn report(&mut self) {
         let now = self.now;
-        let (heard, unheard): (Vec<_>, Vec<_>) =
-            self.unheard.drain(..).partition(|(at, _)| *at <= now);
-        self.unheard = unheard;
-        for (_, key) in heard {
+        let (reported, unreported): (Vec<_>, Vec<_>) =
+            self.unreported.drain(..).partition(|(at, _)| *at <= now);
+        self.unreported = unreported;
+        for (_, key) in reported {
             self.windows.add(key, now);
         }
-        if self.windows.look(now) {
-            self.ticked = Time::ZERO;
-            self.sudden = true;
+        if self.windows.detect_change(now) {
+            self.last_tick = Time::ZERO;
+            self.has_changed = true;
         }
     }
 
     fn request(&mut self) {
         let count = f64::from(self.shape.requests) * STEP.as_secs_f64();
-        let whole = count as u32 + u32::from(self.rng.random::<f64>() < count.fract());
-        for _ in 0..whole {
-            let single = self
-                .single
+        let request_count = count as u32 + u32::from(self.rng.random::<f64>() < count.fract());
+        for _ in 0..request_count {
+            let hot_item = self
+                .hot_item
                 .filter(|(_, share)| self.rng.random_bool(*share));
-            let thing = match self.hot {
-                _ if single.is_some() => single.map_or(0, |(thing, _)| thing),
-                Some(first) if self.rng.random::<f64>() < self.shape.share => {
-                    first + self.rng.random_range(0..self.shape.hot)
+            let item = match self.hot_range {
+                _ if hot_item.is_some() => hot_item.map_or(0, |(item, _)| item),
+                Some(first) if self.rng.random::<f64>() < self.shape.hot_share => {
+                    first + self.rng.random_range(0..self.shape.hot_items)
                 }
-                _ => self.rng.random_range(0..self.shape.things),
+                _ => self.rng.random_range(0..self.shape.items),
             };
-            let late = REPORT.mul_f64(self.rng.random());
-            self.unheard.push((self.now + late, self.key(thing)));
+            let delay = MAX_REPORT_DELAY.mul_f64(self.rng.random());
+            self.unreported.push((self.now + delay, self.key(item)));
         }
     }
 
     fn end_orders(&mut self) -> bool {
         let now = self.now;
-        let (done, open): (Vec<_>, Vec<_>) =
+        let (due, pending): (Vec<_>, Vec<_>) =
             self.orders.drain(..).partition(|(end, _)| *end <= now);
-        self.orders = open;
-        let any = !done.is_empty();
-        for (_, order) in done {
+        self.orders = pending;
+        let has_due = !due.is_empty();
+        for (_, order) in due {
             if let Order::Release { range, .. } = &order {
                 self.moved += u64::from(range.len());
             }
             let end = match &order {
-                Order::Commit(_) if !self.answers => OrderEnd::Unknown,
-                _ => OrderEnd::Done { handover: None },
+                Order::Commit(_) if !self.is_store_up => OrderOutcome::Unknown,
+                _ => OrderOutcome::Done { handover: None },
             };
-            self.reconciler.ended(&order, end, now);
+            self.reconciler.complete(&order, end, now);
         }
-        any
+        has_due
     }
 
     fn tick(&mut self) {
-        self.ticked = self.now;
-        let sudden = std::mem::take(&mut self.sudden);
-        let may = self.answers && !self.windows.is_settling(self.now);
-        let even = self.even.is_due(sudden, may, self.now);
-        if even {
-            self.plan = self.windows.seen(self.now);
+        self.last_tick = self.now;
+        let has_changed = std::mem::take(&mut self.has_changed);
+        let is_allowed = self.is_store_up && !self.windows.is_settling(self.now);
+        let may_rebalance = self.balance_timer.is_due(has_changed, is_allowed, self.now);
+        if may_rebalance {
+            self.planned_demand = self.windows.snapshot(self.now);
         }
-        let mut balance = Balance::new(self.shape.limits, &self.capacities, &self.plan);
+        let mut balancer = Balancer::new(self.shape.limits, &self.capacities, &self.planned_demand);
         let mut clock = StoreClock::default();
         clock.heard(self.now, self.now, StoreTime(self.now.as_micros() / 1_000));
-        let scope = Scope { deal: true, even };
+        let scope = PlanScope {
+            may_assign: true,
+            may_rebalance,
+        };
         let due = self
             .reconciler
-            .tick(self.now, &clock, &self.evacuated, &mut balance, scope);
+            .tick(self.now, &clock, &self.evacuated, &mut balancer, scope);
         let releases = due
             .iter()
             .filter(|order| matches!(order, Order::Release { .. }));
-        let busy = self.busy(releases.count());
-        let mut busy = busy.into_iter();
+        let release_delays = self.release_delays(releases.count());
+        let mut release_delays = release_delays.into_iter();
         for order in due {
             let span = match &order {
-                Order::Release { .. } => busy.next().flatten().unwrap_or(ORDER),
-                Order::Commit(_) => COMMIT,
-                Order::Grant(_) => ORDER,
+                Order::Release { .. } => release_delays.next().flatten().unwrap_or(ORDER_TIME),
+                Order::Commit(_) => COMMIT_TIME,
+                Order::Grant(_) => ORDER_TIME,
             };
             self.orders.push((self.now + span, order));
         }
@@ -321,13 +336,15 @@
 
     /// How long the requests last that are under way on released keys: those that
     /// run, and at an overloaded server those that wait behind them.
-    fn busy(&mut self, releases: usize) -> Vec<Option<Duration>> {
-        let most = self.shape.slots as usize + QUEUE;
-        let run = self.shape.run;
-        let mut busy: Vec<Option<Duration>> = (0..releases)
-            .map(|at| (at < most).then(|| run.mul_f64(self.rng.random_range(0.1..2.5))))
+    fn release_delays(&mut self, releases: usize) -> Vec<Option<Duration>> {
+        let max_requests = self.shape.slots as usize + MAX_QUEUED;
+        let run_time = self.shape.run_time;
+        let mut release_delays: Vec<Option<Duration>> = (0..releases)
+            .map(|at| {
+                (at < max_requests).then(|| run_time.mul_f64(self.rng.random_range(0.1..2.5)))
+            })
             .collect();
-        busy.shuffle(&mut self.rng);
-        busy
+        release_delays.shuffle(&mut self.rng);
+        release_delays
     }
 }
--- a/crates/wire/src/heartbeat/moves.rs
+++ b/crates/wire/src/heartbeat/moves.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::Epoch,
-        ranges::{KeyRange, MoveNews, OwnerHint, RangeKey},
+        ranges::{KeyRange, MoveNotice, OwnerHint, RangeKey},
     },
     serde::{Deserialize, Serialize},
 };
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MoveWire(u16, u16, u64, Option<String>);
 
-impl From<MoveNews> for MoveWire {
-    fn from(news: MoveNews) -> Self {
-        let owner = match news.place {
+impl From<MoveNotice> for MoveWire {
+    fn from(news: MoveNotice) -> Self {
+        let owner = match news.hint {
             OwnerHint::Released => None,
             OwnerHint::Owned(server) => Some(server.to_string()),
         };
@@ -32,12 +32,12 @@
     }
 }
 
-impl TryFrom<MoveWire> for MoveNews {
+impl TryFrom<MoveWire> for MoveNotice {
     type Error = String;
 
     fn try_from(MoveWire(first, last, epoch, owner): MoveWire) -> Result<Self, String> {
         let range = KeyRange::new(RangeKey(first), RangeKey(last));
-        let place = match owner {
+        let hint = match owner {
             None => OwnerHint::Released,
             Some(name) => {
                 let server = name.parse().map_err(|_| format!("owner '{name}'"))?;
@@ -47,7 +47,7 @@
         Ok(Self {
             range: range.map_err(|error| error.to_string())?,
             epoch: Epoch(epoch),
-            place,
+            hint,
         })
     }
 }
