--- a/crates/citronproxy/src/edge/control/apply.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -10,7 +10,7 @@
     },
     crate::events,
     citron_core::{
-        ranges::MapPart,
+        ranges::MapPartition,
         registry::Evacuation,
         time::{StoreTime, Time},
     },
@@ -193,7 +193,7 @@
     let wire = serde_json::from_slice::<MapWire>(value).map_err(|error| error.to_string());
     match wire.and_then(|wire| wire.into_slices(range)) {
         Ok(slices) => {
-            Arc::make_mut(map).put(MapPart {
+            Arc::make_mut(map).insert(MapPartition {
                 range,
                 version,
                 slices,
--- a/crates/citronproxy/src/edge/control/demand.rs
+++ b/crates/citronproxy/src/edge/control/demand.rs
@@ -31,7 +31,7 @@
     /// Looks whether other keys of a service are asked for all of a sudden.
     pub fn check_sudden_change(&mut self, service: &ServiceName, now: Time) -> bool {
         let windows = self.services.get_mut(service);
-        let is_sudden = windows.is_some_and(|windows| windows.look(now));
+        let is_sudden = windows.is_some_and(|windows| windows.detect_change(now));
         self.has_sudden_change |= is_sudden;
         is_sudden
     }
@@ -55,6 +55,6 @@
     /// The demand that plans go by.
     pub fn current(&self, service: &ServiceName, now: Time) -> Demand {
         let windows = self.services.get(service);
-        windows.map_or_else(Demand::default, |windows| windows.seen(now))
+        windows.map_or_else(Demand::default, |windows| windows.snapshot(now))
     }
 }
--- a/crates/citronproxy/src/edge/control/moves.rs
+++ b/crates/citronproxy/src/edge/control/moves.rs
@@ -5,7 +5,7 @@
     crate::events,
     citron_core::{
         id::ServiceName,
-        ranges::{MoveNews, Order, OwnerHint, Slice},
+        ranges::{MoveNotice, Order, OwnerHint, Slice},
     },
     citron_ports::Adapter,
     citron_wire::heartbeat::{Datagram, MovesWire},
@@ -22,7 +22,7 @@
 /// News that wait to be sent.
 #[derive(Debug, Default)]
 pub struct MoveOutbox {
-    pending: RefCell<Vec<(ServiceName, MoveNews)>>,
+    pending: RefCell<Vec<(ServiceName, MoveNotice)>>,
     pending_added: Notify,
 }
 
@@ -45,7 +45,7 @@
 async fn broadcast<A: Adapter>(
     controller: &Controller<A>,
     socket: &UdpSocket,
-    updates: &[(ServiceName, MoveNews)],
+    updates: &[(ServiceName, MoveNotice)],
 ) {
     let recipients = controller
         .state
@@ -67,7 +67,7 @@
     }
 }
 
-fn encode(updates: &[(ServiceName, MoveNews)]) -> Option<Vec<u8>> {
+fn encode(updates: &[(ServiceName, MoveNotice)]) -> Option<Vec<u8>> {
     let (service, _) = updates.first()?;
     let moves = updates.iter().map(|(_, update)| update.clone().into());
     let wire = MovesWire {
@@ -82,10 +82,10 @@
     pub fn announce_releases(&self, orders: &[(ServiceName, Order)]) {
         let releases = orders.iter().filter_map(|(service, order)| match order {
             Order::Release { range, epoch, .. } => {
-                let update = MoveNews {
+                let update = MoveNotice {
                     range: *range,
                     epoch: *epoch,
-                    place: OwnerHint::Released,
+                    hint: OwnerHint::Released,
                 };
                 Some((service.clone(), update))
             }
@@ -97,15 +97,15 @@
     /// Tells all instances that a server holds the keys of a slice now.
     pub fn announce_owner(&self, service: &ServiceName, slice: &Slice) {
         let Some(owner) = &slice.owner else { return };
-        let update = MoveNews {
+        let update = MoveNotice {
             range: slice.range,
             epoch: slice.epoch,
-            place: OwnerHint::Owned(owner.clone()),
+            hint: OwnerHint::Owned(owner.clone()),
         };
         self.announce(vec![(service.clone(), update)]);
     }
 
-    fn announce(&self, updates: Vec<(ServiceName, MoveNews)>) {
+    fn announce(&self, updates: Vec<(ServiceName, MoveNotice)>) {
         if updates.is_empty() {
             return;
         }
@@ -124,7 +124,7 @@
         };
         let now = self.clock.now();
         for update in wire.moves {
-            match MoveNews::try_from(update) {
+            match MoveNotice::try_from(update) {
                 Ok(update) => self.shared.record_move(&service, update, now),
                 Err(error) => log::warn!("{} {error}", events::DATAGRAM_REFUSED),
             }
--- a/crates/citronproxy/src/edge/control/planner/capacity.rs
+++ b/crates/citronproxy/src/edge/control/planner/capacity.rs
@@ -65,7 +65,7 @@
         Capacity {
             server: known.entry.name.clone(),
             rate: rate.min(rate_limit.unwrap_or(f64::INFINITY)),
-            takes: rate_limit.is_none(),
+            accepts_keys: rate_limit.is_none(),
         }
     };
     servers.iter().map(capacity).collect()
--- a/crates/citronproxy/src/edge/control/planner/claim.rs
+++ b/crates/citronproxy/src/edge/control/planner/claim.rs
@@ -14,7 +14,7 @@
         },
         events,
     },
-    citron_core::ranges::{Demand, EvenClock, LeaseBook, LeaseTimes, Reconciler},
+    citron_core::ranges::{BalanceTimer, Demand, LeaseTimes, LeaseTracker, Reconciler},
     citron_ports::{Adapter, RowCommit, RowStore, RowTable, StoreError},
     std::rc::Rc,
     tokio::task::spawn_local,
@@ -90,7 +90,7 @@
             leadership,
             predecessors,
             call_started,
-            lease_times.blind,
+            lease_times.outage_limit,
         ));
     }
     Some(term)
@@ -110,13 +110,13 @@
     }
     let now = controller.clock.now();
     let foreign_leases_end =
-        former_planners::stopped_by(&state, &predecessors, lease_times.blind, now);
+        former_planners::stopped_by(&state, &predecessors, lease_times.outage_limit, now);
     let maps = state.maps.iter();
     let plans = maps.filter_map(|(service, map)| {
-        let book = LeaseBook::new(lease_times, foreign_leases_end);
-        let mut reconciler = Reconciler::new(map.whole()?, book);
+        let book = LeaseTracker::new(lease_times, foreign_leases_end);
+        let mut reconciler = Reconciler::new(map.to_map()?, book);
         for update in controller.shared.recent_moves(service, now) {
-            reconciler.note_release(&update);
+            reconciler.restore_release(&update);
         }
         let demand = Demand::default();
         let plan = ServicePlan { reconciler, demand };
@@ -134,6 +134,6 @@
         leadership,
         predecessors,
         plans,
-        balance_clock: EvenClock::new(now),
+        balance_clock: BalanceTimer::new(now),
     })
 }
--- a/crates/citronproxy/src/edge/control/planner/commit.rs
+++ b/crates/citronproxy/src/edge/control/planner/commit.rs
@@ -11,7 +11,9 @@
     },
     citron_core::{
         id::ServiceName,
-        ranges::{KeyRange, MapPart, OrderEnd, PartedMap, RangeMap, partition},
+        ranges::{
+            KeyRange, MapPartition, OrderOutcome, PartitionedMap, RangeMap, partition_ranges,
+        },
     },
     citron_ports::{Adapter, RowCommit, RowStore, RowTable, StoreError},
     std::{sync::Arc, time::Duration},
@@ -19,7 +21,7 @@
 };
 
 /// What became of a commit, and the version of the newest row then.
-pub type CommitOutcome = (OrderEnd, u64);
+pub type CommitOutcome = (OrderOutcome, u64);
 
 /// How long a commit may be unanswered before it is sent again under the same
 /// condition; above what a store takes that is sixty times slower than usual.
@@ -49,7 +51,7 @@
     let stored = stored.unwrap_or_default();
     let slices_max =
         (controller.settings.row_bytes_max / ROW_BYTES_PER_SLICE).clamp(1, SLICES_PER_PART_MAX);
-    let mut newest = stored.newest();
+    let mut newest = stored.max_version();
     for changes in MapChanges::between(&stored, map, slices_max).into_transactions() {
         let commit = changes.to_row_commit(service, leadership_version, &stored);
         match write_transaction(
@@ -61,31 +63,31 @@
         )
         .await
         {
-            (OrderEnd::Done { .. }, version) => newest = version,
+            (OrderOutcome::Done { .. }, version) => newest = version,
             end => return end,
         }
     }
-    (OrderEnd::Done { handover: None }, newest)
+    (OrderOutcome::Done { handover: None }, newest)
 }
 
 /// What a map has that differs from the stored one.
 struct MapChanges {
-    parts: Vec<MapPart>,
+    parts: Vec<MapPartition>,
     removes: Vec<KeyRange>,
 }
 
 impl MapChanges {
-    fn between(stored: &PartedMap, map: &RangeMap, slices_max: usize) -> Self {
-        let ranges = partition(map, stored, slices_max);
+    fn between(stored: &PartitionedMap, map: &RangeMap, slices_max: usize) -> Self {
+        let ranges = partition_ranges(map, stored, slices_max);
         let removes = stored.ranges().filter(|range| !ranges.contains(range));
         let removes = removes.collect();
-        let part = |range: KeyRange| MapPart {
+        let part = |range: KeyRange| MapPartition {
             range,
             version: 0,
-            slices: map.within(range),
+            slices: map.slices_in(range),
         };
         let parts = ranges.into_iter().map(part);
-        let parts = parts.filter(|part| !stored.holds(part)).collect();
+        let parts = parts.filter(|part| !stored.matches(part)).collect();
         Self { parts, removes }
     }
 
@@ -95,7 +97,7 @@
         let mut parts = self.parts.into_iter().peekable();
         let mut removes = self.removes.into_iter().peekable();
         while parts.peek().is_some() || removes.peek().is_some() {
-            let parts: Vec<MapPart> = parts.by_ref().take(TRANSACTION_PARTS_MAX).collect();
+            let parts: Vec<MapPartition> = parts.by_ref().take(TRANSACTION_PARTS_MAX).collect();
             let removes_max = if parts.len() == TRANSACTION_PARTS_MAX {
                 0
             } else {
@@ -111,7 +113,7 @@
         &self,
         service: &ServiceName,
         leadership_version: u64,
-        stored: &PartedMap,
+        stored: &PartitionedMap,
     ) -> RowCommit {
         let key = |range: KeyRange| {
             let service = service.clone();
@@ -145,7 +147,7 @@
 async fn write_transaction<A: Adapter>(
     controller: &Controller<A>,
     service: &ServiceName,
-    parts: &[MapPart],
+    parts: &[MapPartition],
     commit: &RowCommit,
     leadership_version: u64,
 ) -> CommitOutcome {
@@ -156,7 +158,7 @@
                 controller.on_store_success(call_started, None);
                 controller.confirm_ranges(call_started);
                 controller.apply_committed_parts(service, parts, version);
-                return (OrderEnd::Done { handover: None }, version);
+                return (OrderOutcome::Done { handover: None }, version);
             }
             Err(StoreError::Conflict) => {
                 if let Some(committed) = resolve_conflict(controller, service, parts).await {
@@ -169,13 +171,13 @@
                 let event = events::ROW_REJECTED;
                 log::error!("{event} map of {service}, {largest} bytes a row: {reason}");
                 sleep(INVALID_RETRY_DELAY).await;
-                return (OrderEnd::Unknown, 0);
+                return (OrderOutcome::Unknown, 0);
             }
             Err(error) => controller.on_store_failure("commit", &error),
         }
         watch::wait_for_store(controller).await;
     }
-    (OrderEnd::Unknown, 0)
+    (OrderOutcome::Unknown, 0)
 }
 
 async fn send_commit<A: Adapter>(
@@ -195,15 +197,15 @@
 async fn resolve_conflict<A: Adapter>(
     controller: &Controller<A>,
     service: &ServiceName,
-    parts: &[MapPart],
+    parts: &[MapPartition],
 ) -> Option<CommitOutcome> {
     if !refresh::read_maps(controller).await {
         return None;
     }
     let state = controller.state.borrow();
     let stored = state.maps.get(service).map(Arc::clone).unwrap_or_default();
-    if parts.iter().all(|part| stored.holds(part)) {
-        return Some((OrderEnd::Done { handover: None }, stored.newest()));
+    if parts.iter().all(|part| stored.matches(part)) {
+        return Some((OrderOutcome::Done { handover: None }, stored.max_version()));
     }
-    Some((OrderEnd::Outdated, 0))
+    Some((OrderOutcome::Outdated, 0))
 }
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -5,7 +5,7 @@
     bytes::Bytes,
     citron_core::{
         id::ServerName,
-        ranges::{LeaseTimes, Order, OrderEnd, Slice},
+        ranges::{LeaseTimes, Order, OrderOutcome, Slice},
     },
     citron_ports::{Adapter, CallError, KeptClient},
     http::{HeaderValue, Request, Response, StatusCode},
@@ -47,7 +47,7 @@
         controller: &Controller<A>,
         order: &Order,
         lease_times: &LeaseTimes,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         match order {
             Order::Grant(slice) => self.grant(controller, slice, lease_times).await,
             Order::Release {
@@ -67,15 +67,15 @@
                     .await;
                 let mut outcome = release_outcome(controller, &response);
                 if response.is_ok()
-                    && outcome == OrderEnd::Unknown
+                    && outcome == OrderOutcome::Unknown
                     && self.is_replaced(controller, server).await
                 {
-                    outcome = OrderEnd::Done { handover: None };
+                    outcome = OrderOutcome::Done { handover: None };
                 }
                 log::debug!("release {range} at {server}, epoch {epoch}: {outcome:?}");
                 outcome
             }
-            Order::Commit(_) => OrderEnd::Unknown,
+            Order::Commit(_) => OrderOutcome::Unknown,
         }
     }
 
@@ -130,16 +130,16 @@
         controller: &Controller<A>,
         slice: &Slice,
         lease_times: &LeaseTimes,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         let Some(owner) = &slice.owner else {
-            return OrderEnd::Unknown;
+            return OrderOutcome::Unknown;
         };
-        let request = controller.adapter.grant(slice, lease_times.hold);
+        let request = controller.adapter.grant(slice, lease_times.lease);
         let response = self
-            .call(controller, owner, request, lease_times.order)
+            .call(controller, owner, request, lease_times.order_timeout)
             .await;
         match response.map(|response| response.status()) {
-            Ok(StatusCode::OK) => OrderEnd::Done { handover: None },
+            Ok(StatusCode::OK) => OrderOutcome::Done { handover: None },
             Ok(StatusCode::CONFLICT) => {
                 log::info!(
                     "{} {} at {owner}, epoch {}: a higher one was seen",
@@ -147,7 +147,7 @@
                     slice.range,
                     slice.epoch
                 );
-                OrderEnd::Outdated
+                OrderOutcome::Outdated
             }
             Ok(status) => {
                 log::warn!(
@@ -155,13 +155,13 @@
                     events::GRANT_REFUSED,
                     slice.range
                 );
-                OrderEnd::Unknown
+                OrderOutcome::Unknown
             }
             Err(error) => {
                 log::debug!("grant of {} to {owner}: {error}", slice.range);
                 match error {
-                    CallError::NotSent(_) => OrderEnd::NotSent,
-                    CallError::Unknown(_) => OrderEnd::Unknown,
+                    CallError::NotSent(_) => OrderOutcome::NotSent,
+                    CallError::Unknown(_) => OrderOutcome::Unknown,
                 }
             }
         }
@@ -212,17 +212,17 @@
 fn release_outcome<A: Adapter>(
     controller: &Controller<A>,
     response: &Result<Response<Bytes>, CallError>,
-) -> OrderEnd {
+) -> OrderOutcome {
     match response {
-        Ok(response) if response.status() == StatusCode::OK => OrderEnd::Done {
+        Ok(response) if response.status() == StatusCode::OK => OrderOutcome::Done {
             handover: controller.adapter.handover(response.headers()),
         },
         // The order names the start that it is for, and another one has answered
         // at the address: a process listens there that is not the one released,
         // which therefore has ended and holds nothing.
         Ok(response) if response.status() == StatusCode::MISDIRECTED_REQUEST => {
-            OrderEnd::Done { handover: None }
+            OrderOutcome::Done { handover: None }
         }
-        _ => OrderEnd::Unknown,
+        _ => OrderOutcome::Unknown,
     }
 }
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -13,7 +13,7 @@
     },
     citron_core::{
         id::ServiceName,
-        ranges::{LeaseTimes, Order, OrderEnd},
+        ranges::{LeaseTimes, Order, OrderOutcome},
         time::Time,
     },
     citron_ports::Adapter,
@@ -34,7 +34,7 @@
 
 /// Watches the leadership, and plans while this instance has it.
 pub async fn run<A: Adapter>(controller: Rc<Controller<A>>) {
-    let lease_times = LeaseTimes::within(controller.settings.lease_max);
+    let lease_times = LeaseTimes::with_max_lease(controller.settings.lease_max);
     let orders = Rc::new(OrderClient::default());
     let (result_sender, mut results) = mpsc::unbounded_channel::<OrderResult>();
     let mut election = Election::new(controller.clock.now());
@@ -138,8 +138,8 @@
         let (end, version) = match &order {
             // The process stood still since the order was decided. Leases are
             // counted from then: sent now, a grant would outlast its count.
-            _ if self.controller.clock.now() - self.decided_at > lease_times.start => {
-                (OrderEnd::NotSent, 0)
+            _ if self.controller.clock.now() - self.decided_at > lease_times.start_timeout => {
+                (OrderOutcome::NotSent, 0)
             }
             Order::Commit(map) => {
                 commit_map(&self.controller, &service, map, self.leadership_version).await
@@ -151,7 +151,7 @@
                 0,
             ),
         };
-        let is_done = matches!(end, OrderEnd::Done { .. });
+        let is_done = matches!(end, OrderOutcome::Done { .. });
         self.controller.metrics.count_order(&order, is_done);
         let result = OrderResult {
             service,
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -12,8 +12,8 @@
     citron_core::{
         id::ServiceName,
         ranges::{
-            Balance, BalanceLimits, Demand, EvenClock, KeyRange, LeaseBook, LeaseTimes, Order,
-            OrderEnd, RangeMap, Reconciler, Scope,
+            BalanceLimits, BalanceTimer, Balancer, Demand, KeyRange, LeaseTimes, LeaseTracker,
+            Order, OrderOutcome, PlanScope, RangeMap, Reconciler,
         },
         registry::ServerRecord,
     },
@@ -31,7 +31,7 @@
     /// The order.
     pub order: Order,
     /// What became of it.
-    pub end: OrderEnd,
+    pub end: OrderOutcome,
     /// Version of the newest row after a commit that was done.
     pub version: u64,
 }
@@ -55,7 +55,7 @@
     /// By service.
     pub plans: BTreeMap<ServiceName, ServicePlan>,
     /// When keys are moved for balance.
-    pub balance_clock: EvenClock,
+    pub balance_clock: BalanceTimer,
 }
 
 impl Term {
@@ -74,28 +74,28 @@
         };
         if matches!(result.order, Order::Commit(_)) {
             match result.end {
-                OrderEnd::Done { .. } => {
+                OrderOutcome::Done { .. } => {
                     log::info!(
                         "{} service={} version={} slices={} moves={}",
                         events::KEYS_MOVED,
                         result.service,
                         result.version,
                         plan.reconciler.map().slices().len(),
-                        plan.reconciler.moves()
+                        plan.reconciler.move_count()
                     );
                 }
-                OrderEnd::Outdated => {
+                OrderOutcome::Outdated => {
                     // Something else lies in the store: it counts.
                     let state = controller.state.borrow();
                     let map = state.maps.get(&result.service);
-                    if let Some(map) = map.and_then(|map| map.whole()) {
+                    if let Some(map) = map.and_then(|map| map.to_map()) {
                         plan.reconciler.reload(map);
                     }
                 }
-                OrderEnd::Unknown | OrderEnd::NotSent => {}
+                OrderOutcome::Unknown | OrderOutcome::NotSent => {}
             }
         }
-        if plan.reconciler.ended(&result.order, result.end, now)
+        if plan.reconciler.complete(&result.order, result.end, now)
             && let Order::Grant(slice) = &result.order
         {
             controller.announce_owner(&result.service, slice);
@@ -114,8 +114,8 @@
         if self.predecessors.is_empty() {
             for plan in self.plans.values_mut() {
                 plan.reconciler
-                    .book()
-                    .settle_foreign(controller.clock.now());
+                    .leases_mut()
+                    .bound_previous(controller.clock.now());
             }
         }
     }
@@ -123,7 +123,8 @@
     /// Whether the store confirmed the leadership lately. Otherwise another may have it by
     /// now, and counts on this one's silence.
     pub fn may_act<A: Adapter>(controller: &Controller<A>, lease_times: &LeaseTimes) -> bool {
-        controller.clock.now() - controller.state.borrow().ranges_confirmed_at <= lease_times.blind
+        controller.clock.now() - controller.state.borrow().ranges_confirmed_at
+            <= lease_times.outage_limit
     }
 
     /// Decides which keys move.
@@ -140,13 +141,13 @@
         let has_sudden_change = controller.demands.borrow_mut().take_sudden_change();
         let may_balance =
             *controller.store_up.borrow() && !controller.demands.borrow().is_settling(now);
-        let even = self
+        let may_rebalance = self
             .balance_clock
             .is_due(has_sudden_change, may_balance, now);
         for service in config.services().filter(|service| service.keyed) {
             let name = &service.name;
             let plan = self.plans.entry(name.clone()).or_insert_with(|| {
-                let book = LeaseBook::new(lease_times, now);
+                let book = LeaseTracker::new(lease_times, now);
                 ServicePlan {
                     reconciler: Reconciler::new(RangeMap::new(), book),
                     demand: Demand::default(),
@@ -156,14 +157,17 @@
             let servers = servers.iter().map(|known| &**known);
             let open: Vec<&ServerRecord> = servers.filter(|known| known.is_available()).collect();
             let is_requested = controller.demands.borrow().is_requested(name);
-            let deal = is_server_set_complete(&open, is_requested, now);
+            let may_assign = is_server_set_complete(&open, is_requested, now);
             let capacities = capacities(&open, service.slow_start, &controller.shared.loads(), now);
-            if even {
+            if may_rebalance {
                 plan.demand = controller.demands.borrow().current(name, now);
             }
             let limits = BalanceLimits::STANDARD;
-            let mut balance = Balance::new(limits, &capacities, &plan.demand);
-            let scope = Scope { deal, even };
+            let mut balance = Balancer::new(limits, &capacities, &plan.demand);
+            let scope = PlanScope {
+                may_assign,
+                may_rebalance,
+            };
             let reconciler = &mut plan.reconciler;
             reconciler.plan(
                 now,
@@ -172,14 +176,14 @@
                 &mut balance,
                 scope,
             );
-            if even {
+            if may_rebalance {
                 log::info!(
                     "{} service={name} highest={:.2} moves={} slices={} rate={:.0}",
                     events::BALANCE,
-                    balance.highest(),
-                    reconciler.moves(),
+                    balance.max_relative_load(),
+                    reconciler.move_count(),
                     reconciler.map().slices().len(),
-                    plan.demand.of(KeyRange::ALL),
+                    plan.demand.rate(KeyRange::ALL),
                 );
             }
         }
--- a/crates/citronproxy/src/edge/shared.rs
+++ b/crates/citronproxy/src/edge/shared.rs
@@ -7,7 +7,7 @@
         crash::{CrashConfig, CrashLog},
         dispatch::LoadBook,
         id::ServiceName,
-        ranges::{MoveLog, MoveNews, OwnerHint, RangeKey, Slice},
+        ranges::{MoveLog, MoveNotice, OwnerHint, RangeKey, Slice},
         time::Time,
     },
     std::{
@@ -97,9 +97,12 @@
     }
 
     /// Takes in what the planner says of keys on their way.
-    pub fn record_move(&self, service: &ServiceName, update: MoveNews, now: Time) {
+    pub fn record_move(&self, service: &ServiceName, update: MoveNotice, now: Time) {
         let mut moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
-        moves.entry(service.clone()).or_default().note(update, now);
+        moves
+            .entry(service.clone())
+            .or_default()
+            .insert(update, now);
     }
 
     /// What is newer about a key than its slice of the map tells.
@@ -115,7 +118,7 @@
     }
 
     /// What was told lately of a service's keys on their way.
-    pub fn recent_moves(&self, service: &ServiceName, now: Time) -> Vec<MoveNews> {
+    pub fn recent_moves(&self, service: &ServiceName, now: Time) -> Vec<MoveNotice> {
         let moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
         let log = moves.get(service);
         log.map_or_else(Vec::new, |log| log.recent(now).cloned().collect())
--- a/crates/core/src/ranges/balance/mod.rs
+++ b/crates/core/src/ranges/balance/mod.rs
@@ -1,11 +1,11 @@
 //! Which keys should go from one server to another.
 
-mod joins;
 mod limits;
+mod merge;
 mod plan;
-mod shifts;
+mod rebalance;
 
 pub use {
-    limits::{BalanceLimits, Capacity, Shift},
-    plan::Balance,
+    limits::{BalanceLimits, Capacity, Reassignment},
+    plan::Balancer,
 };
