--- a/crates/core/src/freshness/mod.rs
+++ b/crates/core/src/freshness/mod.rs
@@ -4,22 +4,22 @@
 //! table therefore has an age, which only a response resets. Instances advertise their ages to
 //! each other, and one whose table is too old polls the store.
 
-mod beats;
-mod book;
+mod ages;
 mod fetches;
 mod health;
+mod heartbeats;
+mod holder;
 mod lag;
-mod silence;
-mod standing;
+mod staleness;
 mod times;
 
 pub use {
-    beats::{HeartbeatSchedule, LOST, Sender},
-    book::{Age, Freshness, StoreOutage},
+    ages::{Age, Freshness, StoreOutage},
     fetches::{Fetch, FetchTimes, Fetches},
     health::StoreHealth,
+    heartbeats::{HeartbeatSchedule, LOST, Sender},
+    holder::HolderSilence,
     lag::LagTimer,
-    silence::HolderSilence,
-    standing::{Doubt, Lag, Standing, VersionTracker},
+    staleness::{Doubt, Lag, Standing, VersionTracker},
     times::{FreshnessTimes, PropagationTimes, Role},
 };
--- a/crates/core/src/routes/mod.rs
+++ b/crates/core/src/routes/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! A configuration is taken whole, by its version; it never goes back.
 
+mod cluster;
+mod config;
 mod rule;
-mod service;
-mod table;
 
 pub use {
+    cluster::Cluster,
+    config::{ConfigVersion, ListenerLimits, RouteConfig},
     rule::{Repeat, Rule, Split},
-    service::Cluster,
-    table::{ConfigVersion, ListenerLimits, RouteConfig},
 };
--- a/crates/core/src/slo/mod.rs
+++ b/crates/core/src/slo/mod.rs
@@ -2,16 +2,16 @@
 
 mod burn;
 mod minute;
-mod reach;
-mod record;
+mod reachability;
 mod report;
+mod series;
 mod tally;
 
 pub use {
     burn::{Alert, BurnRule, FAST, SLOW, Window, burn_rate},
     minute::Minute,
-    reach::{Reach, moved_shards},
-    record::Record,
+    reachability::{Reach, moved_shards},
     report::{Burns, ServiceReport},
+    series::Record,
     tally::Tally,
 };
--- a/crates/core/src/table/edit.rs
+++ b/crates/core/src/table/edit.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Check, Commit, HistoryRow, Row, RowChange, RowKey, Table, TableError, Versioned, Write,
-        initial::initial_blocks, rules, view::View,
+        edited::View, initial::initial_blocks, rules,
     },
     crate::id::{Epoch, Revision, ServiceName},
     std::{
--- a/crates/core/src/table/mod.rs
+++ b/crates/core/src/table/mod.rs
@@ -4,16 +4,16 @@
 mod commit;
 mod domain;
 mod edit;
+mod edited;
 mod error;
 mod initial;
 mod instance;
+mod lookup;
+mod replica;
 mod row;
 mod rules;
 mod server;
 mod service;
-mod store;
-mod typed;
-mod view;
 
 pub use {
     block::{BLOCK_SHARDS, BlockId, BlockRow, OverrideRow},
@@ -23,8 +23,8 @@
     error::TableError,
     initial::initial_blocks,
     instance::{InstanceRow, InstanceState},
+    replica::Table,
     row::{Row, RowKey, Versioned},
     server::{Fencing, ServerRow, ServerState},
     service::{KeyRule, MoveBudget, Objectives, ServiceRow},
-    store::Table,
 };
--- a/crates/core/src/table/rules/mod.rs
+++ b/crates/core/src/table/rules/mod.rs
@@ -5,7 +5,8 @@
 
 use {
     super::{
-        DomainRow, DomainState, Row, RowEdit, RowKey, ServerRow, ServiceRow, TableError, view::View,
+        DomainRow, DomainState, Row, RowEdit, RowKey, ServerRow, ServiceRow, TableError,
+        edited::View,
     },
     std::ops::RangeInclusive,
 };
--- a/crates/core/src/time/mod.rs
+++ b/crates/core/src/time/mod.rs
@@ -1,9 +1,9 @@
 //! Time as the decisions see it.
 
 mod instant;
-mod store;
+mod store_clock;
 
 pub use {
     instant::Time,
-    store::{StoreClock, StoreTime},
+    store_clock::{StoreClock, StoreTime},
 };
--- a/crates/core/tests/stale/main.rs
+++ b/crates/core/tests/stale_reports/main.rs
@@ -3,12 +3,12 @@
 //! from reports, the newest of which is as old as a request is long; of the other
 //! domains it knows nothing.
 
-mod world;
+mod simulation;
 
 use {
     citron_core::dispatch::sample_size,
+    simulation::{Figures, Shape, World},
     std::time::Duration,
-    world::{Figures, Shape, World},
 };
 
 /// 84 instances before 57 servers, whose reports come every 0.4 s.
