--- a/crates/citronctl/src/report/figures.rs
+++ b/crates/citronctl/src/report/figures.rs
@@ -4,7 +4,7 @@
     crate::error::CtlError,
     citron_core::{
         id::{ServerName, ServiceName, Weight},
-        slo::{Alert, Minute, Record, SLOW, ServiceReport, Tally, burn_rate},
+        slo::{Alert, Minute, SLOW_BURN, ServiceReport, Tally, TallySeries, burn_rate},
         table::{Row, ServerState, ServiceRow},
     },
     citron_wire::{WireError, admin::RowsWire, slo::BurnWire},
@@ -58,7 +58,7 @@
     pub fn new(burn: BurnWire, table: RowsWire) -> Result<Self, CtlError> {
         let bad = |error: WireError| CtlError::Failed(error.to_string());
         let now = Minute(burn.minute);
-        let record = Record::try_from(burn.record).map_err(bad)?;
+        let record = TallySeries::try_from(burn.record).map_err(bad)?;
         let mut services = Vec::new();
         let rows = table.rows.into_iter().map(|row| Row::try_from(row.row));
         let rows = rows.collect::<Result<Vec<_>, _>>().map_err(bad)?;
@@ -80,8 +80,8 @@
 }
 
 impl ServiceFigures {
-    fn new(record: &Record, row: &ServiceRow, weights: &Weights, now: Minute) -> Self {
-        let first = now.0.saturating_sub(SLOW.long - STEP);
+    fn new(record: &TallySeries, row: &ServiceRow, weights: &Weights, now: Minute) -> Self {
+        let first = now.0.saturating_sub(SLOW_BURN.long - STEP);
         let ends = (first..=now.0).step_by(STEP as usize).map(Minute);
         let points = ends.map(|end| Point::new(&record.sum(&row.name, end, STEP), row, weights));
         Self {
@@ -93,14 +93,15 @@
 
 impl Point {
     fn new(tally: &Tally, row: &ServiceRow, weights: &Weights) -> Self {
-        let rate = |bad, budget| (tally.total > 0).then(|| burn_rate(bad, tally.total, budget));
-        let watched = !tally.watched.is_zero();
+        let rate =
+            |bad, budget| (tally.requests > 0).then(|| burn_rate(bad, tally.requests, budget));
+        let watched = !tally.observed.is_zero();
         Self {
-            failures: rate(tally.failed, row.objectives.failures),
-            latency: rate(tally.slow, row.objectives.slower),
+            failures: rate(tally.failed, row.objectives.failures_per_million),
+            latency: rate(tally.slow, row.objectives.slow_per_million),
             imbalance: tally.imbalance(weights),
-            churn: watched.then_some(tally.moved as f64),
-            unavailable: watched.then(|| tally.closed_share() * 100.0),
+            churn: watched.then_some(tally.shards_moved as f64),
+            unavailable: watched.then(|| tally.unreachable_share() * 100.0),
         }
     }
 }
@@ -123,7 +124,7 @@
     if report.requests == 0 {
         return "no data";
     }
-    match report.failures.alert().max(report.latency.alert()) {
+    match report.failure_burn.alert().max(report.latency_burn.alert()) {
         Alert::None => "ok",
         Alert::Slow => "slow burn",
         Alert::Fast => "fast burn",
--- a/crates/citronctl/src/report/html.rs
+++ b/crates/citronctl/src/report/html.rs
@@ -6,7 +6,7 @@
         plot::Plot,
         text::{rates, who},
     },
-    citron_core::slo::{Burns, FAST},
+    citron_core::slo::{BurnRates, FAST_BURN},
 };
 
 const STYLE: &str = "\
@@ -61,8 +61,8 @@
          <p>{} requests in 6 h; imbalance {} over the last hour; {} shards moved; a key was \
          unavailable for {:.1} s on the mean.</p>\n<div class=\"plots\">\n",
         escape(report.service.as_str()),
-        row("failures", &report.failures),
-        row("latency", &report.latency),
+        row("failures", &report.failure_burn),
+        row("latency", &report.latency_burn),
         report.requests,
         imbalance.unwrap_or_else(|| "not known".to_string()),
         report.churn,
@@ -75,7 +75,7 @@
     section
 }
 
-fn row(name: &str, burns: &Burns) -> String {
+fn row(name: &str, burns: &BurnRates) -> String {
     let cells = rates(burns).map(|rate| format!("<td>{rate}</td>"));
     format!("<tr><td>{name}</td>{}</tr>\n", cells.concat())
 }
@@ -87,7 +87,7 @@
         floor,
         limit,
     };
-    let fast = Some(FAST.rate);
+    let fast = Some(FAST_BURN.rate);
     vec![
         plot(
             "burn of failures, multiple of the allowed rate",
--- a/crates/citronctl/src/report/json.rs
+++ b/crates/citronctl/src/report/json.rs
@@ -3,7 +3,7 @@
 use {
     super::figures::{Figures, ServiceFigures, alert_word},
     crate::error::CtlError,
-    citron_core::slo::Burns,
+    citron_core::slo::BurnRates,
     serde::Serialize,
 };
 
@@ -36,8 +36,8 @@
     h6: f64,
 }
 
-impl From<&Burns> for BurnsWire {
-    fn from(core: &Burns) -> Self {
+impl From<&BurnRates> for BurnsWire {
+    fn from(core: &BurnRates) -> Self {
         Self {
             m5: core.fast.0,
             h1: core.fast.1,
@@ -54,8 +54,8 @@
         Self {
             service: report.service.to_string(),
             alert: alert_word(report),
-            failures: (&report.failures).into(),
-            latency: (&report.latency).into(),
+            failures: (&report.failure_burn).into(),
+            latency: (&report.latency_burn).into(),
             requests: report.requests,
             imbalance: report.imbalance,
             churn: report.churn,
--- a/crates/citronctl/src/report/text.rs
+++ b/crates/citronctl/src/report/text.rs
@@ -3,7 +3,7 @@
 use {
     super::figures::{Figures, ServiceFigures, alert_word, rate_text},
     crate::grid,
-    citron_core::slo::Burns,
+    citron_core::slo::BurnRates,
 };
 
 const HEADS: [&str; 13] = [
@@ -51,8 +51,8 @@
 fn line(service: &ServiceFigures) -> Vec<String> {
     let report = &service.report;
     let mut cells = vec![report.service.to_string(), alert_word(report).to_string()];
-    cells.extend(rates(&report.failures));
-    cells.extend(rates(&report.latency));
+    cells.extend(rates(&report.failure_burn));
+    cells.extend(rates(&report.latency_burn));
     cells.push(report.requests.to_string());
     let imbalance = report.imbalance.map(|ratio| format!("{ratio:.2}"));
     cells.push(imbalance.unwrap_or_else(|| "-".to_string()));
@@ -62,6 +62,6 @@
 }
 
 /// Over 5 min, 1 h, 30 min and 6 h.
-pub fn rates(burns: &Burns) -> [String; 4] {
+pub fn rates(burns: &BurnRates) -> [String; 4] {
     [burns.fast.0, burns.fast.1, burns.slow.0, burns.slow.1].map(rate_text)
 }
--- a/crates/citronproxy/examples/control_slopes.rs
+++ b/crates/citronproxy/examples/control_slopes.rs
@@ -11,9 +11,9 @@
         membership::Member,
         ownership::{Assignment, Boot, Grant, GrantReply, GrantResult, Lease},
         table::{
-            BLOCK_SHARDS, BlockId, BlockRow, Changes, Check, Commit, CommitAnswer, DomainRow,
-            DomainState, Fencing, KeyRule, MoveBudget, Objectives, Row, ServerRow, ServerState,
-            ServiceRow, Write,
+            BlockId, BlockRow, Changes, Check, Commit, CommitOutcome, DomainRow, DomainState,
+            Fencing, KeySource, MoveBudget, Objectives, Row, SHARDS_PER_BLOCK, ServerRow,
+            ServerState, ServiceRow, Write,
         },
     },
     citron_ports::{
@@ -71,7 +71,7 @@
         self.inner.changes(since).await
     }
 
-    async fn commit(&self, commit: Commit) -> Result<CommitAnswer, PlatformError> {
+    async fn commit(&self, commit: Commit) -> Result<CommitOutcome, PlatformError> {
         count(&self.calls.commits);
         self.inner.commit(commit).await
     }
@@ -80,7 +80,7 @@
         &self,
         commit: Commit,
         checks: &[Check],
-    ) -> Result<CommitAnswer, PlatformError> {
+    ) -> Result<CommitOutcome, PlatformError> {
         count(&self.calls.commits);
         self.inner.commit_checked(commit, checks).await
     }
@@ -244,9 +244,9 @@
     for number in 0..servers {
         rows.push(Row::Server(server(number)?));
     }
-    for block in 0..shards.shards() / BLOCK_SHARDS {
-        let first = block * BLOCK_SHARDS;
-        let owners = (first..first + BLOCK_SHARDS)
+    for block in 0..shards.shard_count() / SHARDS_PER_BLOCK {
+        let first = block * SHARDS_PER_BLOCK;
+        let owners = (first..first + SHARDS_PER_BLOCK)
             .map(|shard| Ok(Assignment::owned(name(shard)?, Epoch(1))))
             .collect::<Result<_, Box<dyn Error>>>()?;
         rows.push(Row::Block(BlockRow {
@@ -266,25 +266,25 @@
     })
 }
 
-fn service(shards: ShardBits) -> Result<ServiceRow, Box<dyn Error>> {
+fn service(shard_bits: ShardBits) -> Result<ServiceRow, Box<dyn Error>> {
     Ok(ServiceRow {
         name: "balances".parse()?,
         operator: "authority".parse()?,
         hosts: Vec::new(),
         prefix: "/balances".to_string(),
-        key: KeyRule::Segment(1),
-        idempotent: vec!["GET".to_string()],
-        shards,
+        key_source: KeySource::Segment(1),
+        idempotent_methods: vec!["GET".to_string()],
+        shard_bits,
         deadline: Duration::from_secs(2),
         grace: Duration::from_secs(300),
-        moves: MoveBudget {
-            minute: 10,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 10,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1_000,
+            failures_per_million: 1_000,
             latency: Duration::from_millis(19),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     })
 }
@@ -296,9 +296,9 @@
         domain: domain(number).parse()?,
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Checked,
         state: ServerState::Active,
     })
--- a/crates/citronproxy/src/admin/editor.rs
+++ b/crates/citronproxy/src/admin/editor.rs
@@ -6,7 +6,7 @@
     citron_core::{
         id::{Revision, ServerName, ServiceName},
         ownership::{Scope, begin_move},
-        table::{Check, Commit, CommitAnswer, Edit, HistoryRow, RowChange, RowKey, Table},
+        table::{Check, Commit, CommitOutcome, Edit, HistoryRow, RowChange, RowKey, Table},
     },
     citron_ports::TableStore,
     std::time::{Duration, SystemTime},
@@ -28,13 +28,15 @@
             let plan = self.control.table(|table| edit.clone().plan(table))?;
             let committed = self.store.commit_checked(plan.commit, &plan.checks).await;
             match committed.map_err(AdminError::unsettled)? {
-                CommitAnswer::Done(revision) => return Ok(self.accept(revision, &edit.by)),
-                CommitAnswer::Lost { key, current } if names(&edit, &key) => {
+                CommitOutcome::Committed(revision) => {
+                    return Ok(self.accept(revision, &edit.author));
+                }
+                CommitOutcome::Conflict { key, current } if names(&edit, &key) => {
                     return Err(AdminError::Lost { key, current });
                 }
                 // A row that the edit rests on: whether it is still valid shows
                 // when it is planned against the table as it is now.
-                CommitAnswer::Lost { .. } => {}
+                CommitOutcome::Conflict { .. } => {}
             }
         }
         Err(AdminError::Busy)
@@ -59,7 +61,7 @@
             let planned = self.control.table(|table| plan_move(table, moving));
             let (commit, checks) = planned?;
             let committed = self.store.commit_checked(commit, &checks).await;
-            if let CommitAnswer::Done(revision) = committed.map_err(AdminError::unsettled)? {
+            if let CommitOutcome::Committed(revision) = committed.map_err(AdminError::unsettled)? {
                 return Ok(self.accept(revision, &moving.by));
             }
         }
@@ -88,11 +90,11 @@
         after: write.row.clone(),
     });
     commit.history = Some(HistoryRow {
-        by: by.clone(),
-        at: wall_clock(),
+        author: by.clone(),
+        time: wall_clock(),
         changes: changes.collect(),
     });
-    let checks = commit.new_owners(table);
+    let checks = commit.new_owner_checks(table);
     Ok((commit, checks))
 }
 
--- a/crates/citronproxy/src/admin/error.rs
+++ b/crates/citronproxy/src/admin/error.rs
@@ -81,7 +81,7 @@
             Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
             Self::NoVersion => StatusCode::PRECONDITION_REQUIRED,
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
-            Self::Table(TableError::Lost { .. }) | Self::Lost { .. } => {
+            Self::Table(TableError::Conflict { .. }) | Self::Lost { .. } => {
                 StatusCode::PRECONDITION_FAILED
             }
             Self::Table(_) | Self::Move(_) => StatusCode::UNPROCESSABLE_ENTITY,
@@ -98,7 +98,7 @@
             Self::Method(_) => "method",
             Self::NoVersion => "no-version",
             Self::Malformed(_) => "malformed",
-            Self::Table(TableError::Lost { .. }) | Self::Lost { .. } => "lost",
+            Self::Table(TableError::Conflict { .. }) | Self::Lost { .. } => "lost",
             Self::Table(_) | Self::Move(_) => "invalid",
             Self::Busy => "busy",
             Self::Unread(_) => "unavailable",
@@ -108,7 +108,7 @@
 
     pub(super) fn wire(&self) -> ErrorWire {
         let (key, current) = match self {
-            Self::Lost { key, current } | Self::Table(TableError::Lost { key, current }) => {
+            Self::Lost { key, current } | Self::Table(TableError::Conflict { key, current }) => {
                 (Some(key), current.as_deref())
             }
             Self::Table(TableError::Invalid { key, .. }) => (Some(key), None),
--- a/crates/citronproxy/src/admin/inspect.rs
+++ b/crates/citronproxy/src/admin/inspect.rs
@@ -85,7 +85,7 @@
         key: &str,
     ) -> Result<OwnerWire, AdminError> {
         let read = self.refresh().await;
-        let hash = KeyHash::of(key.as_bytes());
+        let hash = KeyHash::from_key(key.as_bytes());
         let found = self.control.table(|table| owner(table, &service, hash));
         found.ok_or_else(|| {
             let what = format!("an owner of '{key}' in service/{service}");
@@ -99,8 +99,8 @@
         return None;
     };
     let single = RowKey::Override(service.clone(), hash);
-    let shard = rules.shards.shard_of(hash);
-    let block = RowKey::Block(service.clone(), BlockId::of(shard));
+    let shard = rules.shard_bits.shard_of(hash);
+    let block = RowKey::Block(service.clone(), BlockId::from_shard(shard));
     let (scope, key, row) = match table.get(&single) {
         Some(row) => (Scope::Key(hash), single, row),
         None => (Scope::Shard(shard), block.clone(), table.get(&block)?),
@@ -114,7 +114,7 @@
         Scope::Key(_) => "the key was taken out of its shard".to_string(),
         Scope::Shard(shard) => format!(
             "its hash falls into shard {shard} of {}",
-            rules.shards.shards()
+            rules.shard_bits.shard_count()
         ),
     };
     let state = to.as_ref().map_or("owns it".to_string(), |to| {
--- a/crates/citronproxy/src/admin/routes.rs
+++ b/crates/citronproxy/src/admin/routes.rs
@@ -106,7 +106,7 @@
     async fn move_call(&self, headers: &HeaderMap, wire: MoveWire) -> Result<Answer, AdminError> {
         let scope = match (wire.shard, &wire.key) {
             (Some(shard), None) => Scope::Shard(ShardId(shard)),
-            (None, Some(key)) => Scope::Key(KeyHash::of(key.as_bytes())),
+            (None, Some(key)) => Scope::Key(KeyHash::from_key(key.as_bytes())),
             _ => {
                 return Err(AdminError::Malformed(
                     "name either shard or key".to_string(),
@@ -136,8 +136,8 @@
         let by =
             by.ok_or_else(|| AdminError::Malformed(format!("{HEADER_OPERATOR} is missing")))?;
         let edit = Edit {
-            by: by.to_string(),
-            at: wall_clock(),
+            author: by.to_string(),
+            time: wall_clock(),
             rows,
         };
         let revision = self.edit(edit).await?.0;
--- a/crates/citronproxy/src/control/config.rs
+++ b/crates/citronproxy/src/control/config.rs
@@ -35,9 +35,9 @@
             id: self.me.instance.clone(),
             incarnation: self.me.incarnation,
             domain: self.domain.clone(),
-            traffic: self.traffic,
-            peer: self.advertise.unwrap_or(self.peer),
-            admin: self.admin,
+            traffic_address: self.traffic,
+            peer_address: self.advertise.unwrap_or(self.peer),
+            admin_address: self.admin,
             state: InstanceState::Live,
             revision: Default::default(),
         }
--- a/crates/citronproxy/src/control/exchanging.rs
+++ b/crates/citronproxy/src/control/exchanging.rs
@@ -86,7 +86,7 @@
             let peers = self.peers().clone();
             let report = report.clone();
             spawn_local(async move {
-                let _ = peers.report(row.peer, &report).await;
+                let _ = peers.report(row.peer_address, &report).await;
             });
         }
     }
--- a/crates/citronproxy/src/control/follower.rs
+++ b/crates/citronproxy/src/control/follower.rs
@@ -75,7 +75,7 @@
 
 /// All other instances: those that the table lists, or else the settings' seeds.
 fn peers<S: TableStore + 'static>(node: &Node<S>) -> Vec<SocketAddr> {
-    let mut peers: Vec<SocketAddr> = node.others().iter().map(|row| row.peer).collect();
+    let mut peers: Vec<SocketAddr> = node.others().iter().map(|row| row.peer_address).collect();
     for seed in &node.config().seeds {
         if !peers.contains(seed) {
             peers.push(*seed);
--- a/crates/citronproxy/src/control/listing.rs
+++ b/crates/citronproxy/src/control/listing.rs
@@ -64,14 +64,14 @@
     let Some(row) = node.table(|table| table.instance(&former.instance).cloned()) else {
         return Ok(());
     };
-    let answer = node.peers().status(row.peer).await;
+    let answer = node.peers().status(row.peer_address).await;
     let alive = answer.is_ok_and(|status| {
         status.instance == former.instance && status.incarnation == former.incarnation
     });
     if alive {
         return Err(ControlError::Taken {
             instance: former.instance.clone(),
-            address: row.peer,
+            address: row.peer_address,
             incarnation: former.incarnation,
         });
     }
@@ -139,7 +139,7 @@
     let mut lost = Vec::new();
     let mut answering = 0;
     for (member, row, rank) in successors(node) {
-        let answer = node.peers().status(row.peer).await;
+        let answer = node.peers().status(row.peer_address).await;
         if answer.is_ok_and(|status| status.incarnation == member.incarnation) {
             answering += 1;
             if answering == NEIGHBOURS {
--- a/crates/citronproxy/src/control/metrics.rs
+++ b/crates/citronproxy/src/control/metrics.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::metrics::register,
-    citron_core::table::CommitAnswer,
+    citron_core::table::CommitOutcome,
     citron_ports::PlatformError,
     prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry},
 };
@@ -66,10 +66,10 @@
     }
 
     /// Counts what became of a commit.
-    pub(super) fn count_commit(&self, answer: &Result<CommitAnswer, PlatformError>) {
+    pub(super) fn count_commit(&self, answer: &Result<CommitOutcome, PlatformError>) {
         let result = match answer {
-            Ok(CommitAnswer::Done(_)) => "done",
-            Ok(CommitAnswer::Lost { .. }) => "lost",
+            Ok(CommitOutcome::Committed(_)) => "done",
+            Ok(CommitOutcome::Conflict { .. }) => "lost",
             Err(_) => "unanswered",
         };
         self.commits.with_label_values(&[result]).inc();
--- a/crates/citronproxy/src/control/moving.rs
+++ b/crates/citronproxy/src/control/moving.rs
@@ -341,7 +341,10 @@
     } else {
         let rows = node.others();
         let row = rows.iter().find(|row| row.id == member.instance)?;
-        node.peers().acknowledge(row.peer, &ask).await.ok()?
+        node.peers()
+            .acknowledge(row.peer_address, &ask)
+            .await
+            .ok()?
     };
     answer.settled.then(|| Ack {
         instance: member.instance.clone(),
--- a/crates/citronproxy/src/control/node.rs
+++ b/crates/citronproxy/src/control/node.rs
@@ -13,7 +13,8 @@
         membership::{InstanceReport, InstanceStatus, Member},
         ownership::Spans,
         table::{
-            Changes, Commit, CommitAnswer, InstanceRow, InstanceState, ServerRow, Table, TableError,
+            Changes, Commit, CommitOutcome, InstanceRow, InstanceState, ServerRow, Table,
+            TableError,
         },
         time::Time,
     },
@@ -215,11 +216,11 @@
     /// Commits, then reads the table, whatever the answer; `reread` tells
     /// whether that worked.
     pub async fn commit(&self, commit: Commit) -> Committed {
-        let checks = self.table(|table| commit.new_owners(table));
+        let checks = self.table(|table| commit.new_owner_checks(table));
         let answer = self.inner.store.commit_checked(commit, &checks).await;
         self.inner.metrics.count_commit(&answer);
         let reread = self.refresh().await.is_ok();
-        let done = matches!(answer, Ok(CommitAnswer::Done(_)));
+        let done = matches!(answer, Ok(CommitOutcome::Committed(_)));
         Committed { done, reread }
     }
 
@@ -230,7 +231,7 @@
         for row in self.others() {
             let peers = self.inner.peers.clone();
             spawn_local(async move {
-                let _ = peers.announce(row.peer, revision).await;
+                let _ = peers.announce(row.peer_address, revision).await;
             });
         }
     }
@@ -250,7 +251,7 @@
     /// Every instance gets the same order without talking, and each service
     /// another one, so that no instance decides for all of them.
     pub fn rank(&self, service: &ServiceName) -> u32 {
-        let score = |id: &InstanceId| KeyHash::of(format!("{service}/{id}").as_bytes());
+        let score = |id: &InstanceId| KeyHash::from_key(format!("{service}/{id}").as_bytes());
         let me = &self.inner.config.me.instance;
         let mine = (score(me), me);
         let others = self.others();
--- a/crates/citronproxy/src/control/planning.rs
+++ b/crates/citronproxy/src/control/planning.rs
@@ -134,7 +134,7 @@
     Some(View {
         servers: usable.map(|row| candidate(row, health, now)).collect(),
         scopes: scopes(table, row, load),
-        moves: row.moves,
+        moves: row.move_budget,
     })
 }
 
@@ -149,12 +149,12 @@
         name: row.name.clone(),
         weight: row.weight,
         warmth: back.map_or(WARM, |start| warmth(start, now)),
-        cap: row.cap,
+        cap: row.rate_cap,
     }
 }
 
 fn scopes(table: &Table, row: &ServiceRow, load: impl Fn(Scope) -> (Load, u32)) -> Vec<ScopeLoad> {
-    let shards = (0..row.shards.shards()).map(|shard| Scope::Shard(ShardId(shard)));
+    let shards = (0..row.shard_bits.shard_count()).map(|shard| Scope::Shard(ShardId(shard)));
     let keys = table.rows().filter_map(|(_, found)| match &found.value {
         Row::Override(key) if key.service == row.name => Some(Scope::Key(key.key)),
         _ => None,
--- a/crates/citronproxy/src/dev/sample.rs
+++ b/crates/citronproxy/src/dev/sample.rs
@@ -11,7 +11,7 @@
         membership::Member,
         ownership::Assignment,
         table::{
-            BlockId, BlockRow, Commit, DomainRow, DomainState, Fencing, KeyRule, MoveBudget,
+            BlockId, BlockRow, Commit, DomainRow, DomainState, Fencing, KeySource, MoveBudget,
             Objectives, Row, ServerRow, ServerState, ServiceRow, Write,
         },
     },
@@ -85,32 +85,32 @@
 /// # Errors
 /// Never, unless a name in here is not a name.
 pub fn sample_rows(address: SocketAddr) -> Result<Vec<Row>, Box<dyn Error>> {
-    let shards = ShardBits::new(SHARD_BITS).ok_or("too many shards")?;
+    let shard_bits = ShardBits::new(SHARD_BITS).ok_or("too many shards")?;
     let server: ServerName = "sample-1".parse()?;
     let service = ServiceRow {
         name: "sample".parse()?,
         operator: "dev".parse()?,
         hosts: Vec::new(),
         prefix: "/kegs".to_string(),
-        key: KeyRule::Segment(1),
-        idempotent: vec!["GET".to_string(), "HEAD".to_string()],
-        shards,
+        key_source: KeySource::Segment(1),
+        idempotent_methods: vec!["GET".to_string(), "HEAD".to_string()],
+        shard_bits,
         deadline: Duration::from_secs(10),
         grace: Duration::from_secs(30),
-        moves: MoveBudget {
-            minute: 10,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 10,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1_000,
+            failures_per_million: 1_000,
             latency: Duration::from_millis(100),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     };
     let block = BlockRow {
         service: service.name.clone(),
         block: BlockId(0),
-        shards: (0..shards.shards())
+        shards: (0..shard_bits.shard_count())
             .map(|_| Assignment::owned(server.clone(), Epoch(1)))
             .collect(),
     };
@@ -120,9 +120,9 @@
         domain: "dev".parse()?,
         address,
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Unchecked,
         state: ServerState::Active,
     };
--- a/crates/citronproxy/src/edge/as_of.rs
+++ b/crates/citronproxy/src/edge/as_of.rs
@@ -2,7 +2,7 @@
 
 use {
     citron_core::{
-        freshness::{Age, Lag, Standing},
+        freshness::{Age, Lag, Staleness},
         time::Time,
     },
     std::{
@@ -36,14 +36,14 @@
     }
 
     /// How current the configuration is.
-    pub fn config(&self, now: Time) -> Standing {
+    pub fn config(&self, now: Time) -> Staleness {
         let age = self.ages(now).config;
         let lag = match self.lag.load(Ordering::Acquire) {
             advertised if advertised == Lag::Advertised as u8 => Lag::Advertised,
             unreadable if unreadable == Lag::Unreadable as u8 => Lag::Unreadable,
             _ => Lag::None,
         };
-        Standing { age, lag }
+        Staleness { age, lag }
     }
 
     /// How old what is known is.
--- a/crates/citronproxy/src/edge/control/arrival.rs
+++ b/crates/citronproxy/src/edge/control/arrival.rs
@@ -45,7 +45,7 @@
     fn remaining(&self) -> Duration {
         let now = self.node.clock.now();
         match self.fetch {
-            Some(fetch) => self.node.fetches.borrow().remaining(fetch, now),
+            Some(fetch) => self.node.fetches.borrow().time_until_idle(fetch, now),
             None => self.until - now,
         }
     }
@@ -56,7 +56,7 @@
         let fetch = *self
             .fetch
             .get_or_insert_with(|| fetches.add(self.table, now));
-        fetches.progressed(fetch, now);
+        fetches.record_progress(fetch, now);
     }
 }
 
--- a/crates/citronproxy/src/edge/control/election.rs
+++ b/crates/citronproxy/src/edge/control/election.rs
@@ -10,7 +10,7 @@
         peers::Peer,
     },
     crate::edge::EdgeSettings,
-    citron_core::{freshness::HolderSilence, time::Time},
+    citron_core::{freshness::HolderLiveness, time::Time},
     citron_wire::heartbeat::Heartbeat,
     std::time::Duration,
 };
@@ -42,7 +42,7 @@
 pub struct Election {
     begun: Time,
     vacant: Option<Time>,
-    silence: HolderSilence,
+    silence: HolderLiveness,
 }
 
 impl Election {
@@ -51,14 +51,14 @@
         Self {
             begun: now,
             vacant: None,
-            silence: HolderSilence::new(now),
+            silence: HolderLiveness::new(now),
         }
     }
 
     /// Whether this instance should claim the leadership now.
     pub fn claims(&mut self, state: &State, me: &Claimant<'_>, now: Time) -> bool {
         let version = state.leadership.as_ref().map_or(0, |row| row.version);
-        self.silence.observe(version, now);
+        self.silence.record_claim(version, now);
         if !self.is_vacant(state, me, now) {
             self.vacant = None;
             return false;
--- a/crates/citronproxy/src/edge/control/gossip.rs
+++ b/crates/citronproxy/src/edge/control/gossip.rs
@@ -55,9 +55,9 @@
             let reporting = state.peers.reporting(&node.settings.domain, now);
             let sender = match state.planning {
                 true => Sender::Planner,
-                false => Sender::Near,
+                false => Sender::SameDomain,
             };
-            HeartbeatSchedule::among(reporting).period(sender)
+            HeartbeatSchedule::for_instances(reporting).interval(sender)
         };
         if timeout(pause, node.hurry.notified()).await.is_ok() {
             // Something that all should know at once.
--- a/crates/citronproxy/src/edge/control/intake.rs
+++ b/crates/citronproxy/src/edge/control/intake.rs
@@ -93,11 +93,11 @@
             Ok(None) => return,
             Err(error) => {
                 log::error!("{} {error}", events::CONFIG_REFUSED);
-                state.newest.on_unreadable(row.version);
+                state.newest.record_unreadable(row.version);
                 return;
             }
         };
-        state.newest.on_readable(row.version);
+        state.newest.record_readable(row.version);
         let known = state.config.as_ref().map(|config| config.version);
         if known.is_none_or(|known| config.version > known) {
             log::info!("{} version {}", events::CONFIG, config.version);
@@ -119,7 +119,7 @@
         match evacuation {
             Evacuation::Begun(domain) => state.registry.evacuate(domain, now),
             Evacuation::Ended(domain) => {
-                let cold = state.config.as_ref().map(|config| config.cold_span());
+                let cold = state.config.as_ref().map(|config| config.max_slow_start());
                 state
                     .registry
                     .restore(&domain, cold.unwrap_or_default(), now);
--- a/crates/citronproxy/src/edge/control/node.rs
+++ b/crates/citronproxy/src/edge/control/node.rs
@@ -265,7 +265,7 @@
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         if let Some(told) = told {
-            state.times.heard(begun, now, told);
+            state.times.record(begun, now, told);
         }
         state.health.record_answer(now);
         drop(state);
@@ -317,7 +317,7 @@
         if at == CONFIG {
             let mirror = &state.mirrors[CONFIG];
             let known = mirror.version.max(mirror.changed);
-            state.newest.apply(known);
+            state.newest.record_applied(known);
             self.note_lag(&state);
         }
         if let Some(moment) = state.fresh.as_of(at) {
@@ -329,7 +329,9 @@
     pub fn hear_newest(&self, heartbeat: &Heartbeat) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        state.newest.advertise(heartbeat.versions[CONFIG], now);
+        state
+            .newest
+            .record_advertised(heartbeat.versions[CONFIG], now);
         self.note_lag(&state);
     }
 
@@ -343,7 +345,11 @@
             return;
         };
         self.state.borrow_mut().registry.store_back(outage.end);
-        log::info!("{} nothing heard for {:?}", events::STORE_BACK, outage.span);
+        log::info!(
+            "{} nothing heard for {:?}",
+            events::STORE_BACK,
+            outage.duration
+        );
     }
 
     /// A call to the store failed.
@@ -406,7 +412,7 @@
             maps: state.maps.clone(),
             instances: state.peers.count(now),
             reporting,
-            reports: HeartbeatSchedule::among(reporting).period(Sender::Near),
+            reports: HeartbeatSchedule::for_instances(reporting).interval(Sender::SameDomain),
             group: state.group.clone(),
         });
     }
--- a/crates/citronproxy/src/edge/control/peers.rs
+++ b/crates/citronproxy/src/edge/control/peers.rs
@@ -129,11 +129,11 @@
             true => self.peers.len(),
             false => self.near,
         };
-        let beats = HeartbeatSchedule::among(1 + heard);
+        let beats = HeartbeatSchedule::for_instances(1 + heard);
         Spans {
             domain: (!self.hears_all()).then_some(&self.domain),
-            near: beats.lost_after(Sender::Near),
-            far: beats.lost_after(Sender::Far),
+            near: beats.timeout(Sender::SameDomain),
+            far: beats.timeout(Sender::OtherDomain),
         }
     }
 
--- a/crates/citronproxy/src/edge/control/planner/formers.rs
+++ b/crates/citronproxy/src/edge/control/planner/formers.rs
@@ -41,7 +41,7 @@
 pub fn stopped_by(state: &State, before: &[Holder], blind: Duration, now: Time) -> Time {
     let left = |holder: &Holder| {
         let until = state.formers.get(holder);
-        let left = until.and_then(|until| state.times.left(*until, now));
+        let left = until.and_then(|until| state.times.time_until(*until, now));
         left.unwrap_or(blind).min(blind)
     };
     now + before.iter().map(left).max().unwrap_or_default()
@@ -71,7 +71,7 @@
 }
 
 fn noted(state: &State, before: &[Holder], read: Time, blind: Duration) -> Option<Vec<u8>> {
-    let now = state.times.after(read)?;
+    let now = state.times.at_or_after(read)?;
     let until = |holder: &Holder| {
         let known: Option<StoreTime> = state.formers.get(holder).copied();
         let until = known.unwrap_or(now + blind);
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -181,7 +181,7 @@
         .or(state.registry.get(server))?;
     let config = state.config.as_ref()?;
     let service = config.service(&there.entry.service)?;
-    Some((address, service.health.clone()))
+    Some((address, service.health_path.clone()))
 }
 
 fn released<A: Adapter>(node: &Node<A>, answer: &Result<Response<Bytes>, CallError>) -> OrderEnd {
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -129,7 +129,7 @@
         let sudden = node.demands.borrow_mut().take_sudden();
         let may = *node.store.borrow() && !node.demands.borrow().is_settling(now);
         let even = self.even.is_due(sudden, may, now);
-        for service in config.services().filter(|service| service.keyed) {
+        for service in config.services().filter(|service| service.is_sharded) {
             let name = &service.name;
             let plan = self.plans.entry(name.clone()).or_insert_with(|| {
                 let book = LeaseBook::new(times, now);
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -24,7 +24,7 @@
 const LOOK_MOST: Duration = Duration::from_millis(200);
 /// An open question whose news came on another way for so long counts as swallowed:
 /// its own answer cannot be that far behind.
-const SWALLOWED: Duration = PropagationTimes::STANDARD.call;
+const SWALLOWED: Duration = PropagationTimes::STANDARD.call_duration;
 
 /// Questions to the store that stay open until there is news, one for each table.
 ///
@@ -184,7 +184,10 @@
 fn failed<A: Adapter>(node: &Node<A>, at: usize, error: &StoreError) -> Option<u64> {
     let now = node.clock.now();
     let role = node.role();
-    node.state.borrow_mut().fresh.failed(role, jitter(), now);
+    node.state
+        .borrow_mut()
+        .fresh
+        .record_failure(role, jitter(), now);
     let table = WATCHED[at];
     log::warn!("{} {table:?} of the store: {error}", events::TABLE_LOST);
     node.store_failed(&format!("{table:?}"), error);
--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/call.rs
@@ -14,7 +14,7 @@
         id::{Epoch, ServerName, ServiceName},
         ranges::{RangeKey, Slice},
         registry::Known,
-        routes::{Repeat, Rule},
+        routes::{Idempotency, RouteRule},
         routing::Outcome,
         time::Time,
     },
@@ -53,7 +53,7 @@
     /// The thread's state.
     pub front: &'a Front,
     /// What the operator set.
-    pub rule: &'a Rule,
+    pub rule: &'a RouteRule,
     /// The service that the rule's split gave.
     pub service: &'a ServiceName,
     /// The key.
@@ -126,7 +126,7 @@
                 self.doubtful = true;
                 crash::record_crash(self.front, &server.entry, self.print(), &self.message);
                 // What may run once only takes nothing from the budget.
-                self.message.repeat == Repeat::Idempotent && self.may_retry(name)
+                self.message.repeat == Idempotency::Idempotent && self.may_retry(name)
             }
         };
         match retry {
@@ -148,7 +148,7 @@
             crashes.answered(self.print(), self.front.clock.now());
         }
         drop(crashes);
-        if failed && self.message.repeat == Repeat::Idempotent && self.may_retry(server) {
+        if failed && self.message.repeat == Idempotency::Idempotent && self.may_retry(server) {
             return None;
         }
         Some(match is_promise(answer.status()) {
@@ -215,7 +215,7 @@
     }
 
     fn tries(&self) -> usize {
-        self.rule.attempts as usize
+        self.rule.max_attempts as usize
     }
 
     fn epoch(&self) -> Epoch {
@@ -247,7 +247,7 @@
             match self.find(&view) {
                 Target::Server(server) => return Ok(server),
                 Target::Reject(retry_after, overload) => {
-                    if self.waited() > self.rule.objective / ROOM_PART {
+                    if self.waited() > self.rule.latency_objective / ROOM_PART {
                         self.note_rejected();
                         return Err(self.refuse(retry_after, &overload.to_string()));
                     }
@@ -263,7 +263,7 @@
                     }
                 }
                 Target::None => {
-                    if self.waited() > self.rule.objective / ROOM_PART {
+                    if self.waited() > self.rule.latency_objective / ROOM_PART {
                         return Err(self.refuse(MOVE_RETRY_AFTER, "no server is there"));
                     }
                     let _ = timeout(ROOM_LOOK, published.changed()).await;
@@ -305,7 +305,7 @@
     /// A move takes about as long as the requests on its keys, so that most who
     /// wait for one are still answered within their objective.
     fn move_patience(&self) -> Duration {
-        self.rule.objective.mul_f64(0.8)
+        self.rule.latency_objective.mul_f64(0.8)
     }
 
     /// Not run, and never will be.
--- a/crates/citronproxy/src/edge/traffic/denial.rs
+++ b/crates/citronproxy/src/edge/traffic/denial.rs
@@ -9,7 +9,7 @@
         events::{self, Event},
         traffic::{guard::Refusal, request::host},
     },
-    citron_core::{freshness::Doubt, routes::ConfigVersion},
+    citron_core::{freshness::StaleReason, routes::ConfigVersion},
     http::{Response, StatusCode, request::Parts},
     thiserror::Error,
 };
@@ -72,7 +72,7 @@
         }
     }
 
-    fn doubted(self, doubt: Doubt) -> String {
+    fn doubted(self, doubt: StaleReason) -> String {
         format!("the configuration may be out of date ({doubt}): {self}")
     }
 
--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/exchange.rs
@@ -21,7 +21,7 @@
         dispatch::{Finish, PROMPT, Speed, ToldLoad, run_share},
         id::{ServerName, ServiceName},
         registry::Known,
-        routes::Repeat,
+        routes::Idempotency,
         time::Time,
     },
     http::{HeaderMap, HeaderValue, Request, Response, StatusCode, header, request::Parts},
@@ -166,7 +166,7 @@
     /// The body.
     pub source: &'a Rc<Source>,
     /// How often it may run.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// When its answer loses worth.
     pub objective: Time,
     /// When the caller waits no longer.
@@ -266,11 +266,11 @@
 async fn is_refused_soon(
     front: &Front,
     server: &Known,
-    repeat: Repeat,
+    repeat: Idempotency,
     connection: &Connection,
 ) -> bool {
     let doubted = front.board.loads().get(&server.entry.name).is_doubted();
-    let waits = doubted || repeat == Repeat::Once;
+    let waits = doubted || repeat == Idempotency::AtMostOnce;
     if waits {
         sleep(SETTLE).await;
     }
@@ -278,10 +278,10 @@
 }
 
 /// Which kept connections a request may go on.
-pub fn reuse(front: &Front, service: &ServiceName, repeat: Repeat) -> Reuse {
+pub fn reuse(front: &Front, service: &ServiceName, repeat: Idempotency) -> Reuse {
     match repeat {
-        Repeat::Idempotent => Reuse::Told(IDLE),
-        Repeat::Once => Reuse::Within(front.idles.bound(service)),
+        Idempotency::Idempotent => Reuse::Told(IDLE),
+        Idempotency::AtMostOnce => Reuse::Within(front.idles.bound(service)),
     }
 }
 
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -18,7 +18,7 @@
         },
     },
     citron_core::{
-        freshness::{Doubt, FreshnessTimes},
+        freshness::{FreshnessTimes, StaleReason},
         id::ServiceName,
         registry::SendBounds,
         routes::ConfigVersion,
@@ -115,15 +115,15 @@
 
     /// Why the configuration that a request was decided by may be out of date; `None`
     /// for a version if that does not matter.
-    pub fn doubt(&self, decided_by: Option<ConfigVersion>) -> Option<Doubt> {
+    pub fn doubt(&self, decided_by: Option<ConfigVersion>) -> Option<StaleReason> {
         let standing = self.board.as_of().config(self.clock.now());
-        if let Some(doubt) = standing.doubt(&FreshnessTimes::STANDARD) {
+        if let Some(doubt) = standing.stale_reason(&FreshnessTimes::STANDARD) {
             return Some(doubt);
         }
         // Read last: the standing describes a view that is published before it.
         let in_force = self.board.view()?.config.version;
         let replaced = decided_by.is_some_and(|version| version < in_force);
-        replaced.then_some(Doubt::Lagging)
+        replaced.then_some(StaleReason::Lagging)
     }
 
     /// The id of a request, for logs; `-` if it has none.
@@ -297,7 +297,9 @@
 
     fn head_max(&self) -> usize {
         let view = self.0.board.view();
-        view.map_or(Limits::default().head, |view| view.config.limits.header)
+        view.map_or(Limits::default().head, |view| {
+            view.config.limits.max_header_bytes
+        })
     }
 }
 
@@ -307,10 +309,10 @@
     let mut limits = Limits::default();
     if let Some(view) = front.board.view() {
         let set = view.config.limits;
-        limits.head = set.header;
-        limits.body = set.body;
-        limits.slow = set.slow;
-        limits.idle = set.idle * IDLE_FACTOR;
+        limits.head = set.max_header_bytes;
+        limits.body = set.max_body_bytes;
+        limits.slow = set.header_timeout;
+        limits.idle = set.idle_timeout * IDLE_FACTOR;
     }
     limits
 }
--- a/crates/citronproxy/src/edge/traffic/proxy.rs
+++ b/crates/citronproxy/src/edge/traffic/proxy.rs
@@ -18,7 +18,7 @@
     },
     citron_core::{
         ranges::RangeKey,
-        routes::{Repeat, RouteConfig, Rule},
+        routes::{Idempotency, RouteConfig, RouteRule},
         routing::Outcome,
         time::Time,
     },
@@ -58,7 +58,7 @@
     let rule = view
         .as_ref()
         .and_then(|view| view.config.rule(host(head), head.uri.path()));
-    let idempotent = rule.is_some_and(|rule| rule.repeat == Repeat::Idempotent);
+    let idempotent = rule.is_some_and(|rule| rule.idempotency == Idempotency::Idempotent);
     idempotent && !*front.leaving.borrow()
 }
 
@@ -78,8 +78,8 @@
         return deny(Denial::Route, &head);
     };
     let deadline = begun + patience(front, &head).min(rule.timeout);
-    let source = Source::new(body, config.limits.body, KEEP);
-    if source.length() > config.limits.body {
+    let source = Source::new(body, config.limits.max_body_bytes, KEEP);
+    if source.length() > config.limits.max_body_bytes {
         return deny(Denial::Large, &head);
     }
     if timeout(deadline - begun, source.fill_kept()).await.is_err() {
@@ -114,14 +114,16 @@
 async fn call(
     front: &Front,
     config: &RouteConfig,
-    rule: &Rule,
+    rule: &RouteRule,
     head: &Parts,
     source: &Rc<Source>,
     begun: Time,
     deadline: Time,
 ) -> Response<AnswerBody> {
     let service = rule.split.pick(rand::rng().random());
-    let keyed = config.service(service).is_some_and(|service| service.keyed);
+    let keyed = config
+        .service(service)
+        .is_some_and(|service| service.is_sharded);
     let key = match keyed {
         true => match number::<u16>(head, &front.headers.key) {
             Some(key) => Some(RangeKey(key)),
@@ -141,8 +143,8 @@
         message: Message {
             head,
             source,
-            repeat: rule.repeat,
-            objective: begun + rule.objective,
+            repeat: rule.idempotency,
+            objective: begun + rule.latency_objective,
             deadline,
             keyed,
             written: Cell::default(),
--- a/crates/citronproxy/src/edge/traffic/target.rs
+++ b/crates/citronproxy/src/edge/traffic/target.rs
@@ -8,7 +8,7 @@
         id::{Epoch, ServerName, ServiceName},
         ranges::{OwnerHint, RangeKey},
         registry::Known,
-        routes::Repeat,
+        routes::Idempotency,
         time::Time,
     },
     rand::{Rng, seq::index},
@@ -70,7 +70,7 @@
     /// When its caller waits no longer.
     pub deadline: Time,
     /// How often it may run.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Servers that have had it.
     pub tried: &'a [ServerName],
     /// The owner that did not have the key.
--- a/crates/citronproxy/src/slo/gather.rs
+++ b/crates/citronproxy/src/slo/gather.rs
@@ -2,7 +2,7 @@
 
 use {
     super::wall_clock,
-    citron_core::slo::{Minute, Record, SLOW},
+    citron_core::slo::{Minute, SLOW_BURN, TallySeries},
     citron_ports::{ObjectStore, PlatformError},
     citron_wire::slo::{BurnWire, PAGE_PREFIX, PageWire, RecordWire},
     std::collections::BTreeSet,
@@ -14,9 +14,9 @@
 /// If the object store cannot be listed. A page that cannot be read is counted
 /// in the answer.
 pub async fn gather(store: &impl ObjectStore) -> Result<BurnWire, PlatformError> {
-    let now = Minute::of(wall_clock());
-    let first = Minute((now.0 + 1).saturating_sub(SLOW.long));
-    let mut record = Record::default();
+    let now = Minute::from_unix_time(wall_clock());
+    let first = Minute((now.0 + 1).saturating_sub(SLOW_BURN.long));
+    let mut record = TallySeries::default();
     let mut instances = BTreeSet::new();
     let mut unread = 0;
     for name in store.list(PAGE_PREFIX).await? {
@@ -30,7 +30,7 @@
             instances.insert(instance);
         }
     }
-    record.forget(first);
+    record.drop_before(first);
     Ok(BurnWire {
         minute: now.0,
         instances: instances.into_iter().collect(),
@@ -39,9 +39,9 @@
     })
 }
 
-async fn read(store: &impl ObjectStore, name: &str) -> Option<(String, Record)> {
+async fn read(store: &impl ObjectStore, name: &str) -> Option<(String, TallySeries)> {
     let bytes = store.get(name).await.ok()??;
     let page: PageWire = serde_json::from_slice(&bytes).ok()?;
-    let record = Record::try_from(page.record).ok()?;
+    let record = TallySeries::try_from(page.record).ok()?;
     Some((page.instance, record))
 }
--- a/crates/citronproxy/src/slo/page.rs
+++ b/crates/citronproxy/src/slo/page.rs
@@ -1,7 +1,7 @@
 //! One hour of one instance.
 
 use {
-    citron_core::{id::InstanceId, slo::Record},
+    citron_core::{id::InstanceId, slo::TallySeries},
     citron_ports::{ObjectStore, PlatformError},
     citron_wire::slo::{PageWire, RecordWire, page_name},
 };
@@ -12,7 +12,7 @@
     /// Hours since the Unix epoch.
     pub hour: u64,
     /// What was counted.
-    pub record: Record,
+    pub record: TallySeries,
     /// Whether it holds more than the object store.
     pub dirty: bool,
     /// Whether it holds what an earlier start of the instance counted in this
@@ -34,7 +34,7 @@
     pub fn begin(hour: u64) -> Self {
         Self {
             hour,
-            record: Record::default(),
+            record: TallySeries::default(),
             dirty: false,
             whole: true,
         }
@@ -74,7 +74,7 @@
             // A page that cannot be read is of no use to anybody.
             let page = serde_json::from_slice::<PageWire>(&bytes).ok();
             let page = page.filter(|page| page.hour == self.hour);
-            let earlier = page.and_then(|page| Record::try_from(page.record).ok());
+            let earlier = page.and_then(|page| TallySeries::try_from(page.record).ok());
             for (minute, service, tally) in earlier.unwrap_or_default().entries() {
                 self.record.add(minute, service, tally);
             }
--- a/crates/citronproxy/src/slo/recorder.rs
+++ b/crates/citronproxy/src/slo/recorder.rs
@@ -6,7 +6,7 @@
     citron_core::{
         id::{DomainName, InstanceId, ServiceName},
         routing::RouteMap,
-        slo::{Minute, Reach, Tally, moved_shards},
+        slo::{Minute, Reachability, Tally, moved_shards},
         time::Time,
     },
     citron_ports::{ObjectStore, PlatformError},
@@ -29,7 +29,7 @@
     domain: DomainName,
     handle: TrafficHandle,
     map: Arc<RouteMap>,
-    reach: Reach,
+    reach: Reachability,
     sampled: Option<Time>,
     /// Whether the last write worked.
     written: bool,
@@ -44,7 +44,7 @@
             domain,
             handle,
             map: Arc::default(),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             sampled: None,
             written: true,
             pages: Vec::new(),
@@ -56,7 +56,8 @@
         let mut samples = 0;
         loop {
             sleep(SAMPLE_PAUSE).await;
-            self.sample(clock.now(), Minute::of(wall_clock())).await;
+            self.sample(clock.now(), Minute::from_unix_time(wall_clock()))
+                .await;
             samples += 1;
             if samples < FLUSH_SAMPLES {
                 continue;
@@ -99,16 +100,16 @@
         };
         if !Arc::ptr_eq(&snapshot.map, &self.map) {
             for (service, moved) in moved_shards(&self.map, &snapshot.map) {
-                tallies.entry(service).or_default().moved += moved;
+                tallies.entry(service).or_default().shards_moved += moved;
             }
-            self.reach = Reach::new(&snapshot.map, &self.domain);
+            self.reach = Reachability::new(&snapshot.map, &self.domain);
             self.map = Arc::clone(&snapshot.map);
         }
         let span = span.unwrap_or_default();
-        for (service, share) in self.reach.closed(snapshot, now) {
+        for (service, share) in self.reach.unreachable_shares(snapshot, now) {
             let tally = tallies.entry(service).or_default();
-            tally.watched += span;
-            tally.closed += span.mul_f64(share);
+            tally.observed += span;
+            tally.unreachable += span.mul_f64(share);
         }
     }
 
--- a/crates/citronproxy/src/traffic/burn.rs
+++ b/crates/citronproxy/src/traffic/burn.rs
@@ -20,14 +20,14 @@
     /// counted: nobody can say what it would have got.
     pub fn answered(&mut self, service: &ServiceName, failed: bool, slow: bool) {
         let tally = self.tally(service);
-        tally.total += 1;
+        tally.requests += 1;
         tally.failed += u64::from(failed);
         tally.slow += u64::from(slow);
     }
 
     /// Counts the time that a request held a slot of a server.
     pub fn busy(&mut self, service: &ServiceName, server: &ServerName, time: Duration) {
-        let busy = &mut self.tally(service).busy;
+        let busy = &mut self.tally(service).busy_time;
         match busy.get_mut(server) {
             Some(sum) => *sum += time,
             None => drop(busy.insert(server.clone(), time)),
--- a/crates/citronproxy/src/traffic/gates.rs
+++ b/crates/citronproxy/src/traffic/gates.rs
@@ -150,7 +150,7 @@
             },
             None => Part {
                 share: SlotShare::new(even_share(row.slots, threads).slots().max(SHARE_LEAST)),
-                cap: row.cap.map(|rate| cap(Rate(f64::from(rate)))),
+                cap: row.rate_cap.map(|rate| cap(Rate(f64::from(rate)))),
             },
         }
     }
--- a/crates/citronproxy/src/traffic/proxy.rs
+++ b/crates/citronproxy/src/traffic/proxy.rs
@@ -168,7 +168,7 @@
             let reason = "no service for this host and path";
             refusal(StatusCode::NOT_FOUND, reason)
         })?;
-        if super::request::key_hash(&service.row.key, head).is_none() {
+        if super::request::key_hash(&service.row.key_source, head).is_none() {
             let reason = "the request has no key";
             return Err(refusal(StatusCode::BAD_REQUEST, reason));
         }
@@ -177,7 +177,9 @@
 }
 
 fn is_idempotent(row: &ServiceRow, head: &Parts) -> bool {
-    row.idempotent.iter().any(|m| m == head.method.as_str())
+    row.idempotent_methods
+        .iter()
+        .any(|m| m == head.method.as_str())
 }
 
 /// Room that a request takes up until the head of its answer.
--- a/crates/citronproxy/src/traffic/request.rs
+++ b/crates/citronproxy/src/traffic/request.rs
@@ -4,7 +4,7 @@
     citron_core::{
         id::KeyHash,
         routing::Route,
-        table::{KeyRule, ServiceRow},
+        table::{KeySource, ServiceRow},
     },
     citron_wire::grant::{HEADER_EPOCH, HEADER_SCOPE, HEADER_SERVICE},
     http::{HeaderMap, HeaderName, HeaderValue, Uri, header, request::Parts, uri::PathAndQuery},
@@ -35,12 +35,12 @@
 }
 
 /// The key's hash; `None` if the request has none where the rule says.
-pub fn key_hash(rule: &KeyRule, head: &Parts) -> Option<KeyHash> {
+pub fn key_hash(rule: &KeySource, head: &Parts) -> Option<KeyHash> {
     let key = match rule {
-        KeyRule::Header(name) => head.headers.get(name)?.as_bytes(),
-        KeyRule::Segment(number) => segment(&head.uri, *number)?.as_bytes(),
+        KeySource::Header(name) => head.headers.get(name)?.as_bytes(),
+        KeySource::Segment(number) => segment(&head.uri, *number)?.as_bytes(),
     };
-    (!key.is_empty()).then(|| KeyHash::of(key))
+    (!key.is_empty()).then(|| KeyHash::from_key(key))
 }
 
 fn segment(uri: &Uri, number: usize) -> Option<&str> {
--- a/crates/citronproxy/tests/faults.rs
+++ b/crates/citronproxy/tests/faults.rs
@@ -17,7 +17,7 @@
 
 /// The instance that moves shards of `kegs` first.
 fn first(instances: &[Instance], names: &[&str]) -> usize {
-    let score = |name: &str| KeyHash::of(format!("kegs/{name}").as_bytes());
+    let score = |name: &str| KeyHash::from_key(format!("kegs/{name}").as_bytes());
     let numbers = 0..instances.len();
     let first = numbers.min_by_key(|number| score(names[*number]));
     first.expect("instances")
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -34,7 +34,7 @@
     Path::start_with(server.address, Limits::default(), |row| {
         if let Row::Server(row) = row {
             row.slots = Slots(slots);
-            row.cap = cap;
+            row.rate_cap = cap;
         }
     })
 }
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -79,7 +79,7 @@
     let row = Row::Domain(DomainRow {
         name: "harbour".parse().unwrap(),
         state: DomainState::Lost {
-            by: "kinga þór".to_string(),
+            declared_by: "kinga þór".to_string(),
         },
         confirmers: Vec::new(),
     });
--- a/crates/citronproxy/tests/replica.rs
+++ b/crates/citronproxy/tests/replica.rs
@@ -30,9 +30,9 @@
         id: name.parse().unwrap(),
         incarnation: Incarnation(incarnation),
         domain: "harbour".parse().unwrap(),
-        traffic: any,
-        peer: any,
-        admin: any,
+        traffic_address: any,
+        peer_address: any,
+        admin_address: any,
         state,
         revision: Revision(0),
     })
--- a/crates/citronproxy/tests/shapes.rs
+++ b/crates/citronproxy/tests/shapes.rs
@@ -296,7 +296,7 @@
     let server = fine().await;
     let path = Path::start_with(server.address, Limits::default(), |row| {
         if let Row::Service(row) = row {
-            row.idempotent.push("PUT".to_string());
+            row.idempotent_methods.push("PUT".to_string());
         }
     });
     let half = "PUT /kegs/a HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\nzz";
--- a/crates/citronproxy/tests/slo.rs
+++ b/crates/citronproxy/tests/slo.rs
@@ -7,7 +7,7 @@
         id::{DomainName, InstanceId, Revision, ServiceName},
         membership::Confirmation,
         routing::{RouteMap, Snapshot},
-        slo::{Minute, Record},
+        slo::{Minute, TallySeries},
         table::{Fencing, Table},
         time::Time,
     },
@@ -34,7 +34,7 @@
 const ANY: &str = "127.0.0.1:0";
 
 fn minute() -> Minute {
-    Minute::of(SystemTime::UNIX_EPOCH.elapsed().unwrap())
+    Minute::from_unix_time(SystemTime::UNIX_EPOCH.elapsed().unwrap())
 }
 
 fn recorder(handle: &TrafficHandle) -> Recorder {
@@ -90,14 +90,14 @@
     });
 }
 
-fn total(record: &Record) -> (u64, u64) {
+fn total(record: &TallySeries) -> (u64, u64) {
     let entries = record.entries().map(|(_, _, tally)| tally);
     entries.fold((0, 0), |(total, failed), tally| {
-        (total + tally.total, failed + tally.failed)
+        (total + tally.requests, failed + tally.failed)
     })
 }
 
-async fn gathered(store: &impl ObjectStore) -> Record {
+async fn gathered(store: &impl ObjectStore) -> TallySeries {
     let burn = gather(store).await.unwrap();
     assert_eq!(burn.unread, 0);
     burn.record.try_into().unwrap()
@@ -122,9 +122,9 @@
         assert_eq!(total(&record), (5, 0));
         let kegs: ServiceName = "kegs".parse().unwrap();
         let sum = record.sum(&kegs, minute(), 5);
-        let busy: Duration = sum.busy.values().sum();
+        let busy: Duration = sum.busy_time.values().sum();
         assert!(busy >= Duration::from_millis(100), "{sum:?}");
-        assert_eq!(sum.watched, Duration::from_secs(1));
+        assert_eq!(sum.observed, Duration::from_secs(1));
     };
     LocalSet::new().run_until(run).await;
 }
@@ -169,7 +169,7 @@
         let (_, handle) = traffic(&memory).await;
         let mut recorder = recorder(&handle);
         for hour in 0..20 {
-            let minute = Minute((1_000 + hour) * Minute::HOUR);
+            let minute = Minute((1_000 + hour) * Minute::MINUTES_PER_HOUR);
             recorder.sample(Time::from_micros(hour), minute).await;
             recorder.flush(&memory).await.unwrap();
         }
--- a/crates/citronproxy/tests/support/deployment.rs
+++ b/crates/citronproxy/tests/support/deployment.rs
@@ -5,7 +5,7 @@
     citron_core::{
         id::{KeyHash, ServerName, ShardBits},
         ownership::Phase,
-        table::{Changes, Commit, CommitAnswer, DomainState, Fencing, Row, ServerState, Write},
+        table::{Changes, Commit, CommitOutcome, DomainState, Fencing, Row, ServerState, Write},
     },
     citron_fakes::{
         backend::{BackendConfig, BackendServer, Run},
@@ -133,7 +133,7 @@
         let block = found.expect("one block");
         let bits = ShardBits::new(6).expect("few shards");
         let owned = |key: &u32| {
-            let hash = KeyHash::of(format!("bar-{key}").as_bytes());
+            let hash = KeyHash::from_key(format!("bar-{key}").as_bytes());
             block.shards[bits.shard_of(hash).0 as usize].owner == server
         };
         (0..keys).filter(owned).collect()
@@ -166,8 +166,8 @@
     pub async fn declare_lost(&self, domain: &str, by: &str) {
         let lost = |row: &mut Row| match row {
             Row::Domain(row) if row.name.as_str() == domain => {
-                let by = by.to_string();
-                row.state = DomainState::Lost { by };
+                let declared_by = by.to_string();
+                row.state = DomainState::Lost { declared_by };
                 true
             }
             _ => false,
@@ -192,7 +192,7 @@
             history: None,
         };
         let answer = store.commit(commit).await.expect("in memory");
-        assert!(matches!(answer, CommitAnswer::Done(_)), "{answer:?}");
+        assert!(matches!(answer, CommitOutcome::Committed(_)), "{answer:?}");
     }
 
     /// Starts an instance that reaches the platform directly.
--- a/crates/citronproxy/tests/support/rows.rs
+++ b/crates/citronproxy/tests/support/rows.rs
@@ -5,7 +5,7 @@
         id::{Epoch, Revision, ServerName, ShardBits, Slots, Weight},
         ownership::Assignment,
         table::{
-            BlockId, BlockRow, Commit, CommitAnswer, DomainRow, DomainState, Fencing, KeyRule,
+            BlockId, BlockRow, Commit, CommitOutcome, DomainRow, DomainState, Fencing, KeySource,
             MoveBudget, Objectives, Row, ServerRow, ServerState, ServiceRow, Write,
         },
     },
@@ -24,25 +24,25 @@
 /// A service `kegs` under `/kegs`, keyed by the second path segment, with 64
 /// shards dealt out in turn.
 pub fn sample(sample: &Sample) -> Vec<Row> {
-    let shards = ShardBits::new(6).expect("few shards");
+    let shard_bits = ShardBits::new(6).expect("few shards");
     let service = ServiceRow {
         name: "kegs".parse().expect("a name"),
         operator: "authority".parse().expect("a name"),
         hosts: Vec::new(),
         prefix: "/kegs".to_string(),
-        key: KeyRule::Segment(1),
-        idempotent: vec!["GET".to_string()],
-        shards,
+        key_source: KeySource::Segment(1),
+        idempotent_methods: vec!["GET".to_string()],
+        shard_bits,
         deadline: Duration::from_secs(5),
         grace: Duration::from_secs(5),
-        moves: MoveBudget {
-            minute: 100,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 100,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1_000,
+            failures_per_million: 1_000,
             latency: Duration::from_millis(100),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     };
     let names: Vec<ServerName> = sample
@@ -50,7 +50,7 @@
         .iter()
         .map(|(name, _, _)| name.parse().expect("a name"))
         .collect();
-    let owners = names.iter().cycle().take(shards.shards() as usize);
+    let owners = names.iter().cycle().take(shard_bits.shard_count() as usize);
     let block = BlockRow {
         service: service.name.clone(),
         block: BlockId(0),
@@ -66,9 +66,9 @@
             domain: domain.parse().expect("a name"),
             address: *address,
             weight: Weight(100),
-            cap: None,
+            rate_cap: None,
             slots: Slots(4),
-            connections: 100,
+            max_connections: 100,
             fencing: sample.fencing,
             state: ServerState::Active,
         }));
@@ -98,5 +98,5 @@
         history: None,
     };
     let answer = store.commit(commit).await.expect("the stand-in is up");
-    assert!(matches!(answer, CommitAnswer::Done(_)), "{answer:?}");
+    assert!(matches!(answer, CommitOutcome::Committed(_)), "{answer:?}");
 }
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -9,8 +9,8 @@
         ownership::Assignment,
         routing::RouteMap,
         table::{
-            BLOCK_SHARDS, BlockId, BlockRow, Changes, Fencing, KeyRule, MoveBudget, Objectives,
-            Row, RowKey, ServerRow, ServerState, ServiceRow, Table,
+            BlockId, BlockRow, Changes, Fencing, KeySource, MoveBudget, Objectives, Row, RowKey,
+            SHARDS_PER_BLOCK, ServerRow, ServerState, ServiceRow, Table,
         },
     },
     std::{
@@ -98,7 +98,7 @@
     let shards = 1_u32 << bits;
     let mut rows = vec![Row::Service(service(bits))];
     rows.extend((0..shards / SHARDS_SERVER).map(|number| Row::Server(server(number))));
-    let blocks = (0..shards / BLOCK_SHARDS).map(|number| block(number, 1).1);
+    let blocks = (0..shards / SHARDS_PER_BLOCK).map(|number| block(number, 1).1);
     rows.extend(blocks);
     rows.into_iter()
         .map(|row| (row.key(), Revision(1), Some(row)))
@@ -106,12 +106,12 @@
 }
 
 fn block(number: u32, epoch: u64) -> (RowKey, Row) {
-    let first = number * BLOCK_SHARDS;
+    let first = number * SHARDS_PER_BLOCK;
     let owner = |shard: u32| Assignment::owned(server_name(shard / SHARDS_SERVER), Epoch(epoch));
     let row = Row::Block(BlockRow {
         service: service_name(),
         block: BlockId(number),
-        shards: (first..first + BLOCK_SHARDS).map(owner).collect(),
+        shards: (first..first + SHARDS_PER_BLOCK).map(owner).collect(),
     });
     (row.key(), row)
 }
@@ -122,19 +122,19 @@
         operator: "authority".parse().expect("a name"),
         hosts: Vec::new(),
         prefix: "/kegs".to_string(),
-        key: KeyRule::Segment(1),
-        idempotent: vec!["GET".to_string()],
-        shards: ShardBits::new(bits).expect("few enough"),
+        key_source: KeySource::Segment(1),
+        idempotent_methods: vec!["GET".to_string()],
+        shard_bits: ShardBits::new(bits).expect("few enough"),
         deadline: Duration::from_secs(5),
         grace: Duration::from_secs(30),
-        moves: MoveBudget {
-            minute: 10,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 10,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1_000,
+            failures_per_million: 1_000,
             latency: Duration::from_millis(19),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     }
 }
@@ -146,9 +146,9 @@
         domain: "harbour".parse().expect("a name"),
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Checked,
         state: ServerState::Active,
     }
--- a/crates/core/src/admission/book.rs
+++ b/crates/core/src/admission/book.rs
@@ -75,7 +75,7 @@
 
     /// The same with what the server's row says.
     pub fn part_of(&self, row: &ServerRow, own: Demand, listed: usize, now: Time) -> Part {
-        let cap = row.cap.map(|cap| Rate(f64::from(cap)));
+        let cap = row.rate_cap.map(|cap| Rate(f64::from(cap)));
         self.part(&row.name, row.slots, cap, own, listed, now)
     }
 
--- a/crates/core/src/freshness/ages.rs
+++ b/crates/core/src/freshness/ages.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreOutage {
     /// How long it was.
-    pub span: Duration,
+    pub duration: Duration,
     /// When it ended.
     pub end: Time,
 }
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Freshness<const N: usize> {
     times: FreshnessTimes,
-    known: [Option<Time>; N],
+    as_of: [Option<Time>; N],
     /// Earliest time of the next call after a failure.
     retry_at: Time,
     /// Calls that have failed since the last news.
@@ -51,7 +51,7 @@
     pub fn new(times: FreshnessTimes) -> Self {
         Self {
             times,
-            known: [None; N],
+            as_of: [None; N],
             retry_at: Time::ZERO,
             failures: 0,
         }
@@ -59,15 +59,18 @@
 
     /// A call that began at a moment was answered; returns the outage that this ends.
     pub fn record_read(&mut self, table: usize, as_of: Time) -> Option<StoreOutage> {
-        let known = &mut self.known[table];
+        let known = &mut self.as_of[table];
         let before = known.filter(|before| *before < as_of);
         // Ages passed around among instances get a little younger each time.
         if known.is_none_or(|known| known + self.times.retry_delay < as_of) {
             self.failures = 0;
         }
         *known = (*known).max(Some(as_of));
-        let span = as_of - before?;
-        (span > self.times.outage).then_some(StoreOutage { span, end: as_of })
+        let duration = as_of - before?;
+        (duration > self.times.outage_age).then_some(StoreOutage {
+            duration,
+            end: as_of,
+        })
     }
 
     /// A peer with the same table advertises its age; returns the outage that this ends.
@@ -79,12 +82,12 @@
 
     /// The moment as of which a table is known; `None` if it was never read.
     pub fn as_of(&self, table: usize) -> Option<Time> {
-        self.known[table]
+        self.as_of[table]
     }
 
     /// How old a table is.
     pub fn age(&self, table: usize, now: Time) -> Age {
-        self.known[table].map(|known| now - known)
+        self.as_of[table].map(|known| now - known)
     }
 
     /// How old all of them are.
@@ -106,18 +109,18 @@
     /// The same if nothing need be asked about some tables, as they are arriving.
     pub fn time_until_due_except(&self, arriving: [bool; N], role: Role, now: Time) -> Duration {
         if arriving == [true; N] {
-            return self.times.of(role);
+            return self.times.poll_interval(role);
         }
-        let asked = self.known.iter().zip(arriving);
+        let asked = self.as_of.iter().zip(arriving);
         let asked = asked.filter(|(_, arriving)| !arriving);
         let oldest = asked.filter_map(|(known, _)| known.as_ref()).min();
-        let due = oldest.map_or(now, |oldest| *oldest + self.times.of(role));
+        let due = oldest.map_or(now, |oldest| *oldest + self.times.poll_interval(role));
         due.max(self.retry_at) - now
     }
 
     /// A call failed; `jitter` is a factor around 1, so that instances do not ask in
     /// step.
-    pub fn failed(&mut self, role: Role, jitter: f64, now: Time) {
+    pub fn record_failure(&mut self, role: Role, jitter: f64, now: Time) {
         let pause = self.times.backoff(role, self.failures);
         self.failures = self.failures.saturating_add(1);
         self.retry_at = now + pause.mul_f64(jitter);
--- a/crates/core/src/freshness/fetches.rs
+++ b/crates/core/src/freshness/fetches.rs
@@ -25,15 +25,15 @@
 impl FetchTimes {
     /// The defaults; see the fields.
     pub const STANDARD: Self = Self {
-        hedge_delay: PropagationTimes::STANDARD.call,
+        hedge_delay: PropagationTimes::STANDARD.call_duration,
         stall_delay: Duration::from_millis(400),
-        slow_delay: FreshnessTimes::STANDARD.outage,
+        slow_delay: FreshnessTimes::STANDARD.outage_age,
         idle_timeout: Duration::from_millis(800),
     };
 }
 
 /// Concurrent fetches of a table at most: they share the link.
-const CONCURRENT_MAX: usize = 2;
+const MAX_CONCURRENT: usize = 2;
 
 /// A fetch that was begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,11 +44,11 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenFetch {
     number: u64,
     begun: Time,
     /// When its last part came.
-    heard: Option<Time>,
+    last_part: Option<Time>,
 }
 
 /// The fetches of `N` tables that are under way.
@@ -63,16 +63,16 @@
 /// let first = fetches.begin(0, at(0)).unwrap();
 /// assert!(fetches.begin(0, at(50)).is_none());
 /// assert!(fetches.begin(1, at(50)).is_some());
-/// fetches.progressed(first, at(90));
+/// fetches.record_progress(first, at(90));
 /// assert!(fetches.begin(0, at(150)).is_none());
 /// assert!(fetches.is_arriving(0, at(150)));
-/// assert_eq!(fetches.remaining(first, at(390)), Duration::from_millis(500));
+/// assert_eq!(fetches.time_until_idle(first, at(390)), Duration::from_millis(500));
 /// ```
 #[derive(Debug)]
 pub struct Fetches<const N: usize> {
     times: FetchTimes,
-    begun: u64,
-    open: [Vec<Open>; N],
+    last_number: u64,
+    open: [Vec<OpenFetch>; N],
 }
 
 impl<const N: usize> Fetches<N> {
@@ -80,7 +80,7 @@
     pub fn new(times: FetchTimes) -> Self {
         Self {
             times,
-            begun: 0,
+            last_number: 0,
             open: array::from_fn(|_| Vec::new()),
         }
     }
@@ -88,42 +88,43 @@
     /// Begins a fetch, unless one goes on.
     pub fn begin(&mut self, table: usize, now: Time) -> Option<Fetch> {
         let open = &self.open[table];
-        let may =
-            open.len() < CONCURRENT_MAX && !open.iter().any(|open| self.times.is_going(open, now));
-        may.then(|| self.add(table, now))
+        let is_allowed = open.len() < MAX_CONCURRENT
+            && !open.iter().any(|open| self.times.is_progressing(open, now));
+        is_allowed.then(|| self.add(table, now))
     }
 
     /// Adds a transfer that was begun elsewhere.
     pub fn add(&mut self, table: usize, now: Time) -> Fetch {
-        self.begun += 1;
-        let number = self.begun;
-        self.open[table].push(Open {
+        self.last_number += 1;
+        let number = self.last_number;
+        self.open[table].push(OpenFetch {
             number,
             begun: now,
-            heard: None,
+            last_part: None,
         });
         Fetch { table, number }
     }
 
     /// A part of the table has come.
-    pub fn progressed(&mut self, fetch: Fetch, now: Time) {
+    pub fn record_progress(&mut self, fetch: Fetch, now: Time) {
         let mut open = self.open[fetch.table].iter_mut();
         if let Some(open) = open.find(|open| open.number == fetch.number) {
-            open.heard = Some(now);
+            open.last_part = Some(now);
         }
     }
 
     /// Whether parts of a table are coming, and not slowly.
     pub fn is_arriving(&self, table: usize, now: Time) -> bool {
-        let arrives = |open: &Open| open.heard.is_some() && self.times.is_going(open, now);
-        self.open[table].iter().any(arrives)
+        let is_arriving =
+            |open: &OpenFetch| open.last_part.is_some() && self.times.is_progressing(open, now);
+        self.open[table].iter().any(is_arriving)
     }
 
     /// How long to wait for the next part until the fetch is given up.
-    pub fn remaining(&self, fetch: Fetch, now: Time) -> Duration {
+    pub fn time_until_idle(&self, fetch: Fetch, now: Time) -> Duration {
         let mut open = self.open[fetch.table].iter();
         let open = open.find(|open| open.number == fetch.number);
-        let last = open.map(|open| open.heard.unwrap_or(open.begun));
+        let last = open.map(|open| open.last_part.unwrap_or(open.begun));
         last.map_or(Duration::ZERO, |last| last + self.times.idle_timeout - now)
     }
 
@@ -135,9 +136,11 @@
 
 impl FetchTimes {
     /// Whether a fetch makes another one needless.
-    fn is_going(&self, open: &Open, now: Time) -> bool {
-        match open.heard {
-            Some(heard) => now - heard <= self.stall_delay && now - open.begun <= self.slow_delay,
+    fn is_progressing(&self, open: &OpenFetch, now: Time) -> bool {
+        match open.last_part {
+            Some(last_part) => {
+                now - last_part <= self.stall_delay && now - open.begun <= self.slow_delay
+            }
             None => now - open.begun <= self.hedge_delay,
         }
     }
--- a/crates/core/src/freshness/health.rs
+++ b/crates/core/src/freshness/health.rs
@@ -6,7 +6,7 @@
 ///
 /// Must stay below the planner's poll interval plus the timeout of one call, so that the
 /// first call that fails after a cut tells of it.
-const LOST_AFTER: Duration = FreshnessTimes::STANDARD.planner.saturating_mul(2);
+const ANSWER_TIMEOUT: Duration = FreshnessTimes::STANDARD.planner_interval.saturating_mul(2);
 
 /// Whether the store answers this instance.
 ///
@@ -23,25 +23,25 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct StoreHealth {
-    answered: Option<Time>,
-    up: bool,
+    last_answer: Option<Time>,
+    is_up: bool,
 }
 
 impl StoreHealth {
     /// Whether the store counts as reachable.
     pub fn is_up(&self) -> bool {
-        self.up
+        self.is_up
     }
 
     /// A call was answered.
     pub fn record_answer(&mut self, now: Time) {
-        self.answered = self.answered.max(Some(now));
-        self.up = true;
+        self.last_answer = self.last_answer.max(Some(now));
+        self.is_up = true;
     }
 
     /// A call failed, or was not answered in time.
     pub fn record_failure(&mut self, now: Time) {
-        let lately = |answered| now - answered < LOST_AFTER;
-        self.up &= self.answered.is_some_and(lately);
+        let is_recent = |answer| now - answer < ANSWER_TIMEOUT;
+        self.is_up &= self.last_answer.is_some_and(is_recent);
     }
 }
--- a/crates/core/src/freshness/holder.rs
+++ b/crates/core/src/freshness/holder.rs
@@ -1,6 +1,6 @@
 //! When the holder of a leadership counts as lost.
 
-use {super::LOST, crate::time::Time};
+use {super::HEARTBEAT_TIMEOUT, crate::time::Time};
 
 /// How long the holder of a leadership has been silent.
 ///
@@ -8,36 +8,36 @@
 /// before they hear a heartbeat of the claimant.
 ///
 /// ```
-/// use {citron_core::{freshness::HolderSilence, time::Time}, std::time::Duration};
+/// use {citron_core::{freshness::HolderLiveness, time::Time}, std::time::Duration};
 /// let at = |millis| Time::ZERO + Duration::from_millis(millis);
-/// let mut silence = HolderSilence::new(at(0));
-/// silence.observe(7, at(2_000));
-/// assert!(!silence.is_lost(None, at(3_000)));
-/// assert!(silence.is_lost(None, at(3_600)));
-/// assert!(!silence.is_lost(Some(at(3_500)), at(3_600)));
+/// let mut liveness = HolderLiveness::new(at(0));
+/// liveness.record_claim(7, at(2_000));
+/// assert!(!liveness.is_lost(None, at(3_000)));
+/// assert!(liveness.is_lost(None, at(3_600)));
+/// assert!(!liveness.is_lost(Some(at(3_500)), at(3_600)));
 /// ```
 #[derive(Debug)]
-pub struct HolderSilence {
+pub struct HolderLiveness {
     /// Version of the row that names the holder, and when it was first seen.
     claim: (u64, Time),
 }
 
-impl HolderSilence {
+impl HolderLiveness {
     /// For an instance that started now.
     pub fn new(now: Time) -> Self {
         Self { claim: (0, now) }
     }
 
     /// The row that names the holder has a version.
-    pub fn observe(&mut self, version: u64, now: Time) {
+    pub fn record_claim(&mut self, version: u64, now: Time) {
         if version != self.claim.0 {
             self.claim = (version, now);
         }
     }
 
     /// Whether a holder that was last heard at a moment counts as lost.
-    pub fn is_lost(&self, heard: Option<Time>, now: Time) -> bool {
+    pub fn is_lost(&self, last_heartbeat: Option<Time>, now: Time) -> bool {
         let (_, claimed) = self.claim;
-        now - heard.map_or(claimed, |heard| heard.max(claimed)) > LOST
+        now - last_heartbeat.map_or(claimed, |heartbeat| heartbeat.max(claimed)) > HEARTBEAT_TIMEOUT
     }
 }
--- a/crates/core/src/freshness/lag.rs
+++ b/crates/core/src/freshness/lag.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct LagTimer<const N: usize> {
     grace: Duration,
-    since: [Option<Time>; N],
+    lagging_since: [Option<Time>; N],
 }
 
 impl<const N: usize> LagTimer<N> {
@@ -26,19 +26,19 @@
     pub fn new(grace: Duration) -> Self {
         Self {
             grace,
-            since: [None; N],
+            lagging_since: [None; N],
         }
     }
 
-    /// Another instance's table is newer: whether to fetch it now. One that `expects_news`
+    /// Another instance's table is newer: whether to fetch it now. One that `expects_update`
     /// of its own waits until the grace period has passed.
-    pub fn should_fetch(&mut self, table: usize, expects_news: bool, now: Time) -> bool {
-        let since = *self.since[table].get_or_insert(now);
-        !expects_news || now - since > self.grace
+    pub fn should_fetch(&mut self, table: usize, expects_update: bool, now: Time) -> bool {
+        let since = *self.lagging_since[table].get_or_insert(now);
+        !expects_update || now - since > self.grace
     }
 
     /// A table has applied changes.
     pub fn caught_up(&mut self, table: usize) {
-        self.since[table] = None;
+        self.lagging_since[table] = None;
     }
 }
--- a/crates/core/src/freshness/mod.rs
+++ b/crates/core/src/freshness/mod.rs
@@ -17,9 +17,9 @@
     ages::{Age, Freshness, StoreOutage},
     fetches::{Fetch, FetchTimes, Fetches},
     health::StoreHealth,
-    heartbeats::{HeartbeatSchedule, LOST, Sender},
-    holder::HolderSilence,
+    heartbeats::{HEARTBEAT_TIMEOUT, HeartbeatSchedule, Sender},
+    holder::HolderLiveness,
     lag::LagTimer,
-    staleness::{Doubt, Lag, Standing, VersionTracker},
+    staleness::{Lag, StaleReason, Staleness, VersionTracker},
     times::{FreshnessTimes, PropagationTimes, Role},
 };
--- a/crates/core/src/freshness/staleness.rs
+++ b/crates/core/src/freshness/staleness.rs
@@ -21,13 +21,13 @@
 
 /// Why a table that requests are decided by may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Doubt {
+pub enum StaleReason {
     /// Nobody told how old it is.
     #[error("its age is unknown")]
-    Unread,
+    UnknownAge,
     /// It is so old that the store was not heard of meanwhile.
     #[error("it is {}ms old", .0.as_millis())]
-    Old(Duration),
+    Expired(Duration),
     /// There is a newer one.
     #[error("a newer one is known of")]
     Lagging,
@@ -41,32 +41,32 @@
 ///
 /// ```
 /// use {
-///     citron_core::freshness::{Doubt, FreshnessTimes, Lag, Standing},
+///     citron_core::freshness::{StaleReason, FreshnessTimes, Lag, Staleness},
 ///     std::time::Duration,
 /// };
 /// let times = FreshnessTimes::STANDARD;
 /// let age = Some(Duration::from_millis(80));
 /// let lag = Lag::None;
-/// assert_eq!(Standing { age, lag }.doubt(&times), None);
+/// assert_eq!(Staleness { age, lag }.stale_reason(&times), None);
 /// let lag = Lag::Advertised;
-/// assert_eq!(Standing { age, lag }.doubt(&times), Some(Doubt::Lagging));
+/// assert_eq!(Staleness { age, lag }.stale_reason(&times), Some(StaleReason::Lagging));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct Staleness {
     /// How old what is known is.
     pub age: Age,
     /// Whether it lags behind a known version.
     pub lag: Lag,
 }
 
-impl Standing {
+impl Staleness {
     /// Why the table is not good enough; `None` if it is.
-    pub fn doubt(&self, times: &FreshnessTimes) -> Option<Doubt> {
+    pub fn stale_reason(&self, times: &FreshnessTimes) -> Option<StaleReason> {
         match (self.lag, self.age) {
-            (Lag::Unreadable, _) => Some(Doubt::Unreadable),
-            (Lag::Advertised, _) => Some(Doubt::Lagging),
-            (Lag::None, None) => Some(Doubt::Unread),
-            (Lag::None, Some(age)) => (age > times.outage).then_some(Doubt::Old(age)),
+            (Lag::Unreadable, _) => Some(StaleReason::Unreadable),
+            (Lag::Advertised, _) => Some(StaleReason::Lagging),
+            (Lag::None, None) => Some(StaleReason::UnknownAge),
+            (Lag::None, Some(age)) => (age > times.outage_age).then_some(StaleReason::Expired(age)),
         }
     }
 }
@@ -80,10 +80,10 @@
 /// use citron_core::{freshness::{FreshnessTimes, Lag, VersionTracker}, time::Time};
 /// let mut tracker = VersionTracker::new(FreshnessTimes::STANDARD);
 /// let now = Time::from_micros(5_000);
-/// tracker.apply(7);
-/// tracker.advertise(9, now);
+/// tracker.record_applied(7);
+/// tracker.record_advertised(9, now);
 /// assert_eq!(tracker.lag(Some(now)), Lag::Advertised);
-/// tracker.apply(9);
+/// tracker.record_applied(9);
 /// assert_eq!(tracker.lag(Some(now)), Lag::None);
 /// ```
 #[derive(Debug, Clone, Copy)]
@@ -109,12 +109,12 @@
     }
 
     /// All changes up to a version are applied.
-    pub fn apply(&mut self, version: u64) {
+    pub fn record_applied(&mut self, version: u64) {
         self.applied = self.applied.max(version);
     }
 
     /// Another instance advertises a version.
-    pub fn advertise(&mut self, version: u64, now: Time) {
+    pub fn record_advertised(&mut self, version: u64, now: Time) {
         if version > self.applied {
             self.advertised = self.advertised.max(version);
             self.advertised_at = now;
@@ -122,12 +122,12 @@
     }
 
     /// A row of this version was decoded.
-    pub fn on_readable(&mut self, version: u64) {
-        self.unreadable = self.unreadable.filter(|refused| *refused >= version);
+    pub fn record_readable(&mut self, version: u64) {
+        self.unreadable = self.unreadable.filter(|unreadable| *unreadable >= version);
     }
 
     /// A row of this version could not be decoded.
-    pub fn on_unreadable(&mut self, version: u64) {
+    pub fn record_unreadable(&mut self, version: u64) {
         self.unreadable = self.unreadable.max(Some(version));
     }
 
@@ -136,7 +136,7 @@
         if self.unreadable.is_some() {
             return Lag::Unreadable;
         }
-        let expires = self.advertised_at + self.times.outage;
+        let expires = self.advertised_at + self.times.outage_age;
         let expired = as_of.is_some_and(|as_of| as_of > expires);
         if self.advertised > self.applied && !expired {
             Lag::Advertised
--- a/crates/core/src/freshness/times.rs
+++ b/crates/core/src/freshness/times.rs
@@ -18,12 +18,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessTimes {
     /// Poll interval of the planner.
-    pub planner: Duration,
+    pub planner_interval: Duration,
     /// Poll interval of a reader; longer than the planner's by a lost datagram and a busy
     /// processor.
-    pub reader: Duration,
+    pub reader_interval: Duration,
     /// Poll interval of a follower; longer than a reader's for the same reason.
-    pub follower: Duration,
+    pub follower_interval: Duration,
     /// Mean retry delay after a failed call.
     pub retry_delay: Duration,
     /// Longest retry delay of followers: where hundreds poll, one of them finds the store's
@@ -31,18 +31,18 @@
     pub max_retry_delay: Duration,
     /// Age above which the store is presumed unreachable. Must stay below three heartbeats of
     /// a server, after which registrations expire.
-    pub outage: Duration,
+    pub outage_age: Duration,
 }
 
 impl FreshnessTimes {
     /// The defaults; see the fields.
     pub const STANDARD: Self = Self {
-        planner: Duration::from_millis(500),
-        reader: Duration::from_millis(700),
-        follower: Duration::from_millis(900),
+        planner_interval: Duration::from_millis(500),
+        reader_interval: Duration::from_millis(700),
+        follower_interval: Duration::from_millis(900),
         retry_delay: Duration::from_millis(350),
         max_retry_delay: Duration::from_millis(1_400),
-        outage: Duration::from_millis(1_500),
+        outage_age: Duration::from_millis(1_500),
     };
 
     /// The retry delay after a number of failures in a row.
@@ -65,11 +65,11 @@
     }
 
     /// The poll interval of a role.
-    pub fn of(&self, role: Role) -> Duration {
+    pub fn poll_interval(&self, role: Role) -> Duration {
         match role {
-            Role::Planner => self.planner,
-            Role::Reader => self.reader,
-            Role::Follower => self.follower,
+            Role::Planner => self.planner_interval,
+            Role::Reader => self.reader_interval,
+            Role::Follower => self.follower_interval,
         }
     }
 }
@@ -81,9 +81,9 @@
     pub poll_interval: Duration,
     /// A call to the store or to another instance, on a processor that may be taken away
     /// for most of 100 ms.
-    pub call: Duration,
+    pub call_duration: Duration,
     /// Time between two heartbeats within a failure domain, with few instances.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Heartbeats to other failure domains are rarer by this factor.
     pub cross_domain_factor: u32,
     /// How long an instance that should learn of a change by itself lags before it fetches
@@ -95,8 +95,8 @@
     /// The defaults; see the fields.
     pub const STANDARD: Self = Self {
         poll_interval: Duration::from_millis(50),
-        call: Duration::from_millis(100),
-        heartbeat: Duration::from_millis(100),
+        call_duration: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
         cross_domain_factor: 3,
         lag_grace: Duration::from_millis(250),
     };
@@ -111,9 +111,9 @@
     /// assert_eq!(max, Duration::from_millis(1_800));
     /// ```
     pub fn max_delay(&self, times: &FreshnessTimes) -> Duration {
-        let polled = times.follower + self.poll_interval + self.call;
-        let advertised = self.heartbeat * self.cross_domain_factor;
-        let fetched = self.lag_grace + self.heartbeat + self.call;
-        polled + advertised + fetched
+        let poll = times.follower_interval + self.poll_interval + self.call_duration;
+        let advertisement = self.heartbeat_interval * self.cross_domain_factor;
+        let fetch = self.lag_grace + self.heartbeat_interval + self.call_duration;
+        poll + advertisement + fetch
     }
 }
--- a/crates/core/src/id/key.rs
+++ b/crates/core/src/id/key.rs
@@ -10,16 +10,16 @@
 ///
 /// ```
 /// use citron_core::id::KeyHash;
-/// assert_eq!(KeyHash::of(b"bar-7"), KeyHash::of(b"bar-7"));
-/// let text = KeyHash::of(b"bar-7").to_string();
-/// assert_eq!(text.parse(), Ok(KeyHash::of(b"bar-7")));
+/// assert_eq!(KeyHash::from_key(b"bar-7"), KeyHash::from_key(b"bar-7"));
+/// let text = KeyHash::from_key(b"bar-7").to_string();
+/// assert_eq!(text.parse(), Ok(KeyHash::from_key(b"bar-7")));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash(pub u64);
 
 impl KeyHash {
     /// Hashes the bytes of a key.
-    pub fn of(key: &[u8]) -> Self {
+    pub fn from_key(key: &[u8]) -> Self {
         Self(xxh3_64(key))
     }
 }
@@ -75,7 +75,7 @@
 /// ```
 /// use citron_core::id::{KeyHash, ShardBits, ShardId};
 /// let bits: ShardBits = "8".parse().unwrap();
-/// assert_eq!(bits.shards(), 256);
+/// assert_eq!(bits.shard_count(), 256);
 /// assert_eq!(bits.shard_of(KeyHash(0xab00_0000_0000_0000)), ShardId(0xab));
 /// assert!("21".parse::<ShardBits>().is_err());
 /// ```
@@ -92,7 +92,7 @@
     }
 
     /// How many shards the service has.
-    pub fn shards(self) -> u32 {
+    pub fn shard_count(self) -> u32 {
         1 << self.0
     }
 
--- a/crates/core/src/id/mod.rs
+++ b/crates/core/src/id/mod.rs
@@ -12,6 +12,6 @@
     error::ParseIdError,
     key::{KeyHash, ShardBits, ShardId},
     name::{DomainName, InstanceId, OperatorName, ServiceName},
-    number::{Born, CommitId, Epoch, Incarnation, Revision, Slots, Weight},
+    number::{CommitId, Epoch, Incarnation, Revision, Slots, StartTime, Weight},
     server::ServerName,
 };
--- a/crates/core/src/id/name.rs
+++ b/crates/core/src/id/name.rs
@@ -6,12 +6,12 @@
 };
 
 /// The longest name, in bytes; the limit of a DNS label.
-const MAX_NAME: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 
 /// Checks a name that an operator, or a server, gives.
 pub fn check_name(text: &str) -> Result<String, ParseIdError> {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-._".contains(c);
-    let valid = !text.is_empty() && text.len() <= MAX_NAME && text.chars().all(allowed);
+    let valid = !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed);
     if !valid {
         let found = text.to_string();
         return Err(ParseIdError::Name { found });
--- a/crates/core/src/id/number.rs
+++ b/crates/core/src/id/number.rs
@@ -56,7 +56,7 @@
 number_type!(
     /// When a backend server started, in Unix milliseconds by its own clock. The
     /// most is the year 2286: what lies beyond is another unit, not a moment.
-    Born, u64, 0, 10_000_000_000_000_u64
+    StartTime, u64, 0, 10_000_000_000_000_u64
 );
 number_type!(
     /// Number of a commit among those of one writer.
--- a/crates/core/src/id/server.rs
+++ b/crates/core/src/id/server.rs
@@ -1,12 +1,12 @@
 //! Names of backend servers, and of their starts.
 
 use {
-    super::{Born, ParseIdError, name::check_name},
+    super::{ParseIdError, StartTime, name::check_name},
     std::{fmt, str::FromStr},
 };
 
 /// Between a server's id and the moment of its start.
-const AT: char = '@';
+const START_SEPARATOR: char = '@';
 
 /// One start of a backend server: its id and, where servers tell it, when it
 /// started. A server that starts again under its id holds nothing and knows
@@ -23,13 +23,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerName {
     id: String,
-    born: Option<Born>,
+    start_time: Option<StartTime>,
 }
 
 impl ServerName {
     /// The start of this server at a moment.
-    pub fn started(self, born: Option<Born>) -> Self {
-        Self { born, ..self }
+    pub fn with_start_time(self, start_time: Option<StartTime>) -> Self {
+        Self { start_time, ..self }
     }
 
     /// The id, which other starts may have, too.
@@ -38,15 +38,15 @@
     }
 
     /// When it started, if it tells.
-    pub fn born(&self) -> Option<Born> {
-        self.born
+    pub fn start_time(&self) -> Option<StartTime> {
+        self.start_time
     }
 }
 
 impl fmt::Display for ServerName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}{AT}{born}", self.id),
+        match self.start_time {
+            Some(start_time) => write!(f, "{}{START_SEPARATOR}{start_time}", self.id),
             None => f.pad(&self.id),
         }
     }
@@ -56,13 +56,13 @@
     type Err = ParseIdError;
 
     fn from_str(text: &str) -> Result<Self, ParseIdError> {
-        let (id, born) = match text.split_once(AT) {
-            Some((id, born)) => (id, Some(born.parse()?)),
+        let (id, start_time) = match text.split_once(START_SEPARATOR) {
+            Some((id, start_time)) => (id, Some(start_time.parse()?)),
             None => (text, None),
         };
         Ok(Self {
             id: check_name(id)?,
-            born,
+            start_time,
         })
     }
 }
--- a/crates/core/src/ownership/begin.rs
+++ b/crates/core/src/ownership/begin.rs
@@ -48,7 +48,9 @@
         }
         None => match scope {
             Scope::Shard(shard) => vec![assign(table, service, shard, to)?],
-            Scope::Key(key) => take_out::<R>(table, service, row.shards.shard_of(key), scope, to)?,
+            Scope::Key(key) => {
+                take_out::<R>(table, service, row.shard_bits.shard_of(key), scope, to)?
+            }
         },
     };
     Ok(Commit {
@@ -84,7 +86,7 @@
 }
 
 fn check_shard(row: &ServiceRow, scope: Scope) -> Result<(), MoveError> {
-    let last = row.shards.shards() - 1;
+    let last = row.shard_bits.shard_count() - 1;
     match scope {
         Scope::Shard(shard) if shard.0 > last => Err(MoveError::NoShard {
             service: row.name.clone(),
@@ -126,7 +128,7 @@
     to: &ServerName,
 ) -> Result<Write, MoveError> {
     let key = row_key(service, Scope::Shard(shard));
-    let first = BlockId::of(shard).first_shard().0;
+    let first = BlockId::from_shard(shard).first_shard().0;
     let owned = match table.get(&key).map(|found| &found.value) {
         Some(Row::Block(row)) => row.shards.len() as u32,
         _ => 0,
--- a/crates/core/src/ownership/granter.rs
+++ b/crates/core/src/ownership/granter.rs
@@ -55,7 +55,7 @@
 /// # let row = ServerRow {
 /// #     name: "server-1".parse().unwrap(), service: "balances".parse().unwrap(),
 /// #     domain: "domain-1".parse().unwrap(), address: "127.0.0.1:1".parse().unwrap(),
-/// #     weight: "1".parse().unwrap(), cap: None, slots: "4".parse().unwrap(), connections: 9,
+/// #     weight: "1".parse().unwrap(), rate_cap: None, slots: "4".parse().unwrap(), max_connections: 9,
 /// #     fencing: Fencing::Checked, state: ServerState::Active };
 /// let granter: Granter = Granter::new(Spans::default());
 /// let order = granter.order(&Table::default(), &row, &Confirmation::default(), Time::ZERO);
--- a/crates/core/src/ownership/mover.rs
+++ b/crates/core/src/ownership/mover.rs
@@ -198,7 +198,7 @@
             return None;
         };
         let service = table.service(&self.service)?;
-        let scope = Scope::Shard(service.shards.shard_of(key));
+        let scope = Scope::Shard(service.shard_bits.shard_of(key));
         let shard = assignment(table, &self.service, scope)?.value;
         let mine = shard.owner == self.release.owner;
         let kind = match shard.phase {
--- a/crates/core/src/ownership/place.rs
+++ b/crates/core/src/ownership/place.rs
@@ -40,7 +40,7 @@
     let key = row_key(service, scope);
     let row = match scope {
         Scope::Shard(shard) => {
-            let block = BlockId::of(shard);
+            let block = BlockId::from_shard(shard);
             let mut row = block_row(table, service, block);
             let index = (shard.0 - block.first_shard().0) as usize;
             match row.shards.get_mut(index) {
@@ -65,7 +65,7 @@
 /// The row that holds a scope's assignment.
 pub fn row_key(service: &ServiceName, scope: Scope) -> RowKey {
     match scope {
-        Scope::Shard(shard) => RowKey::Block(service.clone(), BlockId::of(shard)),
+        Scope::Shard(shard) => RowKey::Block(service.clone(), BlockId::from_shard(shard)),
         Scope::Key(hash) => RowKey::Override(service.clone(), hash),
     }
 }
--- a/crates/core/src/placement/board.rs
+++ b/crates/core/src/placement/board.rs
@@ -184,7 +184,7 @@
     }
 
     pub fn is_uneven(&self, view: &View) -> bool {
-        let threshold = u128::from(view.moves.threshold) * FULL / 100;
+        let threshold = u128::from(view.moves.threshold_percent) * FULL / 100;
         self.over_cap().is_some() || self.load_fullness(self.fullest(), 0) > threshold
     }
 
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -76,7 +76,7 @@
             return proposals;
         }
         while let Some(step) = board.next_step(view) {
-            if !self.budget.take(view.moves.minute, now) {
+            if !self.budget.take(view.moves.shards_per_minute, now) {
                 break;
             }
             proposals.push(board.move_piece(step.piece, step.seat, Reason::Balance));
--- a/crates/core/src/ranges/book.rs
+++ b/crates/core/src/ranges/book.rs
@@ -148,7 +148,7 @@
     /// The same on the store's clock, so that it holds for later planners, too;
     /// `None` until the store has answered after the last grant that counts.
     pub fn expiry(&self, sent: Time, clock: &StoreClock) -> Option<StoreTime> {
-        let last = clock.after(sent.max(self.foreign));
+        let last = clock.at_or_after(sent.max(self.foreign));
         last.map(|last| last + self.times.reach())
     }
 
--- a/crates/core/src/registry/servers.rs
+++ b/crates/core/src/registry/servers.rs
@@ -335,7 +335,7 @@
 /// address in common, is the later one; `None` if their entries do not tell.
 fn starts_after(one: &ServerEntry, other: &ServerEntry) -> Option<bool> {
     let (one, other) = (&one.name, &other.name);
-    match (one.born(), other.born()) {
+    match (one.start_time(), other.start_time()) {
         (Some(a), Some(b)) if a != b => Some(a > b),
         (Some(_), None) if one.id() == other.id() => Some(true),
         (None, Some(_)) if one.id() == other.id() => Some(false),
--- a/crates/core/src/routes/cluster.rs
+++ b/crates/core/src/routes/cluster.rs
@@ -11,11 +11,11 @@
     /// Its name.
     pub name: ServiceName,
     /// Whether its servers hold keys, so that each request has one owner.
-    pub keyed: bool,
+    pub is_sharded: bool,
     /// Connections that one server takes from all instances together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// The path at which a server tells whether it is well, and which one it is.
-    pub health: String,
+    pub health_path: String,
     /// How long keys are slow at a server that got them without a handover.
     pub warm_up: Duration,
     /// How its servers warm up; `None` if they take full load from their start.
--- a/crates/core/src/routes/config.rs
+++ b/crates/core/src/routes/config.rs
@@ -1,7 +1,7 @@
 //! A whole configuration.
 
 use {
-    super::{Cluster, Rule},
+    super::{Cluster, RouteRule},
     crate::id::ServiceName,
     std::{collections::BTreeMap, fmt, str::FromStr, time::Duration},
 };
@@ -35,13 +35,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenerLimits {
     /// Bytes of a head.
-    pub header: usize,
+    pub max_header_bytes: usize,
     /// Bytes of a body.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// How long a head may take.
-    pub slow: Duration,
+    pub header_timeout: Duration,
     /// How long a connection may stay without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Routes, services and limits of one version.
@@ -52,7 +52,7 @@
     /// What callers may send.
     pub limits: ListenerLimits,
     /// By names in lower case.
-    hosts: BTreeMap<String, Vec<Rule>>,
+    hosts: BTreeMap<String, Vec<RouteRule>>,
     services: BTreeMap<ServiceName, Cluster>,
 }
 
@@ -61,10 +61,10 @@
     pub fn new(
         version: ConfigVersion,
         limits: ListenerLimits,
-        rules: impl IntoIterator<Item = (String, Rule)>,
+        rules: impl IntoIterator<Item = (String, RouteRule)>,
         services: impl IntoIterator<Item = Cluster>,
     ) -> Self {
-        let mut hosts: BTreeMap<String, Vec<Rule>> = BTreeMap::new();
+        let mut hosts: BTreeMap<String, Vec<RouteRule>> = BTreeMap::new();
         for (host, rule) in rules {
             let host = host.to_ascii_lowercase();
             hosts.entry(host).or_default().push(rule);
@@ -86,7 +86,7 @@
 
     /// The rule of the longest prefix that begins the path; the host's name may be in
     /// any case.
-    pub fn rule(&self, host: &str, path: &str) -> Option<&Rule> {
+    pub fn rule(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let rules = match self.hosts.get(host) {
             None => self.hosts.get(&host.to_ascii_lowercase())?,
             Some(rules) => rules,
@@ -100,7 +100,7 @@
     }
 
     /// The longest time that a server of any service stays cold.
-    pub fn cold_span(&self) -> Duration {
+    pub fn max_slow_start(&self) -> Duration {
         let spans = self.services().filter_map(|service| service.slow_start);
         spans.map(|slow| slow.span).max().unwrap_or_default()
     }
--- a/crates/core/src/routes/mod.rs
+++ b/crates/core/src/routes/mod.rs
@@ -9,5 +9,5 @@
 pub use {
     cluster::Cluster,
     config::{ConfigVersion, ListenerLimits, RouteConfig},
-    rule::{Repeat, Rule, Split},
+    rule::{Idempotency, RouteRule, TrafficSplit},
 };
--- a/crates/core/src/routing/map.rs
+++ b/crates/core/src/routing/map.rs
@@ -4,7 +4,7 @@
     crate::{
         id::{Epoch, KeyHash, Revision, ServerName, ServiceName, ShardId},
         ownership::{Assignment, Scope},
-        table::{BLOCK_SHARDS, BlockId, BlockRow, Row, RowKey, ServerRow, ServiceRow, Table},
+        table::{BlockId, BlockRow, Row, RowKey, SHARDS_PER_BLOCK, ServerRow, ServiceRow, Table},
     },
     rustc_hash::FxHashMap,
     std::{cmp::Reverse, collections::BTreeMap, sync::Arc},
@@ -58,7 +58,7 @@
 impl ServiceRoutes {
     /// The owner of a key; `None` while nobody owns it.
     pub fn route(&self, key: KeyHash) -> Option<Route> {
-        let shard = self.row.shards.shard_of(key);
+        let shard = self.row.shard_bits.shard_of(key);
         let single = self.overrides.get(&key);
         let (scope, slot) = match single {
             Some(slot) => (Scope::Key(key), *slot),
@@ -74,7 +74,7 @@
 
     /// Where each shard goes, in their order; `None` while nobody owns it.
     pub fn shards(&self) -> impl Iterator<Item = Option<Route>> {
-        let shards = (0..self.row.shards.shards()).map(ShardId);
+        let shards = (0..self.row.shard_bits.shard_count()).map(ShardId);
         shards.map(|shard| {
             let slot = self.slot(shard)?;
             Some(Route {
@@ -92,7 +92,7 @@
 
     fn new(row: ServiceRow) -> Self {
         Self {
-            slots: vec![None; row.shards.shards() as usize],
+            slots: vec![None; row.shard_bits.shard_count() as usize],
             overrides: FxHashMap::default(),
             row,
         }
@@ -115,7 +115,7 @@
     fn clear_block(&mut self, block: BlockId) {
         let first = block.first_shard().0 as usize;
         let slots = self.slots.iter_mut().skip(first);
-        for slot in slots.take(BLOCK_SHARDS as usize) {
+        for slot in slots.take(SHARDS_PER_BLOCK as usize) {
             *slot = None;
         }
     }
--- a/crates/core/src/slo/burn.rs
+++ b/crates/core/src/slo/burn.rs
@@ -1,10 +1,10 @@
 //! How fast an error budget is spent.
 
 /// Minutes that a burn rate looks back on.
-pub type Window = u64;
+pub type WindowMinutes = u64;
 
 /// Requests per million of a whole.
-const MILLION: f64 = 1_000_000.0;
+const PER_MILLION: f64 = 1_000_000.0;
 
 /// How many times faster than allowed a budget is spent: at 1 it lasts exactly
 /// as long as the objective's period, at 10 a tenth of it.
@@ -20,7 +20,7 @@
         return 0.0;
     }
     let share = bad as f64 / total as f64;
-    share / (f64::from(budget) / MILLION)
+    share / (f64::from(budget) / PER_MILLION)
 }
 
 /// When a burn rate calls for somebody: the long window says that it matters,
@@ -28,21 +28,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BurnRule {
     /// The short window, in minutes.
-    pub short: Window,
+    pub short: WindowMinutes,
     /// The long window, in minutes.
-    pub long: Window,
+    pub long: WindowMinutes,
     /// The rate that both must reach.
     pub rate: f64,
 }
 
 /// 2% of a 30-day budget within an hour.
-pub const FAST: BurnRule = BurnRule {
+pub const FAST_BURN: BurnRule = BurnRule {
     short: 5,
     long: 60,
     rate: 14.4,
 };
 /// 5% of a 30-day budget within six hours.
-pub const SLOW: BurnRule = BurnRule {
+pub const SLOW_BURN: BurnRule = BurnRule {
     short: 30,
     long: 360,
     rate: 6.0,
--- a/crates/core/src/slo/minute.rs
+++ b/crates/core/src/slo/minute.rs
@@ -10,21 +10,21 @@
 
 impl Minute {
     /// Minutes of an hour.
-    pub const HOUR: u64 = 60;
+    pub const MINUTES_PER_HOUR: u64 = 60;
 
     /// The minute of a wall clock reading.
     ///
     /// ```
     /// use {citron_core::slo::Minute, std::time::Duration};
-    /// assert_eq!(Minute::of(Duration::from_secs(119)), Minute(1));
+    /// assert_eq!(Minute::from_unix_time(Duration::from_secs(119)), Minute(1));
     /// assert_eq!(Minute(125).hour(), 2);
     /// ```
-    pub fn of(since_epoch: Duration) -> Self {
+    pub fn from_unix_time(since_epoch: Duration) -> Self {
         Self(since_epoch.as_secs() / 60)
     }
 
     /// The hour since the Unix epoch that it belongs to.
     pub fn hour(self) -> u64 {
-        self.0 / Self::HOUR
+        self.0 / Self::MINUTES_PER_HOUR
     }
 }
--- a/crates/core/src/slo/mod.rs
+++ b/crates/core/src/slo/mod.rs
@@ -8,10 +8,10 @@
 mod tally;
 
 pub use {
-    burn::{Alert, BurnRule, FAST, SLOW, Window, burn_rate},
+    burn::{Alert, BurnRule, FAST_BURN, SLOW_BURN, WindowMinutes, burn_rate},
     minute::Minute,
-    reachability::{Reach, moved_shards},
-    report::{Burns, ServiceReport},
-    series::Record,
+    reachability::{Reachability, moved_shards},
+    report::{BurnRates, ServiceReport},
+    series::TallySeries,
     tally::Tally,
 };
--- a/crates/core/src/slo/report.rs
+++ b/crates/core/src/slo/report.rs
@@ -1,7 +1,7 @@
 //! A service's figures.
 
 use {
-    super::{Alert, BurnRule, FAST, Minute, Record, SLOW, Tally, burn_rate},
+    super::{Alert, BurnRule, FAST_BURN, Minute, SLOW_BURN, Tally, TallySeries, burn_rate},
     crate::{
         id::{ServerName, ServiceName, Weight},
         table::{Objectives, ServiceRow},
@@ -11,29 +11,29 @@
 
 /// Burn rates of one objective.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Burns {
-    /// Over the short and the long window of [`FAST`].
+pub struct BurnRates {
+    /// Over the short and the long window of [`FAST_BURN`].
     pub fast: (f64, f64),
-    /// Over the short and the long window of [`SLOW`].
+    /// Over the short and the long window of [`SLOW_BURN`].
     pub slow: (f64, f64),
 }
 
-impl Burns {
+impl BurnRates {
     /// What they call for.
     pub fn alert(&self) -> Alert {
-        let reached =
+        let is_reached =
             |(short, long): (f64, f64), rule: BurnRule| short >= rule.rate && long >= rule.rate;
-        if reached(self.fast, FAST) {
+        if is_reached(self.fast, FAST_BURN) {
             return Alert::Fast;
         }
-        match reached(self.slow, SLOW) {
+        match is_reached(self.slow, SLOW_BURN) {
             true => Alert::Slow,
             false => Alert::None,
         }
     }
 }
 
-/// What a service's record says of the last six hours.
+/// What a service's series says of the last six hours.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceReport {
     /// The service.
@@ -41,9 +41,9 @@
     /// Its objectives.
     pub objectives: Objectives,
     /// Burn of the budget of failures.
-    pub failures: Burns,
+    pub failure_burn: BurnRates,
     /// Burn of the budget of slow answers.
-    pub latency: Burns,
+    pub latency_burn: BurnRates,
     /// Requests over six hours.
     pub requests: u64,
     /// Load of the fullest server over the mean, each by its weight, over the
@@ -60,27 +60,35 @@
     /// Works the figures out, as of a minute; `weights` are those of the servers
     /// that are to share the load.
     pub fn new(
-        record: &Record,
+        series: &TallySeries,
         row: &ServiceRow,
         weights: &BTreeMap<ServerName, Weight>,
         now: Minute,
     ) -> Self {
         let service = row.name.clone();
         let objectives = row.objectives;
-        let sum = |window| record.sum(&service, now, window);
-        let burns = |rate: &dyn Fn(&Tally) -> f64| Burns {
-            fast: (rate(&sum(FAST.short)), rate(&sum(FAST.long))),
-            slow: (rate(&sum(SLOW.short)), rate(&sum(SLOW.long))),
+        let sum = |window| series.sum(&service, now, window);
+        let burn_rates = |rate: &dyn Fn(&Tally) -> f64| BurnRates {
+            fast: (rate(&sum(FAST_BURN.short)), rate(&sum(FAST_BURN.long))),
+            slow: (rate(&sum(SLOW_BURN.short)), rate(&sum(SLOW_BURN.long))),
         };
-        let whole = sum(SLOW.long);
-        let watched = watched_minutes(record, &service, now);
-        let unavailable = whole.closed_share() * watched as f64 * 60.0;
+        let totals = sum(SLOW_BURN.long);
+        let observed = observed_minutes(series, &service, now);
+        let unavailable = totals.unreachable_share() * observed as f64 * 60.0;
         Self {
-            failures: burns(&|tally| burn_rate(tally.failed, tally.total, objectives.failures)),
-            latency: burns(&|tally| burn_rate(tally.slow, tally.total, objectives.slower)),
-            requests: whole.total,
-            imbalance: sum(FAST.long).imbalance(weights),
-            churn: whole.moved,
+            failure_burn: burn_rates(&|tally| {
+                burn_rate(
+                    tally.failed,
+                    tally.requests,
+                    objectives.failures_per_million,
+                )
+            }),
+            latency_burn: burn_rates(&|tally| {
+                burn_rate(tally.slow, tally.requests, objectives.slow_per_million)
+            }),
+            requests: totals.requests,
+            imbalance: sum(FAST_BURN.long).imbalance(weights),
+            churn: totals.shards_moved,
             unavailable: Duration::from_secs_f64(unavailable),
             objectives,
             service,
@@ -89,11 +97,11 @@
 }
 
 /// Minutes that any instance watched the service in.
-fn watched_minutes(record: &Record, service: &ServiceName, now: Minute) -> usize {
-    let first = Minute((now.0 + 1).saturating_sub(SLOW.long));
-    let watched = record.entries().filter(|(minute, name, tally)| {
-        let inside = (first..=now).contains(minute);
-        inside && *name == service && !tally.watched.is_zero()
+fn observed_minutes(series: &TallySeries, service: &ServiceName, now: Minute) -> usize {
+    let first = Minute((now.0 + 1).saturating_sub(SLOW_BURN.long));
+    let observed = series.entries().filter(|(minute, name, tally)| {
+        let is_in_window = (first..=now).contains(minute);
+        is_in_window && *name == service && !tally.observed.is_zero()
     });
-    watched.count()
+    observed.count()
 }
--- a/crates/core/src/slo/series.rs
+++ b/crates/core/src/slo/series.rs
@@ -9,26 +9,26 @@
 /// Buckets of a minute each, of all services; the oldest are dropped.
 ///
 /// ```
-/// use citron_core::slo::{Minute, Record, Tally};
+/// use citron_core::slo::{Minute, TallySeries, Tally};
 /// let service = "kegs".parse().unwrap();
-/// let mut record = Record::default();
-/// record.add(Minute(7), &service, &Tally { total: 3, ..Tally::default() });
-/// assert_eq!(record.sum(&service, Minute(9), 5).total, 3);
-/// assert_eq!(record.sum(&service, Minute(12), 5).total, 0);
+/// let mut series = TallySeries::default();
+/// series.add(Minute(7), &service, &Tally { requests: 3, ..Tally::default() });
+/// assert_eq!(series.sum(&service, Minute(9), 5).requests, 3);
+/// assert_eq!(series.sum(&service, Minute(12), 5).requests, 0);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Record {
+pub struct TallySeries {
     minutes: BTreeMap<Minute, BTreeMap<ServiceName, Tally>>,
 }
 
-impl Record {
+impl TallySeries {
     /// Adds what this instance counted in a minute.
     pub fn add(&mut self, minute: Minute, service: &ServiceName, tally: &Tally) {
         *self.bucket(minute, service) += tally;
     }
 
     /// Adds what another instance counted.
-    pub fn merge(&mut self, other: &Record) {
+    pub fn merge(&mut self, other: &TallySeries) {
         for (minute, service, tally) in other.entries() {
             self.bucket(minute, service).merge(tally);
         }
@@ -40,7 +40,7 @@
     }
 
     /// Drops what lies before a minute.
-    pub fn forget(&mut self, before: Minute) {
+    pub fn drop_before(&mut self, before: Minute) {
         self.minutes = self.minutes.split_off(&before);
     }
 
--- a/crates/core/src/slo/tally.rs
+++ b/crates/core/src/slo/tally.rs
@@ -9,31 +9,31 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tally {
     /// Requests that were answered.
-    pub total: u64,
+    pub requests: u64,
     /// Those whose answer was not the server's, or an error of the server.
     pub failed: u64,
     /// Those slower than the objective.
     pub slow: u64,
     /// Time that shards could not be reached, as a mean over all shards.
-    pub closed: Duration,
+    pub unreachable: Duration,
     /// Time over which `closed` was watched.
-    pub watched: Duration,
+    pub observed: Duration,
     /// Shards whose owner changed.
-    pub moved: u64,
+    pub shards_moved: u64,
     /// Time that requests held slots, by server.
-    pub busy: BTreeMap<ServerName, Duration>,
+    pub busy_time: BTreeMap<ServerName, Duration>,
 }
 
 impl AddAssign<&Tally> for Tally {
     fn add_assign(&mut self, other: &Tally) {
-        self.total += other.total;
+        self.requests += other.requests;
         self.failed += other.failed;
         self.slow += other.slow;
-        self.closed += other.closed;
-        self.watched += other.watched;
-        self.moved += other.moved;
-        for (server, time) in &other.busy {
-            *self.busy.entry(server.clone()).or_default() += *time;
+        self.unreachable += other.unreachable;
+        self.observed += other.observed;
+        self.shards_moved += other.shards_moved;
+        for (server, time) in &other.busy_time {
+            *self.busy_time.entry(server.clone()).or_default() += *time;
         }
     }
 }
@@ -44,14 +44,14 @@
     ///
     /// ```
     /// use citron_core::slo::Tally;
-    /// let mut tally = Tally { total: 5, moved: 2, ..Tally::default() };
-    /// tally.merge(&Tally { total: 7, moved: 2, ..Tally::default() });
-    /// assert_eq!((tally.total, tally.moved), (12, 2));
+    /// let mut tally = Tally { requests: 5, shards_moved: 2, ..Tally::default() };
+    /// tally.merge(&Tally { requests: 7, shards_moved: 2, ..Tally::default() });
+    /// assert_eq!((tally.requests, tally.shards_moved), (12, 2));
     /// ```
     pub fn merge(&mut self, other: &Tally) {
-        let moved = self.moved.max(other.moved);
+        let moved = self.shards_moved.max(other.shards_moved);
         *self += other;
-        self.moved = moved;
+        self.shards_moved = moved;
     }
 
     /// Load of the fullest server over the mean, each by its weight; `None` if
@@ -61,7 +61,7 @@
     /// use {citron_core::{id::Weight, slo::Tally}, std::time::Duration};
     /// let busy = [("one", 30), ("two", 20)];
     /// let busy = busy.map(|(name, seconds)| (name.parse().unwrap(), Duration::from_secs(seconds)));
-    /// let tally = Tally { busy: busy.into(), ..Tally::default() };
+    /// let tally = Tally { busy_time: busy.into(), ..Tally::default() };
     /// let weights = [("one", 100), ("two", 100), ("idle", 50)];
     /// let weights = weights.map(|(name, weight)| (name.parse().unwrap(), Weight(weight)));
     /// assert_eq!(tally.imbalance(&weights.into()), Some(1.5));
@@ -69,23 +69,23 @@
     pub fn imbalance(&self, weights: &BTreeMap<ServerName, Weight>) -> Option<f64> {
         let loads = weights.iter().filter(|(_, weight)| weight.0 > 0);
         let loads = loads.map(|(server, weight)| {
-            let busy = self.busy.get(server).copied().unwrap_or_default();
+            let busy = self.busy_time.get(server).copied().unwrap_or_default();
             (busy.as_secs_f64(), f64::from(weight.0))
         });
-        let (mut busy, mut weight, mut most) = (0.0, 0.0, 0.0_f64);
-        for (own, share) in loads {
-            busy += own;
-            weight += share;
-            most = most.max(own / share);
+        let (mut busy, mut weight, mut max) = (0.0, 0.0, 0.0_f64);
+        for (server_busy, server_weight) in loads {
+            busy += server_busy;
+            weight += server_weight;
+            max = max.max(server_busy / server_weight);
         }
-        (busy > 0.0).then(|| most * weight / busy)
+        (busy > 0.0).then(|| max * weight / busy)
     }
 
     /// The share of time and keys that could not be reached, 0 to 1.
-    pub fn closed_share(&self) -> f64 {
-        if self.watched.is_zero() {
+    pub fn unreachable_share(&self) -> f64 {
+        if self.observed.is_zero() {
             return 0.0;
         }
-        self.closed.as_secs_f64() / self.watched.as_secs_f64()
+        self.unreachable.as_secs_f64() / self.observed.as_secs_f64()
     }
 }
--- a/crates/core/src/table/block.rs
+++ b/crates/core/src/table/block.rs
@@ -6,7 +6,7 @@
 };
 
 /// Shards in one block, which is one row: moves within a block share a commit.
-pub const BLOCK_SHARDS: u32 = 64;
+pub const SHARDS_PER_BLOCK: u32 = 64;
 
 /// Number of a block within its service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -17,15 +17,15 @@
     ///
     /// ```
     /// use citron_core::{id::ShardId, table::BlockId};
-    /// assert_eq!(BlockId::of(ShardId(130)), BlockId(2));
+    /// assert_eq!(BlockId::from_shard(ShardId(130)), BlockId(2));
     /// ```
-    pub fn of(shard: ShardId) -> Self {
-        Self(shard.0 / BLOCK_SHARDS)
+    pub fn from_shard(shard: ShardId) -> Self {
+        Self(shard.0 / SHARDS_PER_BLOCK)
     }
 
     /// The first shard of the block.
     pub fn first_shard(self) -> ShardId {
-        ShardId(self.0 * BLOCK_SHARDS)
+        ShardId(self.0 * SHARDS_PER_BLOCK)
     }
 }
 
--- a/crates/core/src/table/commit.rs
+++ b/crates/core/src/table/commit.rs
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HistoryRow {
     /// Who made the edit.
-    pub by: String,
+    pub author: String,
     /// When, since the Unix epoch, by the clock of the instance that took it.
-    pub at: Duration,
+    pub time: Duration,
     /// What changed.
     pub changes: Vec<RowChange>,
 }
@@ -66,14 +66,14 @@
     /// or retires the server that owned nothing yet, and the late commit gives it
     /// shards that then nobody can reach. The version of the server's row has
     /// changed by then, so that the commit is lost and the move decided anew.
-    pub fn new_owners(&self, table: &Table) -> Vec<Check> {
+    pub fn new_owner_checks(&self, table: &Table) -> Vec<Check> {
         let mut servers = BTreeSet::new();
         for write in &self.writes {
             let before = table.get(&write.key).map(|row| row.value.assignments());
             let before = before.unwrap_or_default();
             let after = write.row.as_ref().map(Row::assignments).unwrap_or_default();
-            for (place, assignment) in after.iter().enumerate() {
-                if before.get(place) != Some(assignment) {
+            for (index, assignment) in after.iter().enumerate() {
+                if before.get(index) != Some(assignment) {
                     servers.insert(assignment.next_owner());
                 }
             }
@@ -89,11 +89,11 @@
 
 /// What became of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CommitAnswer {
+pub enum CommitOutcome {
     /// It took effect, once, as this revision.
-    Done(Revision),
+    Committed(Revision),
     /// A row had another version; nothing took effect.
-    Lost {
+    Conflict {
         /// The first such row.
         key: RowKey,
         /// What the row is now.
--- a/crates/core/src/table/domain.rs
+++ b/crates/core/src/table/domain.rs
@@ -11,7 +11,7 @@
     /// ends the wait for its instances.
     Lost {
         /// Who said so.
-        by: String,
+        declared_by: String,
     },
 }
 
--- a/crates/core/src/table/edit.rs
+++ b/crates/core/src/table/edit.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Check, Commit, HistoryRow, Row, RowChange, RowKey, Table, TableError, Versioned, Write,
-        edited::View, initial::initial_blocks, rules,
+        edited::EditedTable, initial::initial_blocks, rules,
     },
     crate::id::{Epoch, Revision, ServiceName},
     std::{
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Edit {
     /// Who makes the edit.
-    pub by: String,
+    pub author: String,
     /// When, since the Unix epoch.
-    pub at: Duration,
+    pub time: Duration,
     /// The rows, each at most once.
     pub rows: Vec<RowEdit>,
 }
@@ -59,25 +59,25 @@
     /// let name = "harbour".parse().unwrap();
     /// let row = Row::Domain(DomainRow { name, state: DomainState::Live, confirmers: Vec::new() });
     /// let rows = vec![RowEdit { key: row.key(), expect: Revision(0), row: Some(row) }];
-    /// let edit = Edit { by: "ann".to_string(), at: Default::default(), rows };
+    /// let edit = Edit { author: "ann".to_string(), time: Default::default(), rows };
     /// let plan = edit.plan(&Table::default()).unwrap();
     /// assert_eq!(plan.commit.writes.len(), 1);
-    /// assert_eq!(plan.commit.history.unwrap().by, "ann");
+    /// assert_eq!(plan.commit.history.unwrap().author, "ann");
     /// ```
     ///
     /// # Errors
-    /// [`TableError::Lost`] if a row has another version than the operator saw,
-    /// [`TableError::Invalid`] if a rule is broken, [`TableError::Size`] if there
+    /// [`TableError::Conflict`] if a row has another version than the operator saw,
+    /// [`TableError::Invalid`] if a rule is broken, [`TableError::EditSize`] if there
     /// are no rows or too many.
     pub fn plan(self, table: &Table) -> Result<EditPlan, TableError> {
         self.check_shape(table)?;
-        let view = View::new(table, &self.rows);
+        let edited = EditedTable::new(table, &self.rows);
         for edit in &self.rows {
-            rules::check(edit, &self.by, &view)?;
+            rules::check(edit, &self.author, &edited)?;
         }
-        let checks = view.checks(&self.rows);
+        let checks = edited.checks(&self.rows);
         let mut writes = self.writes();
-        writes.extend(system_writes(&view, &self.rows));
+        writes.extend(derived_writes(&edited, &self.rows));
         let history = Some(self.history(table));
         let commit = Commit { writes, history };
         Ok(EditPlan { commit, checks })
@@ -87,7 +87,7 @@
         let found = self.rows.len();
         if !(1..=MAX_EDIT_ROWS).contains(&found) {
             let max = MAX_EDIT_ROWS;
-            return Err(TableError::Size { found, max });
+            return Err(TableError::EditSize { found, max });
         }
         let mut seen = BTreeSet::new();
         for edit in &self.rows {
@@ -116,8 +116,8 @@
             after: edit.row,
         });
         HistoryRow {
-            by: self.by,
-            at: self.at,
+            author: self.author,
+            time: self.time,
             changes: changes.collect(),
         }
     }
@@ -129,7 +129,7 @@
     if version == edit.expect {
         return Ok(());
     }
-    Err(TableError::Lost {
+    Err(TableError::Conflict {
         key: edit.key.clone(),
         current: current.cloned().map(Box::new),
     })
@@ -137,18 +137,22 @@
 
 /// Rows of the system that follow from an edit: a service that gets its first
 /// servers has its shards dealt out, a deleted service takes them with it.
-fn system_writes(view: &View<'_>, edits: &[RowEdit]) -> Vec<Write> {
+fn derived_writes(edited: &EditedTable<'_>, edits: &[RowEdit]) -> Vec<Write> {
     let mut writes = Vec::new();
-    for service in touched_services(edits) {
-        let rows = view.assignment_rows(&service);
-        match view.service(&service) {
-            None => writes.extend(deletes(rows)),
+    for service in affected_services(edits) {
+        let rows = edited.assignment_rows(&service);
+        match edited.service(&service) {
+            None => writes.extend(delete_writes(rows)),
             Some(row) if rows.is_empty() => {
                 // Above every epoch that an earlier service of this name can
                 // have used, as each change of owner takes a commit.
-                let epoch = Epoch(view.revision().0 + 1);
-                let blocks = initial_blocks(row, &view.serving(&service), epoch);
-                writes.extend(blocks.into_iter().map(|block| adding(Row::Block(block))));
+                let epoch = Epoch(edited.revision().0 + 1);
+                let blocks = initial_blocks(row, &edited.active_servers(&service), epoch);
+                writes.extend(
+                    blocks
+                        .into_iter()
+                        .map(|block| insert_write(Row::Block(block))),
+                );
             }
             Some(_) => {}
         }
@@ -156,7 +160,7 @@
     writes
 }
 
-fn touched_services(edits: &[RowEdit]) -> BTreeSet<ServiceName> {
+fn affected_services(edits: &[RowEdit]) -> BTreeSet<ServiceName> {
     let names = edits
         .iter()
         .filter_map(|edit| match (&edit.key, &edit.row) {
@@ -167,7 +171,7 @@
     names.collect()
 }
 
-fn deletes(rows: BTreeMap<&RowKey, &Versioned<Row>>) -> Vec<Write> {
+fn delete_writes(rows: BTreeMap<&RowKey, &Versioned<Row>>) -> Vec<Write> {
     let writes = rows.into_iter().map(|(key, row)| Write {
         key: key.clone(),
         expect: row.version,
@@ -176,7 +180,7 @@
     writes.collect()
 }
 
-fn adding(row: Row) -> Write {
+fn insert_write(row: Row) -> Write {
     Write {
         key: row.key(),
         expect: Revision(0),
--- a/crates/core/src/table/edited.rs
+++ b/crates/core/src/table/edited.rs
@@ -13,17 +13,17 @@
 };
 
 /// A table with edits laid over it.
-pub(super) struct View<'a> {
+pub(super) struct EditedTable<'a> {
     table: &'a Table,
     edits: BTreeMap<&'a RowKey, Option<&'a Row>>,
     owners: BTreeSet<&'a ServerName>,
 }
 
-impl<'a> View<'a> {
+impl<'a> EditedTable<'a> {
     pub(super) fn new(table: &'a Table, edits: &'a [RowEdit]) -> Self {
         let mut owners = BTreeSet::new();
         for (_, row) in table.rows() {
-            owners.extend(row.value.assignments().iter().flat_map(named));
+            owners.extend(row.value.assignments().iter().flat_map(owner_names));
         }
         let edits = edits.iter().map(|edit| (&edit.key, edit.row.as_ref()));
         Self {
@@ -51,10 +51,10 @@
 
     /// All rows after the edit.
     pub(super) fn rows(&self) -> impl Iterator<Item = &'a Row> {
-        let kept = self.table.rows();
-        let kept = kept.filter(|(key, _)| !self.edits.contains_key(key));
+        let unchanged = self.table.rows();
+        let unchanged = unchanged.filter(|(key, _)| !self.edits.contains_key(key));
         let edited = self.edits.values().filter_map(|row| *row);
-        kept.map(|(_, row)| &row.value).chain(edited)
+        unchanged.map(|(_, row)| &row.value).chain(edited)
     }
 
     pub(super) fn service(&self, name: &ServiceName) -> Option<&'a ServiceRow> {
@@ -78,12 +78,12 @@
             _ => None,
         });
         let mut servers: Vec<_> = servers.collect();
-        servers.sort_by(|one, other| one.name.cmp(&other.name));
+        servers.sort_by(|a, b| a.name.cmp(&b.name));
         servers
     }
 
     /// Servers that may own shards after the edit.
-    pub(super) fn serving(&self, service: &ServiceName) -> Vec<&'a ServerRow> {
+    pub(super) fn active_servers(&self, service: &ServiceName) -> Vec<&'a ServerRow> {
         let mut servers = self.servers(service);
         servers.retain(|row| row.state == ServerState::Active && row.weight.0 > 0);
         servers
@@ -99,11 +99,11 @@
         &self,
         service: &ServiceName,
     ) -> BTreeMap<&'a RowKey, &'a Versioned<Row>> {
-        let own = self.table.rows().filter(|(key, _)| match key {
+        let rows = self.table.rows().filter(|(key, _)| match key {
             RowKey::Block(name, _) | RowKey::Override(name, _) => name == service,
             _ => false,
         });
-        own.collect()
+        rows.collect()
     }
 
     /// Rows that the rules rested on and that the edit leaves alone.
@@ -112,33 +112,34 @@
         for edit in edits {
             let rows = [edit.row.as_ref(), self.before(&edit.key)];
             for row in rows.into_iter().flatten() {
-                self.rest_on(row, &mut keys);
+                self.add_dependencies(row, &mut keys);
             }
         }
-        let kept = keys.into_iter().filter(|key| !self.edits.contains_key(key));
-        let checks = kept.filter_map(|key| {
+        let unchanged = keys.into_iter().filter(|key| !self.edits.contains_key(key));
+        let checks = unchanged.filter_map(|key| {
             let expect = self.table.get(&key)?.version;
             Some(Check { key, expect })
         });
         checks.collect()
     }
 
-    fn rest_on(&self, row: &Row, keys: &mut BTreeSet<RowKey>) {
+    fn add_dependencies(&self, row: &Row, keys: &mut BTreeSet<RowKey>) {
         let Row::Server(row) = row else { return };
         keys.insert(RowKey::Service(row.service.clone()));
         keys.insert(RowKey::Domain(row.domain.clone()));
         // One server that goes on serving is enough to bear out the rule that
         // a service keeps one.
-        let serving = self.serving(&row.service);
-        let edited = |row: &&&ServerRow| self.edits.contains_key(&RowKey::Server(row.name.clone()));
-        if serving.iter().any(|row| edited(&row)) {
+        let active = self.active_servers(&row.service);
+        let is_edited =
+            |row: &&&ServerRow| self.edits.contains_key(&RowKey::Server(row.name.clone()));
+        if active.iter().any(|row| is_edited(&row)) {
             return;
         }
-        keys.extend(serving.first().map(|row| RowKey::Server(row.name.clone())));
+        keys.extend(active.first().map(|row| RowKey::Server(row.name.clone())));
     }
 }
 
 /// The owner, and the next one.
-fn named(assignment: &Assignment) -> [&ServerName; 2] {
+fn owner_names(assignment: &Assignment) -> [&ServerName; 2] {
     [&assignment.owner, assignment.next_owner()]
 }
--- a/crates/core/src/table/error.rs
+++ b/crates/core/src/table/error.rs
@@ -31,7 +31,7 @@
     },
     /// A row has another version than the one that the edit names.
     #[error("row {key} has changed since")]
-    Lost {
+    Conflict {
         /// The row.
         key: RowKey,
         /// What it is now; `None` if it is not there.
@@ -39,7 +39,7 @@
     },
     /// An edit without rows or with too many.
     #[error("{found} rows in one edit; allowed: 1 to {max}")]
-    Size {
+    EditSize {
         /// How many rows.
         found: usize,
         /// How many are allowed.
--- a/crates/core/src/table/initial.rs
+++ b/crates/core/src/table/initial.rs
@@ -1,7 +1,7 @@
 //! The first owners of a service's shards.
 
 use {
-    super::{BLOCK_SHARDS, BlockId, BlockRow, ServerRow, ServiceRow},
+    super::{BlockId, BlockRow, SHARDS_PER_BLOCK, ServerRow, ServiceRow},
     crate::{
         id::{Epoch, ServerName},
         ownership::Assignment,
@@ -14,12 +14,13 @@
 /// No wait is needed: a shard that nobody owned has no earlier owner that could
 /// still run something.
 pub fn initial_blocks(service: &ServiceRow, servers: &[&ServerRow], epoch: Epoch) -> Vec<BlockRow> {
-    let mut deal = Deal::new(servers);
-    let shards = service.shards.shards();
+    let mut round_robin = RoundRobin::new(servers);
+    let shards = service.shard_bits.shard_count();
     let mut blocks = Vec::new();
-    for first in (0..shards).step_by(BLOCK_SHARDS as usize) {
-        let count = BLOCK_SHARDS.min(shards - first);
-        let owners: Option<Vec<ServerName>> = (0..count).map(|_| deal.next()).collect();
+    for first in (0..shards).step_by(SHARDS_PER_BLOCK as usize) {
+        let count = SHARDS_PER_BLOCK.min(shards - first);
+        let owners: Option<Vec<ServerName>> =
+            (0..count).map(|_| round_robin.next_owner()).collect();
         let Some(owners) = owners else {
             return Vec::new();
         };
@@ -28,7 +29,7 @@
             .map(|owner| Assignment::owned(owner, epoch));
         blocks.push(BlockRow {
             service: service.name.clone(),
-            block: BlockId(first / BLOCK_SHARDS),
+            block: BlockId(first / SHARDS_PER_BLOCK),
             shards: owned.collect(),
         });
     }
@@ -36,12 +37,12 @@
 }
 
 /// Smooth weighted round robin: neighbouring shards go to different servers.
-struct Deal<'a> {
+struct RoundRobin<'a> {
     servers: Vec<(&'a ServerRow, i64)>,
     total: i64,
 }
 
-impl<'a> Deal<'a> {
+impl<'a> RoundRobin<'a> {
     fn new(servers: &[&'a ServerRow]) -> Self {
         let weighted = servers.iter().filter(|row| row.weight.0 > 0);
         let servers: Vec<_> = weighted.map(|row| (*row, 0)).collect();
@@ -49,7 +50,7 @@
         Self { servers, total }
     }
 
-    fn next(&mut self) -> Option<ServerName> {
+    fn next_owner(&mut self) -> Option<ServerName> {
         for (row, credit) in &mut self.servers {
             *credit += i64::from(row.weight.0);
         }
--- a/crates/core/src/table/instance.rs
+++ b/crates/core/src/table/instance.rs
@@ -27,11 +27,11 @@
     /// Its failure domain.
     pub domain: DomainName,
     /// Where it takes callers' requests.
-    pub traffic: SocketAddr,
+    pub traffic_address: SocketAddr,
     /// Where it talks with other instances.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where it takes operators' requests.
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
     /// Where it stands in its life.
     pub state: InstanceState,
     /// The revision in force there when the row was written.
--- a/crates/core/src/table/mod.rs
+++ b/crates/core/src/table/mod.rs
@@ -16,8 +16,8 @@
 mod service;
 
 pub use {
-    block::{BLOCK_SHARDS, BlockId, BlockRow, OverrideRow},
-    commit::{Changes, Check, Commit, CommitAnswer, HistoryRow, RowChange, Write},
+    block::{BlockId, BlockRow, OverrideRow, SHARDS_PER_BLOCK},
+    commit::{Changes, Check, Commit, CommitOutcome, HistoryRow, RowChange, Write},
     domain::{Confirmer, DomainRow, DomainState},
     edit::{Edit, EditPlan, MAX_EDIT_ROWS, RowEdit},
     error::TableError,
@@ -26,5 +26,5 @@
     replica::Table,
     row::{Row, RowKey, Versioned},
     server::{Fencing, ServerRow, ServerState},
-    service::{KeyRule, MoveBudget, Objectives, ServiceRow},
+    service::{KeySource, MoveBudget, Objectives, ServiceRow},
 };
--- a/crates/core/src/table/rules/service.rs
+++ b/crates/core/src/table/rules/service.rs
@@ -2,80 +2,96 @@
 
 use {
     super::Rules,
-    crate::table::{KeyRule, Row, ServiceRow, TableError},
+    crate::table::{KeySource, Row, ServiceRow, TableError},
     std::{ops::RangeInclusive, time::Duration},
 };
 
 /// Shards a minute that may move for balance.
-const MOVES: RangeInclusive<u32> = 0..=100_000;
+const SHARDS_PER_MINUTE: RangeInclusive<u32> = 0..=100_000;
 /// Load of the fullest server over the mean, in percent.
-const THRESHOLD: RangeInclusive<u32> = 101..=1_000;
+const THRESHOLD_PERCENT: RangeInclusive<u32> = 101..=1_000;
 /// Requests of a million.
-const MILLION: RangeInclusive<u32> = 0..=1_000_000;
+const PER_MILLION: RangeInclusive<u32> = 0..=1_000_000;
 /// Time a request may take, in milliseconds.
-const DEADLINE: RangeInclusive<u128> = 10..=3_600_000;
+const DEADLINE_MS: RangeInclusive<u128> = 10..=3_600_000;
 /// How long a cut-off domain may go on serving, in milliseconds.
-const GRACE: RangeInclusive<u128> = 0..=3_600_000;
+const GRACE_MS: RangeInclusive<u128> = 0..=3_600_000;
 /// The last path segment that may hold the key.
 const MAX_SEGMENT: usize = 31;
 /// The longest path prefix, in bytes.
-const MAX_PREFIX: usize = 256;
+const MAX_PREFIX_BYTES: usize = 256;
 /// The longest host name, in bytes; the limit of DNS.
-const MAX_HOST: usize = 253;
+const MAX_HOST_BYTES: usize = 253;
 /// The most host names of one service.
 const MAX_HOSTS: usize = 64;
 
 impl Rules<'_> {
-    pub(super) fn service(&self, row: &ServiceRow) -> Result<(), TableError> {
-        self.service_route(row)?;
-        self.service_key(row)?;
-        self.range("deadline_ms", row.deadline.as_millis(), DEADLINE)?;
-        self.range("grace_ms", row.grace.as_millis(), GRACE)?;
-        self.range("moves_minute", row.moves.minute, MOVES)?;
-        self.range("moves_threshold", row.moves.threshold, THRESHOLD)?;
-        self.range("slo_failures", row.objectives.failures, MILLION)?;
-        self.range("slo_slower", row.objectives.slower, MILLION)?;
+    pub(super) fn check_service(&self, row: &ServiceRow) -> Result<(), TableError> {
+        self.check_route(row)?;
+        self.check_key_source(row)?;
+        self.check_range("deadline_ms", row.deadline.as_millis(), DEADLINE_MS)?;
+        self.check_range("grace_ms", row.grace.as_millis(), GRACE_MS)?;
+        self.check_range(
+            "moves_minute",
+            row.move_budget.shards_per_minute,
+            SHARDS_PER_MINUTE,
+        )?;
+        self.check_range(
+            "moves_threshold",
+            row.move_budget.threshold_percent,
+            THRESHOLD_PERCENT,
+        )?;
+        self.check_range(
+            "slo_failures",
+            row.objectives.failures_per_million,
+            PER_MILLION,
+        )?;
+        self.check_range("slo_slower", row.objectives.slow_per_million, PER_MILLION)?;
         let latency = row.objectives.latency;
         if latency < Duration::from_millis(1) || latency > row.deadline {
             let found = latency.as_millis().to_string();
-            return self.broken("slo_latency_ms", &found, "1 to the deadline");
+            return self.reject("slo_latency_ms", &found, "1 to the deadline");
         }
-        self.service_fixed(row)
+        self.check_service_immutable(row)
     }
 
-    fn service_route(&self, row: &ServiceRow) -> Result<(), TableError> {
-        let plain = |c: char| c.is_ascii_graphic() && !"?#".contains(c);
-        let valid = row.prefix.starts_with('/') && row.prefix.chars().all(plain);
-        if !valid || row.prefix.len() > MAX_PREFIX {
-            return self.broken(
+    fn check_route(&self, row: &ServiceRow) -> Result<(), TableError> {
+        let is_allowed = |c: char| c.is_ascii_graphic() && !"?#".contains(c);
+        let valid = row.prefix.starts_with('/') && row.prefix.chars().all(is_allowed);
+        if !valid || row.prefix.len() > MAX_PREFIX_BYTES {
+            return self.reject(
                 "prefix",
                 &row.prefix,
                 "a path of at most 256 bytes from '/' on",
             );
         }
-        let host = |c: char| c.is_ascii_alphanumeric() || "-.:[]".contains(c);
-        let bad_host =
-            |name: &&String| name.is_empty() || name.len() > MAX_HOST || !name.chars().all(host);
-        if let Some(found) = row.hosts.iter().find(bad_host) {
-            return self.broken("hosts", found, "host names of at most 253 bytes");
+        let is_host_char = |c: char| c.is_ascii_alphanumeric() || "-.:[]".contains(c);
+        let is_invalid = |name: &&String| {
+            name.is_empty() || name.len() > MAX_HOST_BYTES || !name.chars().all(is_host_char)
+        };
+        if let Some(found) = row.hosts.iter().find(is_invalid) {
+            return self.reject("hosts", found, "host names of at most 253 bytes");
         }
-        self.range("hosts", row.hosts.len(), 0..=MAX_HOSTS)?;
-        self.unique_route(row)
+        self.check_range("hosts", row.hosts.len(), 0..=MAX_HOSTS)?;
+        self.check_unique_route(row)
     }
 
     /// Two services under one route would leave it to chance which one answers.
-    fn unique_route(&self, row: &ServiceRow) -> Result<(), TableError> {
-        let shared = |other: &ServiceRow| match (row.hosts.is_empty(), other.hosts.is_empty()) {
+    fn check_unique_route(&self, row: &ServiceRow) -> Result<(), TableError> {
+        let shares_host = |other: &ServiceRow| match (row.hosts.is_empty(), other.hosts.is_empty())
+        {
             (true, true) => true,
-            (false, false) => row
-                .hosts
-                .iter()
-                .any(|host| other.hosts.iter().any(|o| o.eq_ignore_ascii_case(host))),
+            (false, false) => row.hosts.iter().any(|host| {
+                other
+                    .hosts
+                    .iter()
+                    .any(|other_host| other_host.eq_ignore_ascii_case(host))
+            }),
             _ => false,
         };
-        let same = self.view.rows().find_map(|other| match other {
+        let same = self.edited.rows().find_map(|other| match other {
             Row::Service(other) if other.name != row.name && other.prefix == row.prefix => {
-                shared(other).then_some(&other.name)
+                shares_host(other).then_some(&other.name)
             }
             _ => None,
         });
@@ -83,37 +99,42 @@
             None => Ok(()),
             Some(name) => {
                 let found = format!("{} as service/{name}", row.prefix);
-                self.broken("prefix", &found, "a route no other service has")
+                self.reject("prefix", &found, "a route no other service has")
             }
         }
     }
 
-    fn service_key(&self, row: &ServiceRow) -> Result<(), TableError> {
-        match &row.key {
-            KeyRule::Header(name) if !is_token(name) => {
-                return self.broken("key", name, "a header name");
+    fn check_key_source(&self, row: &ServiceRow) -> Result<(), TableError> {
+        match &row.key_source {
+            KeySource::Header(name) if !is_token(name) => {
+                return self.reject("key", name, "a header name");
             }
-            KeyRule::Segment(number) => self.range("key", *number, 0..=MAX_SEGMENT)?,
-            KeyRule::Header(_) => {}
+            KeySource::Segment(number) => self.check_range("key", *number, 0..=MAX_SEGMENT)?,
+            KeySource::Header(_) => {}
         }
-        let upper = |method: &str| is_token(method) && method == method.to_ascii_uppercase();
-        match row.idempotent.iter().find(|method| !upper(method)) {
+        let is_uppercase_token =
+            |method: &str| is_token(method) && method == method.to_ascii_uppercase();
+        match row
+            .idempotent_methods
+            .iter()
+            .find(|method| !is_uppercase_token(method))
+        {
             None => Ok(()),
-            Some(method) => self.broken("idempotent", method, "methods in capitals"),
+            Some(method) => self.reject("idempotent", method, "methods in capitals"),
         }
     }
 
     /// What may not change once shards have owners.
-    fn service_fixed(&self, row: &ServiceRow) -> Result<(), TableError> {
-        let Some(Row::Service(before)) = self.view.before(self.key) else {
+    fn check_service_immutable(&self, row: &ServiceRow) -> Result<(), TableError> {
+        let Some(Row::Service(before)) = self.edited.before(self.key) else {
             return Ok(());
         };
-        if self.view.assignment_rows(&row.name).is_empty() {
+        if self.edited.assignment_rows(&row.name).is_empty() {
             return Ok(());
         }
-        if before.shards != row.shards {
-            let allowed = format!("{}, as the service owns shards", before.shards);
-            return self.broken("shard_bits", &row.shards.to_string(), &allowed);
+        if before.shard_bits != row.shard_bits {
+            let allowed = format!("{}, as the service owns shards", before.shard_bits);
+            return self.reject("shard_bits", &row.shard_bits.to_string(), &allowed);
         }
         // A cut-off instance goes on under the grace that it knows. A mover that
         // counted on a shorter one would give its shards away too early, and two
@@ -123,7 +144,7 @@
                 "at least {}, as the service owns shards",
                 before.grace.as_millis()
             );
-            return self.broken("grace_ms", &row.grace.as_millis().to_string(), &allowed);
+            return self.reject("grace_ms", &row.grace.as_millis().to_string(), &allowed);
         }
         Ok(())
     }
@@ -131,6 +152,6 @@
 
 /// A token of HTTP, as header names and methods are.
 fn is_token(text: &str) -> bool {
-    let allowed = |c: char| c.is_ascii_alphanumeric() || "!#$%&'*+-.^_`|~".contains(c);
-    !text.is_empty() && text.len() <= 64 && text.chars().all(allowed)
+    let is_token_char = |c: char| c.is_ascii_alphanumeric() || "!#$%&'*+-.^_`|~".contains(c);
+    !text.is_empty() && text.len() <= 64 && text.chars().all(is_token_char)
 }
--- a/crates/core/src/table/server.rs
+++ b/crates/core/src/table/server.rs
@@ -39,11 +39,11 @@
     /// Its share of the service's load.
     pub weight: Weight,
     /// Requests a second it may get, if an operator caps it.
-    pub cap: Option<u32>,
+    pub rate_cap: Option<u32>,
     /// Requests it runs at a time.
     pub slots: Slots,
     /// Connections it bears from all instances together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Whether it checks fencing tokens.
     pub fencing: Fencing,
     /// What the operator wants of it.
--- a/crates/core/src/table/service.rs
+++ b/crates/core/src/table/service.rs
@@ -7,7 +7,7 @@
 
 /// Where a request carries its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KeyRule {
+pub enum KeySource {
     /// In the header of this name.
     Header(String),
     /// In the path: segment 0 is the one after the first slash.
@@ -18,21 +18,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MoveBudget {
     /// Shards a minute.
-    pub minute: u32,
+    pub shards_per_minute: u32,
     /// Load of the fullest server over the mean, in percent, that a move for
     /// balance needs to begin.
-    pub threshold: u32,
+    pub threshold_percent: u32,
 }
 
 /// What the service promises its callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Objectives {
     /// Requests per million that may fail.
-    pub failures: u32,
+    pub failures_per_million: u32,
     /// Latency that counts as good.
     pub latency: Duration,
     /// Requests per million that may be slower.
-    pub slower: u32,
+    pub slow_per_million: u32,
 }
 
 /// A service: requests of one operator that are divided by key.
@@ -47,11 +47,11 @@
     /// Paths it answers to begin with this.
     pub prefix: String,
     /// Where its requests carry their key.
-    pub key: KeyRule,
+    pub key_source: KeySource,
     /// Methods whose requests may run more than once.
-    pub idempotent: Vec<String>,
+    pub idempotent_methods: Vec<String>,
     /// How many shards its keys are divided into; fixed for its life.
-    pub shards: ShardBits,
+    pub shard_bits: ShardBits,
     /// Time a request may take, unless its caller asks for less.
     pub deadline: Duration,
     /// How long an instance that is cut off from the platform goes on serving
@@ -59,7 +59,7 @@
     /// domain serving; a key whose owner and instances all vanish waits as long.
     pub grace: Duration,
     /// How fast shards move.
-    pub moves: MoveBudget,
+    pub move_budget: MoveBudget,
     /// What it promises.
     pub objectives: Objectives,
 }
--- a/crates/core/src/time/store_clock.rs
+++ b/crates/core/src/time/store_clock.rs
@@ -46,10 +46,10 @@
 }
 
 /// Answers that are remembered: some seconds of a planner's reading.
-const KEPT: usize = 16;
+const MAX_READINGS: usize = 16;
 /// How much slower this process's clock may run than the store's, as a part: that
 /// of the backend servers' clocks, for want of another figure.
-const SLOW: f64 = 0.02;
+const MAX_CLOCK_DRIFT: f64 = 0.02;
 
 /// What the store's answers told of its clock.
 ///
@@ -62,53 +62,63 @@
 /// use {citron_core::time::{StoreClock, StoreTime, Time}, std::time::Duration};
 /// let at = |millis: u64| Time::from_micros(millis * 1_000);
 /// let mut clock = StoreClock::default();
-/// clock.heard(at(100), at(110), StoreTime(5_000));
-/// assert_eq!(clock.after(at(90)), Some(StoreTime(5_000)));
-/// assert_eq!(clock.after(at(101)), None);
+/// clock.record(at(100), at(110), StoreTime(5_000));
+/// assert_eq!(clock.at_or_after(at(90)), Some(StoreTime(5_000)));
+/// assert_eq!(clock.at_or_after(at(101)), None);
 /// assert!(clock.is_past(StoreTime(5_050), at(170)));
 /// assert!(!clock.is_past(StoreTime(5_060), at(170)));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct StoreClock {
-    answers: VecDeque<Answer>,
+    readings: VecDeque<Reading>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Answer {
-    begun: Time,
-    came: Time,
-    told: StoreTime,
+struct Reading {
+    sent: Time,
+    received: Time,
+    store_time: StoreTime,
 }
 
 impl StoreClock {
     /// An answer to a call that began at `begun` came at `came` and told a time.
-    pub fn heard(&mut self, begun: Time, came: Time, told: StoreTime) {
-        if self.answers.len() == KEPT {
-            self.answers.pop_front();
+    pub fn record(&mut self, sent: Time, received: Time, store_time: StoreTime) {
+        if self.readings.len() == MAX_READINGS {
+            self.readings.pop_front();
         }
-        self.answers.push_back(Answer { begun, came, told });
+        self.readings.push_back(Reading {
+            sent,
+            received,
+            store_time,
+        });
     }
 
     /// A time of the store that is surely not before a moment here; `None` until
     /// an answer has come to a call that began after it.
-    pub fn after(&self, moment: Time) -> Option<StoreTime> {
-        let later = self.answers.iter().filter(|answer| answer.begun >= moment);
-        later.map(|answer| answer.told).min()
+    pub fn at_or_after(&self, moment: Time) -> Option<StoreTime> {
+        let later = self
+            .readings
+            .iter()
+            .filter(|reading| reading.sent >= moment);
+        later.map(|reading| reading.store_time).min()
     }
 
     /// Whether a time of the store has surely passed.
     pub fn is_past(&self, time: StoreTime, now: Time) -> bool {
-        self.left(time, now).is_some_and(|left| left.is_zero())
+        self.time_until(time, now)
+            .is_some_and(|remaining| remaining.is_zero())
     }
 
     /// How long it takes at most until a time of the store has passed; `None` if
     /// nothing is known of its clock.
-    pub fn left(&self, time: StoreTime, now: Time) -> Option<Duration> {
-        let left = |answer: &Answer| {
-            let since = (now - answer.came).mul_f64(1.0 - SLOW);
-            let left = Duration::from_millis(time.0.saturating_sub(answer.told.0));
-            left.saturating_sub(since).mul_f64(1.0 + SLOW)
+    pub fn time_until(&self, time: StoreTime, now: Time) -> Option<Duration> {
+        let remaining = |reading: &Reading| {
+            let since = (now - reading.received).mul_f64(1.0 - MAX_CLOCK_DRIFT);
+            let remaining = Duration::from_millis(time.0.saturating_sub(reading.store_time.0));
+            remaining
+                .saturating_sub(since)
+                .mul_f64(1.0 + MAX_CLOCK_DRIFT)
         };
-        self.answers.iter().map(left).min()
+        self.readings.iter().map(remaining).min()
     }
 }
--- a/crates/core/tests/alternatives/cluster.rs
+++ b/crates/core/tests/alternatives/cluster.rs
@@ -10,7 +10,7 @@
         ownership::Scope,
         table::{
             Changes, Commit, Confirmer, DomainRow, DomainState, Fencing, InstanceRow,
-            InstanceState, KeyRule, MoveBudget, Objectives, Row, ServerRow, ServerState,
+            InstanceState, KeySource, MoveBudget, Objectives, Row, ServerRow, ServerState,
             ServiceRow, Table, initial_blocks,
         },
     },
@@ -55,9 +55,9 @@
         domain: format!("domain-{}", number % DOMAINS).parse().unwrap(),
         address: address(),
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 64,
+        max_connections: 64,
         fencing: Fencing::Unchecked,
         state: ServerState::Active,
     }
@@ -68,9 +68,9 @@
         id: format!("instance-{number}").parse().unwrap(),
         incarnation: Incarnation(number as u64 + 1),
         domain: format!("domain-{}", number % DOMAINS).parse().unwrap(),
-        traffic: address(),
-        peer: address(),
-        admin: address(),
+        traffic_address: address(),
+        peer_address: address(),
+        admin_address: address(),
         state: InstanceState::Live,
         revision: Revision(0),
     }
@@ -95,19 +95,19 @@
         operator: "authority".parse().unwrap(),
         hosts: Vec::new(),
         prefix: "/".to_string(),
-        key: KeyRule::Segment(0),
-        idempotent: Vec::new(),
-        shards: ShardBits::new(BITS).unwrap(),
+        key_source: KeySource::Segment(0),
+        idempotent_methods: Vec::new(),
+        shard_bits: ShardBits::new(BITS).unwrap(),
         deadline: DEADLINE,
         grace,
-        moves: MoveBudget {
-            minute: 12,
-            threshold: 120,
+        move_budget: MoveBudget {
+            shards_per_minute: 12,
+            threshold_percent: 120,
         },
         objectives: Objectives {
-            failures: 100,
+            failures_per_million: 100,
             latency: Duration::from_millis(250),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     }
 }
@@ -201,7 +201,7 @@
     }
 
     fn key(rank: usize) -> KeyHash {
-        KeyHash::of(format!("set-{rank}").as_bytes())
+        KeyHash::from_key(format!("set-{rank}").as_bytes())
     }
 
     pub fn shard(key: KeyHash) -> usize {
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -244,7 +244,7 @@
     View {
         servers: servers.collect(),
         scopes: scopes.collect(),
-        moves: row.moves,
+        moves: row.move_budget,
     }
 }
 
--- a/crates/core/tests/edit.rs
+++ b/crates/core/tests/edit.rs
@@ -5,7 +5,7 @@
         id::{Epoch, Revision, ServerName, ShardBits, ShardId, Slots, Weight},
         ownership::{Assignment, Phase, Scope, begin_move},
         table::{
-            BlockRow, Changes, Check, DomainRow, DomainState, Edit, EditPlan, Fencing, KeyRule,
+            BlockRow, Changes, Check, DomainRow, DomainState, Edit, EditPlan, Fencing, KeySource,
             MoveBudget, Objectives, Row, RowEdit, RowKey, ServerRow, ServerState, ServiceRow,
             Table, TableError, initial_blocks,
         },
@@ -20,19 +20,19 @@
         operator: "authority".parse().unwrap(),
         hosts: Vec::new(),
         prefix: format!("/{name}"),
-        key: KeyRule::Segment(1),
-        idempotent: vec!["GET".to_string()],
-        shards: ShardBits::new(7).unwrap(),
+        key_source: KeySource::Segment(1),
+        idempotent_methods: vec!["GET".to_string()],
+        shard_bits: ShardBits::new(7).unwrap(),
         deadline: Duration::from_secs(5),
         grace: Duration::from_secs(30),
-        moves: MoveBudget {
-            minute: 10,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 10,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1_000,
+            failures_per_million: 1_000,
             latency: Duration::from_millis(100),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     }
 }
@@ -44,9 +44,9 @@
         domain: "harbour".parse().unwrap(),
         address: ([127, 0, 0, 1], 9_000 + number).into(),
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Checked,
         state: ServerState::Active,
     }
@@ -80,9 +80,9 @@
 }
 
 fn plan(table: &Table, rows: Vec<RowEdit>) -> Result<EditPlan, TableError> {
-    let by = "ann".to_string();
-    let at = Duration::ZERO;
-    Edit { by, at, rows }.plan(table)
+    let author = "ann".to_string();
+    let time = Duration::ZERO;
+    Edit { author, time, rows }.plan(table)
 }
 
 fn apply(table: &mut Table, rows: Vec<RowEdit>) {
@@ -146,7 +146,9 @@
 #[test]
 fn broken_rules_name_row_field_and_what_is_allowed() {
     let table = deployment();
-    let lost = |by: &str| DomainState::Lost { by: by.to_string() };
+    let lost = |by: &str| DomainState::Lost {
+        declared_by: by.to_string(),
+    };
     let block = table
         .rows()
         .find(|(key, _)| matches!(key, RowKey::Block(..)));
@@ -161,8 +163,8 @@
             "unknown domain",
             edited(4, |row| row.domain = "moon".parse().unwrap()),
         ),
-        ("cap of nothing", edited(3, |row| row.cap = Some(0))),
-        ("no connections", edited(3, |row| row.connections = 0)),
+        ("cap of nothing", edited(3, |row| row.rate_cap = Some(0))),
+        ("no connections", edited(3, |row| row.max_connections = 0)),
         ("no port", edited(3, |row| row.address.set_port(0))),
         (
             "same address",
@@ -187,7 +189,7 @@
         ),
         (
             "shard count",
-            changed(|row| row.shards = ShardBits::new(8).unwrap()),
+            changed(|row| row.shard_bits = ShardBits::new(8).unwrap()),
         ),
         (
             "shorter grace",
@@ -205,7 +207,10 @@
             "slow objective",
             changed(|row| row.objectives.latency = Duration::from_secs(6)),
         ),
-        ("low threshold", changed(|row| row.moves.threshold = 100)),
+        (
+            "low threshold",
+            changed(|row| row.move_budget.threshold_percent = 100),
+        ),
         ("no prefix", changed(|row| row.prefix = "kegs".to_string())),
         (
             "same route",
@@ -217,11 +222,11 @@
         ),
         (
             "bad header",
-            changed(|row| row.key = KeyRule::Header("a b".to_string())),
+            changed(|row| row.key_source = KeySource::Header("a b".to_string())),
         ),
         (
             "bad method",
-            changed(|row| row.idempotent = vec!["get".to_string()]),
+            changed(|row| row.idempotent_methods = vec!["get".to_string()]),
         ),
         (
             "lost by another",
@@ -271,7 +276,7 @@
     let rows = vec![put(&table, edited(3, |row| row.weight = Weight(7)))];
     apply(&mut table, rows);
     let error = plan(&table, vec![other, stale]).unwrap_err();
-    let TableError::Lost { key, current } = error else {
+    let TableError::Conflict { key, current } = error else {
         panic!("{error}");
     };
     assert_eq!(key.to_string(), "server/server-3");
@@ -395,7 +400,7 @@
         weights in prop::collection::vec(0_u32..=10_000, 1..12),
     ) {
         let mut row = service("kegs");
-        row.shards = ShardBits::new(bits).unwrap();
+        row.shard_bits = ShardBits::new(bits).unwrap();
         let servers: Vec<_> = weights.iter().enumerate().map(|(number, weight)| {
             ServerRow { weight: Weight(*weight), ..server(number as u16) }
         }).collect();
@@ -406,10 +411,10 @@
             return Ok(());
         }
         let dealt: Vec<&Assignment> = blocks.iter().flat_map(|block: &BlockRow| &block.shards).collect();
-        prop_assert_eq!(dealt.len(), row.shards.shards() as usize);
+        prop_assert_eq!(dealt.len(), row.shard_bits.shard_count() as usize);
         for server in &servers {
             let own = dealt.iter().filter(|shard| shard.owner == server.name).count() as f64;
-            let share = f64::from(row.shards.shards()) * f64::from(server.weight.0) / f64::from(total);
+            let share = f64::from(row.shard_bits.shard_count()) * f64::from(server.weight.0) / f64::from(total);
             prop_assert!((own - share).abs() <= 1.0, "{} has {own}, its share is {share}", server.name);
         }
     }
@@ -424,7 +429,7 @@
     let service = "kegs".parse().unwrap();
     let scope = Scope::Shard(ShardId(0));
     let late = begin_move(&table, &service, scope, &"server-3".parse().unwrap()).unwrap();
-    let checks = late.new_owners(&table);
+    let checks = late.new_owner_checks(&table);
     let rows = vec![delete(&table, "server/server-3")];
     apply(&mut table, rows);
     let lost = |check: &Check| table.get(&check.key).map(|row| row.version) != Some(check.expect);
--- a/crates/core/tests/fetches.rs
+++ b/crates/core/tests/fetches.rs
@@ -51,13 +51,13 @@
         for ((fetch, left), sends) in self.open.iter_mut().zip(sending) {
             if sends {
                 *left -= part;
-                self.fetches.progressed(*fetch, now);
+                self.fetches.record_progress(*fetch, now);
             }
         }
     }
 
     fn give_up(&mut self, now: Time) {
-        let over = |fetch: &Fetch| self.fetches.remaining(*fetch, now).is_zero();
+        let over = |fetch: &Fetch| self.fetches.time_until_idle(*fetch, now).is_zero();
         let over: Vec<Fetch> = self.open.iter().map(|open| open.0).filter(over).collect();
         self.open.retain(|(fetch, _)| !over.contains(fetch));
         for fetch in over {
@@ -118,13 +118,13 @@
     let mut fetches = Fetches::<1>::new(FetchTimes::STANDARD);
     let first = fetches.begin(0, at(0)).unwrap();
     for millis in (0..1_500).step_by(50) {
-        fetches.progressed(first, at(millis));
+        fetches.record_progress(first, at(millis));
         assert!(fetches.begin(0, at(millis)).is_none());
     }
-    fetches.progressed(first, at(1_550));
+    fetches.record_progress(first, at(1_550));
     assert!(!fetches.is_arriving(0, at(1_551)));
     assert!(fetches.begin(0, at(1_551)).is_some());
-    assert!(!fetches.remaining(first, at(1_552)).is_zero());
+    assert!(!fetches.time_until_idle(first, at(1_552)).is_zero());
 }
 
 /// Guards against a question to the store about a table that is arriving already.
@@ -133,7 +133,7 @@
     let mut fetches = Fetches::<1>::new(FetchTimes::STANDARD);
     let fetch = fetches.begin(0, at(0)).unwrap();
     assert!(!fetches.is_arriving(0, at(1)));
-    fetches.progressed(fetch, at(2));
+    fetches.record_progress(fetch, at(2));
     assert!(fetches.is_arriving(0, at(3)));
     assert!(!fetches.is_arriving(0, at(2_000)));
     fetches.end(fetch);
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -83,7 +83,7 @@
             version: 1,
             hears: true,
             look: phase(HEAR.poll_interval),
-            beat: phase(HEAR.heartbeat),
+            beat: phase(HEAR.heartbeat_interval),
             rounds: 0,
             hurry: false,
         });
@@ -159,12 +159,19 @@
             return;
         }
         self.calls += 1;
-        let call = if instance.hears { HEAR.call } else { GIVEN_UP };
+        let call = if instance.hears {
+            HEAR.call_duration
+        } else {
+            GIVEN_UP
+        };
         instance.look = now + call;
         if !instance.hears {
-            return instance.fresh.failed(role, 1.0, now + call);
+            return instance.fresh.record_failure(role, 1.0, now + call);
         }
-        let slow = Duration::from_millis(self.rng.random_range(4..HEAR.call.as_millis() as u64));
+        let slow = Duration::from_millis(
+            self.rng
+                .random_range(4..HEAR.call_duration.as_millis() as u64),
+        );
         let (begun, version) = (now, self.version);
         self.after(
             slow,
@@ -179,7 +186,7 @@
     fn beat(&mut self, me: usize) {
         let instance = &mut self.instances[me];
         let all = std::mem::take(&mut instance.hurry);
-        instance.beat = self.now + HEAR.heartbeat;
+        instance.beat = self.now + HEAR.heartbeat_interval;
         instance.rounds += 1;
         let far = all
             || instance
@@ -280,7 +287,7 @@
         longest = longest.max(late);
     }
     // Else the sum would hold for want of a hard case.
-    assert!(longest > TIMES.follower, "{longest:?}");
+    assert!(longest > TIMES.follower_interval, "{longest:?}");
 }
 
 /// Who does not hear: all but one, the ones that ask first, the planner, or anyone.
@@ -332,7 +339,7 @@
     }
     assert_eq!(fresh.record_read(0, at(25_000)), None);
     let gap = fresh.record_read(0, at(27_000)).unwrap();
-    assert_eq!(gap.span, Duration::from_secs(2));
+    assert_eq!(gap.duration, Duration::from_secs(2));
     assert_eq!(gap.end, at(27_000));
 }
 
@@ -347,7 +354,11 @@
         }
         world.longest = Duration::ZERO;
         world.run(Duration::from_secs(10), |_| false);
-        assert!(world.longest < TIMES.outage, "{one}: {:?}", world.longest);
+        assert!(
+            world.longest < TIMES.outage_age,
+            "{one}: {:?}",
+            world.longest
+        );
     }
 }
 
--- a/crates/core/tests/guards.rs
+++ b/crates/core/tests/guards.rs
@@ -7,7 +7,7 @@
         id::{Revision, ServerName, ShardBits, Slots, Weight},
         routing::{Point, Reason, RouteMap},
         table::{
-            Changes, Fencing, KeyRule, MoveBudget, Objectives, Row, ServerRow, ServerState,
+            Changes, Fencing, KeySource, MoveBudget, Objectives, Row, ServerRow, ServerState,
             ServiceRow, Table,
         },
         time::Time,
@@ -32,19 +32,19 @@
         operator: "shop".parse().unwrap(),
         hosts: Vec::new(),
         prefix: "/".to_string(),
-        key: KeyRule::Segment(0),
-        idempotent: vec!["GET".to_string()],
-        shards: ShardBits::new(2).unwrap(),
+        key_source: KeySource::Segment(0),
+        idempotent_methods: vec!["GET".to_string()],
+        shard_bits: ShardBits::new(2).unwrap(),
         deadline: Duration::from_secs(1),
         grace: Duration::from_secs(5),
-        moves: MoveBudget {
-            minute: 1,
-            threshold: 120,
+        move_budget: MoveBudget {
+            shards_per_minute: 1,
+            threshold_percent: 120,
         },
         objectives: Objectives {
-            failures: 1,
+            failures_per_million: 1,
             latency: HELD,
-            slower: 1,
+            slow_per_million: 1,
         },
     }
 }
@@ -56,9 +56,9 @@
         domain: "domain-1".parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Unchecked,
         state: ServerState::Active,
     }
--- a/crates/core/tests/leadership.rs
+++ b/crates/core/tests/leadership.rs
@@ -2,7 +2,7 @@
 
 use {
     citron_core::{
-        freshness::{HolderSilence, LOST, StoreHealth},
+        freshness::{HEARTBEAT_TIMEOUT, HolderLiveness, StoreHealth},
         time::Time,
     },
     std::time::Duration,
@@ -16,10 +16,10 @@
 /// takes its leadership over, one after the other.
 #[test]
 fn a_claim_is_a_sign_of_life() {
-    let mut instances: Vec<HolderSilence> = (0..985).map(|_| HolderSilence::new(at(0))).collect();
+    let mut instances: Vec<HolderLiveness> = (0..985).map(|_| HolderLiveness::new(at(0))).collect();
     // Claimed 1.6 s after the start, and heard by the last of them 1.2 s later.
-    let lost = |silence: &mut HolderSilence, millis: u64| {
-        silence.observe(230, at(millis));
+    let lost = |silence: &mut HolderLiveness, millis: u64| {
+        silence.record_claim(230, at(millis));
         silence.is_lost(None, at(millis))
     };
     for millis in (1_600..2_800).step_by(200) {
@@ -33,11 +33,14 @@
 /// A holder that is gone for good is replaced as soon as its silence tells.
 #[test]
 fn a_holder_that_falls_silent_is_lost_in_time() {
-    let mut silence = HolderSilence::new(at(0));
-    silence.observe(7, at(100));
+    let mut silence = HolderLiveness::new(at(0));
+    silence.record_claim(7, at(100));
     let heard = at(5_000);
-    assert!(!silence.is_lost(Some(heard), heard + LOST));
-    assert!(silence.is_lost(Some(heard), heard + LOST + Duration::from_millis(1)));
+    assert!(!silence.is_lost(Some(heard), heard + HEARTBEAT_TIMEOUT));
+    assert!(silence.is_lost(
+        Some(heard),
+        heard + HEARTBEAT_TIMEOUT + Duration::from_millis(1)
+    ));
 }
 
 /// Guards against a change of planner for each answer of the store that is lost, while most
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -7,7 +7,7 @@
         ownership::{Assignment, Scope},
         table::{
             BlockId, BlockRow, Changes, Commit, DomainRow, DomainState, Fencing, InstanceRow,
-            InstanceState, KeyRule, MoveBudget, Objectives, Row, ServerRow, ServerState,
+            InstanceState, KeySource, MoveBudget, Objectives, Row, ServerRow, ServerState,
             ServiceRow, Table, Write,
         },
     },
@@ -125,9 +125,9 @@
         id: INSTANCES[number].parse().unwrap(),
         incarnation: Incarnation(incarnation),
         domain: domain(far),
-        traffic: address,
-        peer: address,
-        admin: address,
+        traffic_address: address,
+        peer_address: address,
+        admin_address: address,
         state: InstanceState::Live,
         revision: Revision(0),
     }
@@ -166,9 +166,9 @@
         domain: domain(far),
         address: "127.0.0.1:1".parse().unwrap(),
         weight: "1".parse().unwrap(),
-        cap: None,
+        rate_cap: None,
         slots: "4".parse().unwrap(),
-        connections: 4,
+        max_connections: 4,
         // The second owner runs whatever it is given, which is the worst.
         fencing: match setup.fenced && !far {
             true => Fencing::Checked,
@@ -184,19 +184,19 @@
         operator: "authority".parse().unwrap(),
         hosts: Vec::new(),
         prefix: "/".to_string(),
-        key: KeyRule::Segment(0),
-        idempotent: Vec::new(),
-        shards: ShardBits::new(0).unwrap(),
+        key_source: KeySource::Segment(0),
+        idempotent_methods: Vec::new(),
+        shard_bits: ShardBits::new(0).unwrap(),
         deadline: Duration::from_secs(setup.deadline.into()),
         grace: GRACE,
-        moves: MoveBudget {
-            minute: 1,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 1,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1,
+            failures_per_million: 1,
             latency: Duration::from_millis(1),
-            slower: 1,
+            slow_per_million: 1,
         },
     }
 }
--- a/crates/core/tests/ownership_rows.rs
+++ b/crates/core/tests/ownership_rows.rs
@@ -24,9 +24,9 @@
         domain: "domain-1".parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
         weight: "1".parse().unwrap(),
-        cap: None,
+        rate_cap: None,
         slots: "4".parse().unwrap(),
-        connections: 4,
+        max_connections: 4,
         fencing,
         state,
     })
@@ -38,9 +38,9 @@
         id: name.parse().unwrap(),
         incarnation: Incarnation(incarnation),
         domain: domain.parse().unwrap(),
-        traffic: address,
-        peer: address,
-        admin: address,
+        traffic_address: address,
+        peer_address: address,
+        admin_address: address,
         state: InstanceState::Live,
         revision: Revision(0),
     }
@@ -52,19 +52,19 @@
         operator: "authority".parse().unwrap(),
         hosts: Vec::new(),
         prefix: "/".to_string(),
-        key: KeyRule::Segment(0),
-        idempotent: Vec::new(),
-        shards: ShardBits::new(2).unwrap(),
+        key_source: KeySource::Segment(0),
+        idempotent_methods: Vec::new(),
+        shard_bits: ShardBits::new(2).unwrap(),
         deadline: 2 * SECOND,
         grace: 5 * SECOND,
-        moves: MoveBudget {
-            minute: 1,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 1,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1,
+            failures_per_million: 1,
             latency: SECOND,
-            slower: 1,
+            slow_per_million: 1,
         },
     })
 }
@@ -232,7 +232,7 @@
     let lost = Row::Domain(DomainRow {
         name: "domain-1".parse().unwrap(),
         state: DomainState::Lost {
-            by: "operator".to_string(),
+            declared_by: "operator".to_string(),
         },
         confirmers: Vec::new(),
     });
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -37,7 +37,7 @@
     let weights: Vec<f64> = (1..=KEYS).map(|rank| (rank as f64).powf(-0.99)).collect();
     let sum: f64 = weights.iter().sum();
     let load = |weight: &f64| Load((weight / sum * TOTAL) as u64);
-    let keys = (0..KEYS).map(|number| KeyHash::of(format!("set-{number}").as_bytes()));
+    let keys = (0..KEYS).map(|number| KeyHash::from_key(format!("set-{number}").as_bytes()));
     keys.zip(weights.iter().map(load)).collect()
 }
 
@@ -49,7 +49,7 @@
 /// A service whose keys in `out` are owned alone; nothing has an owner yet.
 fn view_of(bits: u8, servers: usize, out: &[KeyHash]) -> View {
     let bits = ShardBits::new(bits).unwrap();
-    let shards = (0..bits.shards()).map(|shard| (Scope::Shard(ShardId(shard)), 0));
+    let shards = (0..bits.shard_count()).map(|shard| (Scope::Shard(ShardId(shard)), 0));
     let mut loads: BTreeMap<Scope, u64> = shards.collect();
     for (key, load) in key_loads() {
         let scope = match out.contains(&key) {
@@ -69,8 +69,8 @@
         servers: candidates(servers),
         scopes: scopes.collect(),
         moves: MoveBudget {
-            minute: 1_000,
-            threshold: 105,
+            shards_per_minute: 1_000,
+            threshold_percent: 105,
         },
     }
 }
@@ -170,7 +170,7 @@
     let mut view = view(SERVERS, &[]);
     let mut planner = Planner::default();
     settle(&mut view, &mut planner, Time::ZERO);
-    view.moves.minute = 0;
+    view.moves.shards_per_minute = 0;
     let lost = view.servers.remove(3).name;
     let before: Vec<ScopeLoad> = view.scopes.clone();
     let moves = Planner::default().plan(&view, Time::ZERO + Duration::from_secs(3_600));
@@ -221,7 +221,7 @@
     let out = hot_keys();
     let mut view = view(8, &out);
     settle(&mut view, &mut Planner::default(), Time::ZERO);
-    view.moves.minute = 4;
+    view.moves.shards_per_minute = 4;
     view.servers.extend(candidates(9).pop());
     let mut planner = Planner::default();
     let mut counts = Vec::new();
--- a/crates/core/tests/ranges.rs
+++ b/crates/core/tests/ranges.rs
@@ -370,7 +370,7 @@
         let mut reconciler = Reconciler::new(map.clone(), LeaseBook::new(times, begun));
         for second in 0..5 {
             let now = begun + Duration::from_secs(second);
-            clock.heard(now, now, StoreTime(7_000 + now.as_micros() / 1_000));
+            clock.record(now, now, StoreTime(7_000 + now.as_micros() / 1_000));
             let mut balance = Balance::new(BalanceLimits::STANDARD, &capacities, &demand);
             let lost = Lost(std::slice::from_ref(&lost));
             for order in reconciler.tick(now, &clock, &lost, &mut balance, scope) {
--- a/crates/core/tests/ranges_model/world.rs
+++ b/crates/core/tests/ranges_model/world.rs
@@ -383,7 +383,7 @@
                 Some(Flaw::ClockAhead) if planner.number % 2 == 1 => Duration::from_secs(8),
                 _ => Duration::ZERO,
             };
-            planner.clock.heard(now, now, store_time(now + ahead));
+            planner.clock.record(now, now, store_time(now + ahead));
             if planner.number != self.leader && self.flaw != Some(Flaw::NoLeadership) {
                 // It reads that another leads, and plans no more.
                 planner.stopped = true;
--- a/crates/core/tests/route_map.rs
+++ b/crates/core/tests/route_map.rs
@@ -6,8 +6,8 @@
         ownership::{Assignment, Phase},
         routing::RouteMap,
         table::{
-            BlockId, BlockRow, Changes, Fencing, KeyRule, MoveBudget, Objectives, OverrideRow, Row,
-            RowKey, ServerRow, ServerState, ServiceRow, Table,
+            BlockId, BlockRow, Changes, Fencing, KeySource, MoveBudget, Objectives, OverrideRow,
+            Row, RowKey, ServerRow, ServerState, ServiceRow, Table,
         },
     },
     proptest::prelude::*,
@@ -22,19 +22,19 @@
         operator: "authority".parse().unwrap(),
         hosts: hosts.iter().map(|host| host.to_string()).collect(),
         prefix: prefix.to_string(),
-        key: KeyRule::Segment(1),
-        idempotent: Vec::new(),
-        shards: ShardBits::new(BITS).unwrap(),
+        key_source: KeySource::Segment(1),
+        idempotent_methods: Vec::new(),
+        shard_bits: ShardBits::new(BITS).unwrap(),
         deadline: Duration::from_secs(1),
         grace: Duration::from_secs(1),
-        moves: MoveBudget {
-            minute: 1,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 1,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1,
+            failures_per_million: 1,
             latency: Duration::from_millis(1),
-            slower: 1,
+            slow_per_million: 1,
         },
     })
 }
@@ -46,9 +46,9 @@
         domain: "harbour".parse().unwrap(),
         address: SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::from(number))),
         weight: Weight(weight),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 10,
+        max_connections: 10,
         fencing: Fencing::Checked,
         state: ServerState::Active,
     })
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,29 +1,31 @@
 //! Which route a request has.
 
 use {
-    citron_core::routes::{ConfigVersion, ListenerLimits, Repeat, RouteConfig, Rule, Split},
+    citron_core::routes::{
+        ConfigVersion, Idempotency, ListenerLimits, RouteConfig, RouteRule, TrafficSplit,
+    },
     std::time::Duration,
 };
 
-fn rule(prefix: &str) -> Rule {
-    Rule {
+fn rule(prefix: &str) -> RouteRule {
+    RouteRule {
         name: prefix.to_string(),
         prefix: prefix.to_string(),
-        repeat: Repeat::Once,
-        split: Split::single("bars".parse().unwrap()),
+        idempotency: Idempotency::AtMostOnce,
+        split: TrafficSplit::single("bars".parse().unwrap()),
         timeout: Duration::from_secs(1),
-        objective: Duration::from_millis(300),
-        attempts: 1,
+        latency_objective: Duration::from_millis(300),
+        max_attempts: 1,
         priority: 0,
     }
 }
 
 fn config(hosts: &[&str]) -> RouteConfig {
     let limits = ListenerLimits {
-        header: 1_024,
-        body: 1_024,
-        slow: Duration::from_secs(1),
-        idle: Duration::from_secs(1),
+        max_header_bytes: 1_024,
+        max_body_bytes: 1_024,
+        header_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(1),
     };
     let rules = hosts.iter().map(|host| (host.to_string(), rule("/a/")));
     RouteConfig::new(ConfigVersion(1), limits, rules, [])
--- a/crates/core/tests/slo.rs
+++ b/crates/core/tests/slo.rs
@@ -6,9 +6,9 @@
         membership::Confirmation,
         ownership::{Assignment, Phase},
         routing::{RouteMap, Snapshot},
-        slo::{Minute, Reach, Record, ServiceReport, Tally, moved_shards},
+        slo::{Minute, Reachability, ServiceReport, Tally, TallySeries, moved_shards},
         table::{
-            BlockId, BlockRow, Changes, Fencing, KeyRule, MoveBudget, Objectives, Row, ServerRow,
+            BlockId, BlockRow, Changes, Fencing, KeySource, MoveBudget, Objectives, Row, ServerRow,
             ServerState, ServiceRow, Table,
         },
         time::Time,
@@ -27,19 +27,19 @@
         operator: "authority".parse().unwrap(),
         hosts: Vec::new(),
         prefix: "/kegs".to_string(),
-        key: KeyRule::Segment(1),
-        idempotent: Vec::new(),
-        shards: ShardBits::new(2).unwrap(),
+        key_source: KeySource::Segment(1),
+        idempotent_methods: Vec::new(),
+        shard_bits: ShardBits::new(2).unwrap(),
         deadline: Duration::from_secs(5),
         grace: Duration::from_secs(10),
-        moves: MoveBudget {
-            minute: 10,
-            threshold: 110,
+        move_budget: MoveBudget {
+            shards_per_minute: 10,
+            threshold_percent: 110,
         },
         objectives: Objectives {
-            failures: 1_000,
+            failures_per_million: 1_000,
             latency: Duration::from_millis(100),
-            slower: 10_000,
+            slow_per_million: 10_000,
         },
     }
 }
@@ -51,9 +51,9 @@
         domain: domain.parse().unwrap(),
         address: ([127, 0, 0, 1], 9_000 + number).into(),
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Unchecked,
         state: ServerState::Active,
     }
@@ -95,13 +95,13 @@
 }
 
 /// A record of 1000 requests a minute.
-fn record(spans: &[Span]) -> Record {
+fn record(spans: &[Span]) -> TallySeries {
     let name: ServiceName = "kegs".parse().unwrap();
-    let mut record = Record::default();
+    let mut record = TallySeries::default();
     for (from, to, bad) in spans {
         for back in *from..*to {
             let tally = Tally {
-                total: 1_000,
+                requests: 1_000,
                 failed: *bad,
                 ..Tally::default()
             };
@@ -123,7 +123,7 @@
     ];
     let lines = cases.map(|(case, spans)| {
         let report = ServiceReport::new(&record(spans), &service(), &BTreeMap::new(), NOW);
-        let burns = report.failures;
+        let burns = report.failure_burn;
         format!(
             "{case}: 5m {:.1} 1h {:.1} 30m {:.1} 6h {:.1} {:?}, {} requests",
             burns.fast.0,
@@ -145,17 +145,17 @@
     let name: ServiceName = "kegs".parse().unwrap();
     let one = |closed| {
         let tally = Tally {
-            total: 10,
-            closed: Duration::from_secs(closed),
-            watched: Duration::from_secs(60),
-            moved: 3,
+            requests: 10,
+            unreachable: Duration::from_secs(closed),
+            observed: Duration::from_secs(60),
+            shards_moved: 3,
             ..Tally::default()
         };
-        let mut record = Record::default();
+        let mut record = TallySeries::default();
         record.add(NOW, &name, &tally);
         record
     };
-    let mut merged = Record::default();
+    let mut merged = TallySeries::default();
     merged.merge(&one(0));
     merged.merge(&one(30));
     let report = ServiceReport::new(&merged, &service(), &BTreeMap::new(), NOW);
@@ -166,7 +166,7 @@
 #[test]
 fn a_record_forgets_what_is_too_old() {
     let mut record = record(&[(0, 10, 0)]);
-    record.forget(Minute(NOW.0 - 4));
+    record.drop_before(Minute(NOW.0 - 4));
     assert_eq!(record.entries().count(), 5);
 }
 
@@ -187,14 +187,14 @@
     for (case, releasing) in cases {
         let map = Arc::new(map([1, 1, 1, 2], releasing));
         let domain: citron_core::id::DomainName = "harbour".parse().unwrap();
-        let reach = Reach::new(&map, &domain);
+        let reach = Reachability::new(&map, &domain);
         let snapshot = Snapshot {
             map,
             confirmation,
             domain,
         };
         for seconds in [0, 2, 11] {
-            let closed = reach.closed(&snapshot, read + seconds * second);
+            let closed = reach.unreachable_shares(&snapshot, read + seconds * second);
             let share = closed.values().next().unwrap();
             lines.push(format!("{case}, {seconds} s after the read: {share}"));
         }
--- a/crates/core/tests/staleness.rs
+++ b/crates/core/tests/staleness.rs
@@ -2,7 +2,7 @@
 
 use {
     citron_core::{
-        freshness::{Doubt, Freshness, FreshnessTimes, Lag, Standing, VersionTracker},
+        freshness::{Freshness, FreshnessTimes, Lag, StaleReason, Staleness, VersionTracker},
         time::Time,
     },
     std::time::Duration,
@@ -26,13 +26,13 @@
     /// The store tells all up to a version, in a call that began then.
     fn store(&mut self, version: u64, begun: Time) {
         self.fresh.record_read(0, begun);
-        self.newest.apply(version);
+        self.newest.record_applied(version);
     }
 
-    fn doubt(&self, now: Time) -> Option<Doubt> {
+    fn doubt(&self, now: Time) -> Option<StaleReason> {
         let age = self.fresh.age(0, now);
         let lag = self.newest.lag(self.fresh.as_of(0));
-        Standing { age, lag }.doubt(&TIMES)
+        Staleness { age, lag }.stale_reason(&TIMES)
     }
 }
 
@@ -44,9 +44,9 @@
 #[test]
 fn a_table_of_unknown_age_denies_nothing() {
     let mut table = Table::new();
-    assert_eq!(table.doubt(at(5)), Some(Doubt::Unread));
-    table.newest.apply(7);
-    assert_eq!(table.doubt(at(5)), Some(Doubt::Unread));
+    assert_eq!(table.doubt(at(5)), Some(StaleReason::UnknownAge));
+    table.newest.record_applied(7);
+    assert_eq!(table.doubt(at(5)), Some(StaleReason::UnknownAge));
 }
 
 /// Guards against a denial by a table whose changes no longer arrive.
@@ -55,7 +55,7 @@
     let mut table = Table::new();
     table.store(7, at(100));
     assert_eq!(table.doubt(at(1_600)), None);
-    let old = Some(Doubt::Old(Duration::from_millis(1_501)));
+    let old = Some(StaleReason::Expired(Duration::from_millis(1_501)));
     assert_eq!(table.doubt(at(1_601)), old);
     table.store(7, at(1_700));
     assert_eq!(table.doubt(at(1_701)), None);
@@ -67,16 +67,16 @@
 fn a_table_that_is_behind_denies_nothing() {
     let mut table = Table::new();
     table.store(7, at(0));
-    table.newest.advertise(7, at(5));
+    table.newest.record_advertised(7, at(5));
     assert_eq!(table.doubt(at(10)), None);
-    table.newest.advertise(12, at(12));
-    table.newest.advertise(9, at(14));
+    table.newest.record_advertised(12, at(12));
+    table.newest.record_advertised(9, at(14));
     table.store(9, at(20));
-    assert_eq!(table.doubt(at(30)), Some(Doubt::Lagging));
+    assert_eq!(table.doubt(at(30)), Some(StaleReason::Lagging));
     table.store(15, at(40));
     assert_eq!(table.doubt(at(50)), None);
     // Others that are behind in their turn say nothing about this one.
-    table.newest.advertise(12, at(55));
+    table.newest.record_advertised(12, at(55));
     assert_eq!(table.doubt(at(60)), None);
 }
 
@@ -85,14 +85,14 @@
 fn a_newer_row_that_cannot_be_read_denies_nothing() {
     let mut table = Table::new();
     table.store(7, at(0));
-    table.newest.on_unreadable(8);
+    table.newest.record_unreadable(8);
     table.store(8, at(10));
-    assert_eq!(table.doubt(at(20)), Some(Doubt::Unreadable));
-    table.newest.advertise(9, at(25));
-    assert_eq!(table.doubt(at(30)), Some(Doubt::Unreadable));
-    table.newest.on_readable(7);
-    assert_eq!(table.doubt(at(40)), Some(Doubt::Unreadable));
-    table.newest.on_readable(9);
+    assert_eq!(table.doubt(at(20)), Some(StaleReason::Unreadable));
+    table.newest.record_advertised(9, at(25));
+    assert_eq!(table.doubt(at(30)), Some(StaleReason::Unreadable));
+    table.newest.record_readable(7);
+    assert_eq!(table.doubt(at(40)), Some(StaleReason::Unreadable));
+    table.newest.record_readable(9);
     table.store(9, at(50));
     assert_eq!(table.doubt(at(60)), None);
     assert_eq!(table.newest.lag(Some(at(50))), Lag::None);
@@ -104,12 +104,12 @@
 fn a_newer_version_that_nobody_tells_of_any_more_is_forgotten() {
     let mut table = Table::new();
     table.store(7, at(0));
-    table.newest.advertise(12, at(100));
-    table.newest.advertise(10, at(900));
+    table.newest.record_advertised(12, at(100));
+    table.newest.record_advertised(10, at(900));
     table.fresh.record_read(0, at(2_400));
-    assert_eq!(table.doubt(at(2_400)), Some(Doubt::Lagging));
+    assert_eq!(table.doubt(at(2_400)), Some(StaleReason::Lagging));
     table.fresh.record_read(0, at(2_401));
     assert_eq!(table.doubt(at(2_401)), None);
-    table.newest.advertise(10, at(2_500));
-    assert_eq!(table.doubt(at(2_501)), Some(Doubt::Lagging));
+    table.newest.record_advertised(10, at(2_500));
+    assert_eq!(table.doubt(at(2_501)), Some(StaleReason::Lagging));
 }
--- a/crates/core/tests/surge/world.rs
+++ b/crates/core/tests/surge/world.rs
@@ -299,7 +299,7 @@
         }
         let mut balance = Balance::new(self.shape.limits, &self.capacities, &self.plan);
         let mut clock = StoreClock::default();
-        clock.heard(self.now, self.now, StoreTime(self.now.as_micros() / 1_000));
+        clock.record(self.now, self.now, StoreTime(self.now.as_micros() / 1_000));
         let scope = Scope { deal: true, even };
         let due = self
             .reconciler
--- a/crates/core/tests/table.rs
+++ b/crates/core/tests/table.rs
@@ -8,7 +8,7 @@
 fn domain(lost: bool) -> Row {
     let state = match lost {
         true => DomainState::Lost {
-            by: "ann".to_string(),
+            declared_by: "ann".to_string(),
         },
         false => DomainState::Live,
     };
--- a/crates/ports/src/lane.rs
+++ b/crates/ports/src/lane.rs
@@ -6,7 +6,7 @@
     },
     citron_core::{
         id::Revision,
-        table::{Changes, Check, Commit, CommitAnswer, HistoryRow, Row, Versioned, Write},
+        table::{Changes, Check, Commit, CommitOutcome, HistoryRow, Row, Versioned, Write},
     },
     citron_wire::{
         row::{RowWire, parse_row_key},
@@ -135,14 +135,14 @@
         &self,
         commit: Commit,
         checks: &[Check],
-    ) -> Result<CommitAnswer, PlatformError> {
+    ) -> Result<CommitOutcome, PlatformError> {
         let mut lane = self.lane.lock().await;
         lane.last += 1;
         let mut pause = PAUSE;
         let mut last_error = String::new();
         for _ in 0..SENDS {
             match self.send(&commit, checks, &mut lane).await {
-                Ok(Sent::Done(revision)) => return Ok(CommitAnswer::Done(revision)),
+                Ok(Sent::Done(revision)) => return Ok(CommitOutcome::Committed(revision)),
                 Ok(Sent::Lost(lost)) => return lost_answer(lost),
                 Ok(Sent::Again) => continue,
                 Err(error) => last_error = error.to_string(),
@@ -206,17 +206,17 @@
     lane.value.as_ref()?.get("last")?.as_u64()
 }
 
-fn lost_answer(lost: StoredWire) -> Result<CommitAnswer, PlatformError> {
+fn lost_answer(lost: StoredWire) -> Result<CommitOutcome, PlatformError> {
     let key = parse_row_key(&lost.key)?;
     let Some(value) = lost.value else {
-        return Ok(CommitAnswer::Lost { key, current: None });
+        return Ok(CommitOutcome::Conflict { key, current: None });
     };
     let wire: RowWire = read(value)?;
     let current = Versioned {
         version: Revision(lost.version),
         value: Row::try_from(wire)?,
     };
-    Ok(CommitAnswer::Lost {
+    Ok(CommitOutcome::Conflict {
         key,
         current: Some(Box::new(current)),
     })
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -4,7 +4,7 @@
     crate::PlatformError,
     citron_core::{
         id::Revision,
-        table::{Changes, Check, Commit, CommitAnswer, HistoryRow, Versioned},
+        table::{Changes, Check, Commit, CommitOutcome, HistoryRow, Versioned},
     },
     std::future::Future,
 };
@@ -20,7 +20,7 @@
 
     /// Commits once: a lost answer is settled by reading back before this
     /// returns.
-    fn commit(&self, commit: Commit) -> impl Future<Output = Result<CommitAnswer, PlatformError>> {
+    fn commit(&self, commit: Commit) -> impl Future<Output = Result<CommitOutcome, PlatformError>> {
         self.commit_checked(commit, &[])
     }
 
@@ -30,7 +30,7 @@
         &self,
         commit: Commit,
         checks: &[Check],
-    ) -> impl Future<Output = Result<CommitAnswer, PlatformError>>;
+    ) -> impl Future<Output = Result<CommitOutcome, PlatformError>>;
 
     /// Accepted edits after a revision, oldest first, at most `limit`.
     fn history(
--- a/crates/ports/tests/checks.rs
+++ b/crates/ports/tests/checks.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::Revision,
-        table::{Check, Commit, CommitAnswer, DomainRow, DomainState, Row, Write},
+        table::{Check, Commit, CommitOutcome, DomainRow, DomainState, Row, Write},
     },
     citron_ports::{LaneStore, Memory, TableStore},
 };
@@ -39,10 +39,10 @@
     };
     let hills = [check("hills", 2)];
     let first = one.commit_checked(write("harbour", 1), &hills);
-    assert_eq!(first.await.unwrap(), CommitAnswer::Done(Revision(3)));
+    assert_eq!(first.await.unwrap(), CommitOutcome::Committed(Revision(3)));
     let harbour = [check("harbour", 1)];
     let second = two.commit_checked(write("hills", 2), &harbour);
-    let CommitAnswer::Lost { key, current } = second.await.unwrap() else {
+    let CommitOutcome::Conflict { key, current } = second.await.unwrap() else {
         panic!("the second commit took effect");
     };
     assert_eq!(key.to_string(), "domain/harbour");
--- a/crates/ports/tests/grants.rs
+++ b/crates/ports/tests/grants.rs
@@ -34,9 +34,9 @@
         domain: "harbour".parse().unwrap(),
         address,
         weight: Weight(100),
-        cap: None,
+        rate_cap: None,
         slots: Slots(4),
-        connections: 100,
+        max_connections: 100,
         fencing: Fencing::Checked,
         state: ServerState::Active,
     }
--- a/crates/ports/tests/table.rs
+++ b/crates/ports/tests/table.rs
@@ -3,7 +3,7 @@
 use {
     citron_core::{
         id::Revision,
-        table::{Commit, CommitAnswer, DomainRow, DomainState, Row, RowKey, Write},
+        table::{Commit, CommitOutcome, DomainRow, DomainState, Row, RowKey, Write},
     },
     citron_fakes::{link::Link, platform::PlatformServer},
     citron_ports::{HttpPlatform, LaneStore, Memory, PlatformError, TableService, TableStore},
@@ -17,7 +17,9 @@
 fn domain(name: &str, by: &str) -> Row {
     let state = match by {
         "" => DomainState::Live,
-        by => DomainState::Lost { by: by.to_string() },
+        by => DomainState::Lost {
+            declared_by: by.to_string(),
+        },
     };
     Row::Domain(DomainRow {
         name: name.parse().unwrap(),
@@ -46,9 +48,9 @@
     }
 }
 
-fn done(answer: Result<CommitAnswer, PlatformError>) -> Revision {
+fn done(answer: Result<CommitOutcome, PlatformError>) -> Revision {
     match answer {
-        Ok(CommitAnswer::Done(revision)) => revision,
+        Ok(CommitOutcome::Committed(revision)) => revision,
         other => panic!("not done: {other:?}"),
     }
 }
@@ -91,10 +93,10 @@
     lines.join("\n")
 }
 
-fn told(answer: Result<CommitAnswer, PlatformError>) -> String {
+fn told(answer: Result<CommitOutcome, PlatformError>) -> String {
     match answer {
-        Ok(CommitAnswer::Done(revision)) => format!("done {revision}"),
-        Ok(CommitAnswer::Lost { key, current }) => {
+        Ok(CommitOutcome::Committed(revision)) => format!("done {revision}"),
+        Ok(CommitOutcome::Conflict { key, current }) => {
             let version = current.map_or(Revision(0), |row| row.version);
             format!("lost, {key} is at {version}")
         }
--- a/crates/wire/src/row/domain.rs
+++ b/crates/wire/src/row/domain.rs
@@ -37,7 +37,7 @@
     fn from(core: &DomainRow) -> Self {
         let lost_by = match &core.state {
             DomainState::Live => None,
-            DomainState::Lost { by } => Some(by.clone()),
+            DomainState::Lost { declared_by } => Some(declared_by.clone()),
         };
         let confirmers = core.confirmers.iter().map(|confirmer| ConfirmerWire {
             instance: confirmer.instance.to_string(),
@@ -68,7 +68,7 @@
     fn try_from(wire: DomainWire) -> Result<Self, WireError> {
         let state = match wire.lost_by {
             None => DomainState::Live,
-            Some(by) => DomainState::Lost { by },
+            Some(declared_by) => DomainState::Lost { declared_by },
         };
         let confirmers = wire.confirmers.into_iter().map(Confirmer::try_from);
         Ok(Self {
--- a/crates/wire/src/row/server.rs
+++ b/crates/wire/src/row/server.rs
@@ -53,9 +53,9 @@
             domain: core.domain.to_string(),
             address: core.address,
             weight: core.weight.0,
-            cap: core.cap,
+            cap: core.rate_cap,
             slots: core.slots.0,
-            connections: core.connections,
+            connections: core.max_connections,
             fenced: core.fencing == Fencing::Checked,
             state: state.to_string(),
         }
@@ -84,9 +84,9 @@
             domain: parse("domain", &wire.domain)?,
             address: wire.address,
             weight,
-            cap: wire.cap,
+            rate_cap: wire.cap,
             slots,
-            connections: wire.connections,
+            max_connections: wire.connections,
             fencing,
             state,
         })
