--- a/crates/wire/src/row/service.rs
+++ b/crates/wire/src/row/service.rs
@@ -7,7 +7,7 @@
     },
     citron_core::{
         id::ShardBits,
-        table::{KeyRule, MoveBudget, Objectives, ServiceRow},
+        table::{KeySource, MoveBudget, Objectives, ServiceRow},
     },
     serde::{Deserialize, Serialize},
     std::time::Duration,
@@ -50,9 +50,9 @@
 
 impl From<&ServiceRow> for ServiceWire {
     fn from(core: &ServiceRow) -> Self {
-        let key = match &core.key {
-            KeyRule::Header(name) => format!("header:{name}"),
-            KeyRule::Segment(number) => format!("segment:{number}"),
+        let key = match &core.key_source {
+            KeySource::Header(name) => format!("header:{name}"),
+            KeySource::Segment(number) => format!("segment:{number}"),
         };
         Self {
             name: core.name.to_string(),
@@ -60,15 +60,15 @@
             hosts: core.hosts.clone(),
             prefix: core.prefix.clone(),
             key,
-            idempotent: core.idempotent.clone(),
-            shard_bits: core.shards.shards().trailing_zeros() as u8,
+            idempotent: core.idempotent_methods.clone(),
+            shard_bits: core.shard_bits.shard_count().trailing_zeros() as u8,
             deadline_ms: millis(core.deadline),
             grace_ms: millis(core.grace),
-            moves_minute: core.moves.minute,
-            moves_threshold: core.moves.threshold,
-            slo_failures: core.objectives.failures,
+            moves_minute: core.move_budget.shards_per_minute,
+            moves_threshold: core.move_budget.threshold_percent,
+            slo_failures: core.objectives.failures_per_million,
             slo_latency_ms: millis(core.objectives.latency),
-            slo_slower: core.objectives.slower,
+            slo_slower: core.objectives.slow_per_million,
         }
     }
 }
@@ -78,25 +78,26 @@
 
     fn try_from(wire: ServiceWire) -> Result<Self, WireError> {
         let bits = ShardBits::new(wire.shard_bits);
-        let shards = bits.ok_or_else(|| value_error("shard_bits", wire.shard_bits, "0 to 20"))?;
+        let shard_bits =
+            bits.ok_or_else(|| value_error("shard_bits", wire.shard_bits, "0 to 20"))?;
         Ok(Self {
             name: parse("name", &wire.name)?,
             operator: parse("operator", &wire.operator)?,
             hosts: wire.hosts,
             prefix: wire.prefix,
-            key: key_rule(&wire.key)?,
-            idempotent: wire.idempotent,
-            shards,
+            key_source: key_rule(&wire.key)?,
+            idempotent_methods: wire.idempotent,
+            shard_bits,
             deadline: Duration::from_millis(wire.deadline_ms),
             grace: Duration::from_millis(wire.grace_ms),
-            moves: MoveBudget {
-                minute: wire.moves_minute,
-                threshold: wire.moves_threshold,
+            move_budget: MoveBudget {
+                shards_per_minute: wire.moves_minute,
+                threshold_percent: wire.moves_threshold,
             },
             objectives: Objectives {
-                failures: wire.slo_failures,
+                failures_per_million: wire.slo_failures,
                 latency: Duration::from_millis(wire.slo_latency_ms),
-                slower: wire.slo_slower,
+                slow_per_million: wire.slo_slower,
             },
         })
     }
@@ -106,11 +107,11 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn key_rule(text: &str) -> Result<KeyRule, WireError> {
+fn key_rule(text: &str) -> Result<KeySource, WireError> {
     let bad = || value_error("key", text, "header:NAME or segment:NUMBER");
     match text.split_once(':') {
-        Some(("header", name)) if !name.is_empty() => Ok(KeyRule::Header(name.to_lowercase())),
-        Some(("segment", number)) => number.parse().map(KeyRule::Segment).map_err(|_| bad()),
+        Some(("header", name)) if !name.is_empty() => Ok(KeySource::Header(name.to_lowercase())),
+        Some(("segment", number)) => number.parse().map(KeySource::Segment).map_err(|_| bad()),
         _ => Err(bad()),
     }
 }
--- a/crates/wire/src/slo/record_wire.rs
+++ b/crates/wire/src/slo/record_wire.rs
@@ -4,7 +4,7 @@
     crate::{WireError, error::parse},
     citron_core::{
         id::ServerName,
-        slo::{Minute, Record, Tally},
+        slo::{Minute, Tally, TallySeries},
     },
     serde::{Deserialize, Serialize},
     std::{collections::BTreeMap, time::Duration},
@@ -64,19 +64,19 @@
     pub record: RecordWire,
 }
 
-impl From<&Record> for RecordWire {
-    fn from(core: &Record) -> Self {
+impl From<&TallySeries> for RecordWire {
+    fn from(core: &TallySeries) -> Self {
         let entries = core.entries().map(|(minute, service, tally)| TallyWire {
             minute: minute.0,
             service: service.to_string(),
-            total: tally.total,
+            total: tally.requests,
             failed: tally.failed,
             slow: tally.slow,
-            closed_ms: millis(tally.closed),
-            watched_ms: millis(tally.watched),
-            moved: tally.moved,
+            closed_ms: millis(tally.unreachable),
+            watched_ms: millis(tally.observed),
+            moved: tally.shards_moved,
             busy_ms: tally
-                .busy
+                .busy_time
                 .iter()
                 .map(|(server, time)| (server.to_string(), millis(*time)))
                 .collect(),
@@ -86,7 +86,7 @@
     }
 }
 
-impl TryFrom<RecordWire> for Record {
+impl TryFrom<RecordWire> for TallySeries {
     type Error = WireError;
 
     fn try_from(wire: RecordWire) -> Result<Self, WireError> {
@@ -104,18 +104,18 @@
     type Error = WireError;
 
     fn try_from(wire: TallyWire) -> Result<Self, WireError> {
-        let mut busy: BTreeMap<ServerName, Duration> = BTreeMap::new();
+        let mut busy_time: BTreeMap<ServerName, Duration> = BTreeMap::new();
         for (server, time) in &wire.busy_ms {
-            busy.insert(parse("busy_ms", server)?, Duration::from_millis(*time));
+            busy_time.insert(parse("busy_ms", server)?, Duration::from_millis(*time));
         }
         Ok(Self {
-            total: wire.total,
+            requests: wire.total,
             failed: wire.failed,
             slow: wire.slow,
-            closed: Duration::from_millis(wire.closed_ms),
-            watched: Duration::from_millis(wire.watched_ms),
-            moved: wire.moved,
-            busy,
+            unreachable: Duration::from_millis(wire.closed_ms),
+            observed: Duration::from_millis(wire.watched_ms),
+            shards_moved: wire.moved,
+            busy_time,
         })
     }
 }
--- a/crates/wire/src/table/table_wire.rs
+++ b/crates/wire/src/table/table_wire.rs
@@ -159,8 +159,8 @@
 impl From<&HistoryRow> for HistoryWire {
     fn from(core: &HistoryRow) -> Self {
         Self {
-            by: core.by.clone(),
-            at_ms: u64::try_from(core.at.as_millis()).unwrap_or(u64::MAX),
+            by: core.author.clone(),
+            at_ms: u64::try_from(core.time.as_millis()).unwrap_or(u64::MAX),
             changes: core.changes.iter().map(RowChangeWire::from).collect(),
         }
     }
@@ -172,8 +172,8 @@
     fn try_from(wire: HistoryWire) -> Result<Self, WireError> {
         let changes = wire.changes.into_iter().map(RowChange::try_from);
         Ok(Self {
-            by: wire.by,
-            at: Duration::from_millis(wire.at_ms),
+            author: wire.by,
+            time: Duration::from_millis(wire.at_ms),
             changes: changes.collect::<Result<_, _>>()?,
         })
     }
