--- a/crates/citronproxy/src/edge/control/apply.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -101,11 +101,11 @@
             Ok(None) => return,
             Err(error) => {
                 log::error!("{} {error}", events::CONFIG_REFUSED);
-                state.config_versions.on_unreadable(row.version);
+                state.config_versions.record_unreadable(row.version);
                 return;
             }
         };
-        state.config_versions.on_readable(row.version);
+        state.config_versions.record_readable(row.version);
         let current_version = state.config.as_ref().map(|config| config.version);
         if current_version.is_none_or(|current| config.version > current) {
             log::info!("{} version {}", events::CONFIG, config.version);
@@ -127,7 +127,7 @@
         match evacuation {
             Evacuation::Begun(domain) => state.registry.evacuate(domain, now),
             Evacuation::Ended(domain) => {
-                let cold_span = state.config.as_ref().map(|config| config.cold_span());
+                let cold_span = state.config.as_ref().map(|config| config.max_slow_start());
                 state
                     .registry
                     .end_evacuation(&domain, cold_span.unwrap_or_default(), now);
--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -274,7 +274,7 @@
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         if let Some(store_time) = store_time {
-            state.store_clock.heard(call_started, now, store_time);
+            state.store_clock.record(call_started, now, store_time);
         }
         state.store_health.record_answer(now);
         drop(state);
@@ -336,7 +336,7 @@
         if table == CONFIG {
             let replica = &state.replicas[CONFIG];
             let newest_version = replica.version.max(replica.newest_change);
-            state.config_versions.apply(newest_version);
+            state.config_versions.record_applied(newest_version);
             self.publish_lag(&state);
         }
         if let Some(as_of) = state.freshness.as_of(table) {
@@ -350,7 +350,7 @@
         let now = self.clock.now();
         state
             .config_versions
-            .advertise(heartbeat.versions[CONFIG], now);
+            .record_advertised(heartbeat.versions[CONFIG], now);
         self.publish_lag(&state);
     }
 
@@ -367,7 +367,11 @@
             .borrow_mut()
             .registry
             .on_store_recovered(outage.end);
-        log::info!("{} nothing heard for {:?}", events::STORE_BACK, outage.span);
+        log::info!(
+            "{} nothing heard for {:?}",
+            events::STORE_BACK,
+            outage.duration
+        );
     }
 
     /// A call to the store failed.
@@ -435,7 +439,8 @@
             maps: state.maps.clone(),
             instance_count: state.peers.instance_count(now),
             reporting_count,
-            report_interval: HeartbeatSchedule::among(reporting_count).period(Sender::Near),
+            report_interval: HeartbeatSchedule::for_instances(reporting_count)
+                .interval(Sender::SameDomain),
             slow_start_group: state.slow_start_group.clone(),
         });
     }
--- a/crates/citronproxy/src/edge/control/election.rs
+++ b/crates/citronproxy/src/edge/control/election.rs
@@ -10,7 +10,7 @@
         peers::Peer,
     },
     crate::edge::EdgeSettings,
-    citron_core::{freshness::HolderSilence, time::Time},
+    citron_core::{freshness::HolderLiveness, time::Time},
     citron_wire::heartbeat::Heartbeat,
     std::time::Duration,
 };
@@ -42,7 +42,7 @@
 pub struct Election {
     started_at: Time,
     vacant_since: Option<Time>,
-    planner_silence: HolderSilence,
+    planner_silence: HolderLiveness,
 }
 
 impl Election {
@@ -51,7 +51,7 @@
         Self {
             started_at: now,
             vacant_since: None,
-            planner_silence: HolderSilence::new(now),
+            planner_silence: HolderLiveness::new(now),
         }
     }
 
@@ -63,7 +63,7 @@
         now: Time,
     ) -> bool {
         let version = state.leadership.as_ref().map_or(0, |row| row.version);
-        self.planner_silence.observe(version, now);
+        self.planner_silence.record_claim(version, now);
         if !self.is_vacant(state, claimant, now) {
             self.vacant_since = None;
             return false;
--- a/crates/citronproxy/src/edge/control/heartbeat.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -57,9 +57,9 @@
                 .reporting_count(&controller.settings.domain, now);
             let sender = match state.is_planning {
                 true => Sender::Planner,
-                false => Sender::Near,
+                false => Sender::SameDomain,
             };
-            HeartbeatSchedule::among(reporting_count).period(sender)
+            HeartbeatSchedule::for_instances(reporting_count).interval(sender)
         };
         if timeout(pause, controller.heartbeat_trigger.notified())
             .await
--- a/crates/citronproxy/src/edge/control/peers.rs
+++ b/crates/citronproxy/src/edge/control/peers.rs
@@ -129,11 +129,11 @@
             true => self.peers.len(),
             false => self.same_domain_count,
         };
-        let schedule = HeartbeatSchedule::among(1 + reporting_count);
+        let schedule = HeartbeatSchedule::for_instances(1 + reporting_count);
         LossTimeouts {
             domain: (!self.is_full_mesh()).then_some(&self.domain),
-            same_domain: schedule.lost_after(Sender::Near),
-            other_domain: schedule.lost_after(Sender::Far),
+            same_domain: schedule.timeout(Sender::SameDomain),
+            other_domain: schedule.timeout(Sender::OtherDomain),
         }
     }
 
--- a/crates/citronproxy/src/edge/control/planner/former_planners.rs
+++ b/crates/citronproxy/src/edge/control/planner/former_planners.rs
@@ -49,7 +49,7 @@
 ) -> Time {
     let time_left = |planner: &PlannerId| {
         let stopped_by = state.former_planners.get(planner);
-        let left = stopped_by.and_then(|time| state.store_clock.left(*time, now));
+        let left = stopped_by.and_then(|time| state.store_clock.time_until(*time, now));
         left.unwrap_or(offline_max).min(offline_max)
     };
     now + predecessors.iter().map(time_left).max().unwrap_or_default()
@@ -93,7 +93,7 @@
     read_started: Time,
     offline_max: Duration,
 ) -> Option<Vec<u8>> {
-    let now = state.store_clock.after(read_started)?;
+    let now = state.store_clock.at_or_after(read_started)?;
     let entry = |planner: &PlannerId| {
         let known: Option<StoreTime> = state.former_planners.get(planner).copied();
         let stopped_by = known.unwrap_or(now + offline_max);
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -206,7 +206,7 @@
         .or(state.registry.get(server))?;
     let config = state.config.as_ref()?;
     let service = config.service(&listening.entry.service)?;
-    Some((address, service.health.clone()))
+    Some((address, service.health_path.clone()))
 }
 
 fn release_outcome<A: Adapter>(
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -144,7 +144,7 @@
         let may_rebalance = self
             .balance_clock
             .is_due(has_sudden_change, may_balance, now);
-        for service in config.services().filter(|service| service.keyed) {
+        for service in config.services().filter(|service| service.is_sharded) {
             let name = &service.name;
             let plan = self.plans.entry(name.clone()).or_insert_with(|| {
                 let book = LeaseTracker::new(lease_times, now);
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -24,7 +24,7 @@
 const CHECK_INTERVAL_MAX: Duration = Duration::from_millis(200);
 /// An open question whose news came on another way for so long counts as swallowed:
 /// its own answer cannot be that far behind.
-const STALLED_AFTER: Duration = PropagationTimes::STANDARD.call;
+const STALLED_AFTER: Duration = PropagationTimes::STANDARD.call_duration;
 
 /// Questions to the store that stay open until there is news, one for each table.
 ///
@@ -218,7 +218,7 @@
         .state
         .borrow_mut()
         .freshness
-        .failed(role, jitter_factor(), now);
+        .record_failure(role, jitter_factor(), now);
     let row_table = WATCHED[table];
     log::warn!("{} {row_table:?} of the store: {error}", events::TABLE_LOST);
     controller.on_store_failure(&format!("{row_table:?}"), error);
--- a/crates/core/src/placement/draft.rs
+++ b/crates/core/src/placement/draft.rs
@@ -187,7 +187,7 @@
     }
 
     pub fn is_uneven(&self, view: &ServiceView) -> bool {
-        let threshold = u128::from(view.move_budget.threshold) * FULL_PERMILLE / 100;
+        let threshold = u128::from(view.move_budget.threshold_percent) * FULL_PERMILLE / 100;
         self.server_over_cap().is_some() || self.load_fullness(self.fullest_server(), 0) > threshold
     }
 
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -76,7 +76,10 @@
             return proposals;
         }
         while let Some(next) = draft.next_move(view) {
-            if !self.budget.try_take(view.move_budget.minute, now) {
+            if !self
+                .budget
+                .try_take(view.move_budget.shards_per_minute, now)
+            {
                 break;
             }
             proposals.push(draft.move_scope(next.scope, next.server, MoveReason::Balance));
--- a/crates/core/src/ranges/leases.rs
+++ b/crates/core/src/ranges/leases.rs
@@ -151,7 +151,7 @@
     /// The same on the store's clock, so that it holds for later planners, too;
     /// `None` until the store has answered after the last grant that counts.
     pub fn store_expiry(&self, sent: Time, clock: &StoreClock) -> Option<StoreTime> {
-        let last = clock.after(sent.max(self.previous_until));
+        let last = clock.at_or_after(sent.max(self.previous_until));
         last.map(|last| last + self.times.max_validity())
     }
 
--- a/crates/core/src/slo/mod.rs
+++ b/crates/core/src/slo/mod.rs
@@ -2,16 +2,16 @@
 
 mod burn;
 mod minute;
-mod reach;
-mod record;
+mod reachability;
 mod report;
+mod series;
 mod tally;
 
 pub use {
-    burn::{Alert, BurnRule, FAST, SLOW, Window, burn_rate},
+    burn::{Alert, BurnRule, FAST_BURN, SLOW_BURN, WindowMinutes, burn_rate},
     minute::Minute,
-    reach::{Reach, moved_shards},
-    record::Record,
-    report::{Burns, ServiceReport},
+    reachability::{Reachability, moved_shards},
+    report::{BurnRates, ServiceReport},
+    series::TallySeries,
     tally::Tally,
 };
--- a/crates/core/src/table/mod.rs
+++ b/crates/core/src/table/mod.rs
@@ -4,27 +4,27 @@
 mod commit;
 mod domain;
 mod edit;
+mod edited;
 mod error;
 mod initial;
 mod instance;
+mod lookup;
+mod replica;
 mod row;
 mod rules;
 mod server;
 mod service;
-mod store;
-mod typed;
-mod view;
 
 pub use {
-    block::{BLOCK_SHARDS, BlockId, BlockRow, OverrideRow},
-    commit::{Changes, Check, Commit, CommitAnswer, HistoryRow, RowChange, Write},
+    block::{BlockId, BlockRow, OverrideRow, SHARDS_PER_BLOCK},
+    commit::{Changes, Check, Commit, CommitOutcome, HistoryRow, RowChange, Write},
     domain::{Confirmer, DomainRow, DomainState},
     edit::{Edit, EditPlan, MAX_EDIT_ROWS, RowEdit},
     error::TableError,
     initial::initial_blocks,
     instance::{InstanceRow, InstanceState},
+    replica::Table,
     row::{Row, RowKey, Versioned},
     server::{Fencing, ServerRow, ServerState},
-    service::{KeyRule, MoveBudget, Objectives, ServiceRow},
-    store::Table,
+    service::{KeySource, MoveBudget, Objectives, ServiceRow},
 };
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -249,7 +249,7 @@
     ServiceView {
         servers: servers.collect(),
         scopes: scopes.collect(),
-        move_budget: row.moves,
+        move_budget: row.move_budget,
     }
 }
 
--- a/crates/core/tests/surge/world.rs
+++ b/crates/core/tests/surge/world.rs
@@ -311,7 +311,7 @@
         }
         let mut balancer = Balancer::new(self.shape.limits, &self.capacities, &self.planned_demand);
         let mut clock = StoreClock::default();
-        clock.heard(self.now, self.now, StoreTime(self.now.as_micros() / 1_000));
+        clock.record(self.now, self.now, StoreTime(self.now.as_micros() / 1_000));
         let scope = PlanScope {
             may_assign: true,
             may_rebalance,
