--- a/crates/core/src/crash/mod.rs
+++ b/crates/core/src/crash/mod.rs
@@ -1,11 +1,11 @@
 //! Requests that crash the servers that run them.
 
 mod fingerprint;
-mod log;
 mod report;
+mod tracker;
 
 pub use {
     fingerprint::Fingerprint,
-    log::{CrashConfig, CrashLog},
     report::{CrashCount, CrashEntry, CrashReport, Lift},
+    tracker::{CrashConfig, CrashLog},
 };
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,18 +1,18 @@
 //! Which backend server a request goes to now, and when it is better told to
 //! come back.
 
-mod book;
-mod choice;
-mod idle;
+mod concurrency;
+mod idle_limit;
 mod load;
-mod pace;
-mod told;
+mod load_tracker;
+mod reported_load;
+mod select;
 
 pub use {
-    book::{LoadBook, PeerLoad},
-    choice::{Candidate, Decision, RejectReason, TimeLimits, choose, sample_size},
-    idle::IdleTrust,
+    concurrency::{PROMPT, Pace, Speed},
+    idle_limit::IdleTrust,
     load::{Finish, ServerLoad, run_share},
-    pace::{PROMPT, Pace, Speed},
-    told::{ToldLoad, ToldLoadError},
+    load_tracker::{LoadBook, PeerLoad},
+    reported_load::{ToldLoad, ToldLoadError},
+    select::{Candidate, Decision, RejectReason, TimeLimits, choose, sample_size},
 };
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,14 +1,14 @@
 //! Servers and connections that do not behave, found by own measurements.
 
 mod config;
-mod links;
+mod connections;
 mod load;
 mod pool;
 mod server;
 
 pub use {
     config::HealthConfig,
-    links::{Blame, Kept, Links, silence_after},
+    connections::{Blame, Kept, Links, silence_after},
     load::ServerLoad,
     pool::PoolHealth,
     server::{Check, ServerHealth},
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -5,11 +5,11 @@
 mod budget;
 mod event;
 mod hedge;
+mod local_response;
 mod map;
 mod outcome;
-mod point;
 mod snapshot;
-mod verdict;
+mod stage;
 
 pub use {
     attempt::{Attempt, RequestBody, RequestKind, Retries, TRIES_MAX},
@@ -17,9 +17,9 @@
     budget::{BudgetConfig, RetryBudget},
     event::{Event, Link, Send, Step, Try},
     hedge::HedgeDelay,
+    local_response::{Reason, Verdict},
     map::{Route, RouteMap, ServerIndex, ServiceRoutes},
     outcome::Outcome,
-    point::Point,
     snapshot::Snapshot,
-    verdict::{Reason, Verdict},
+    stage::Point,
 };
--- a/crates/core/src/slowstart/mod.rs
+++ b/crates/core/src/slowstart/mod.rs
@@ -4,12 +4,12 @@
 //! no common counter: which instances may send to it, and how many requests each, follows
 //! from names that all of them know.
 
-mod gate;
 mod group;
 mod limit;
+mod limiter;
 
 pub use {
-    gate::{COLD_WINDOW, SlowStartGate},
     group::{Group, Members},
     limit::{ColdBound, SlowStart},
+    limiter::{COLD_WINDOW, SlowStartGate},
 };
--- a/crates/core/tests/overload/limits.rs
+++ b/crates/core/tests/overload/limits.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        bench::Bench,
-        plan::{Plan, Reports},
+        scenario::{Plan, Reports},
+        simulation::Bench,
         stats::Stats,
     },
     citron_core::{
--- a/crates/core/tests/overload/main.rs
+++ b/crates/core/tests/overload/main.rs
@@ -1,9 +1,9 @@
 //! Limits and retries under load, in virtual time.
 
-mod bench;
 mod callers;
 mod limits;
 mod outage;
-mod plan;
+mod scenario;
 mod server;
+mod simulation;
 mod stats;
--- a/crates/core/tests/overload/bench.rs
+++ b/crates/core/tests/overload/simulation.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         callers::{Callers, INSTANCES},
-        plan::{Plan, Reports},
+        scenario::{Plan, Reports},
         server::{Reached, Server},
         stats::Stats,
     },
