--- a/crates/citronctl/tests/support/mod.rs
+++ b/crates/citronctl/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use {
     citron_core::{
-        crash::{CrashConfig, CrashEntry, CrashLog, Fingerprint},
+        crash::{CrashConfig, CrashEntry, CrashTracker, Fingerprint},
         id::Revision,
         table::Table,
         time::Time,
@@ -104,13 +104,13 @@
 }
 
 /// A request that is refused, and one that may yet be.
-fn crashes() -> CrashLog {
-    let mut log = CrashLog::new(CrashConfig::STANDARD);
+fn crashes() -> CrashTracker {
+    let mut log = CrashTracker::new(CrashConfig::STANDARD);
     for (path, servers) in [("/sets/666", 3), ("/sets/7", 1)] {
-        let print = Fingerprint::of(&[b"GET", path.as_bytes()]);
+        let print = Fingerprint::from_parts(&[b"GET", path.as_bytes()]);
         for server in 0..servers {
             let server = format!("catalogue-{server}").parse().unwrap();
-            log.crashed(print, &format!("GET {path}"), &server, Time::ZERO);
+            log.record_crash(print, &format!("GET {path}"), &server, Time::ZERO);
         }
     }
     log
@@ -128,7 +128,7 @@
 struct View {
     store: Rc<LaneStore<Memory>>,
     table: Rc<RefCell<Table>>,
-    crashes: Rc<RefCell<CrashLog>>,
+    crashes: Rc<RefCell<CrashTracker>>,
 }
 
 impl ControlView for View {
--- a/crates/citronproxy/src/control/exchanging.rs
+++ b/crates/citronproxy/src/control/exchanging.rs
@@ -4,7 +4,7 @@
     super::Node,
     crate::traffic::CrashNote,
     citron_core::{
-        admission::{Demand, DemandBook, Part},
+        admission::{Demand, DemandTracker, ServerQuota},
         id::ServerName,
         membership::{InstanceReport, Member},
         table::{ServerRow, ServerState},
@@ -22,18 +22,18 @@
 const REPORT_PAUSE: Duration = Duration::from_millis(500);
 
 type Demands = BTreeMap<ServerName, Demand>;
-type Parts = BTreeMap<ServerName, Part>;
+type Parts = BTreeMap<ServerName, ServerQuota>;
 
 /// What was heard from other instances, and what follows from it.
 #[derive(Debug, Default)]
 pub(super) struct Exchange {
-    book: RefCell<DemandBook>,
+    book: RefCell<DemandTracker>,
     parts: RefCell<Parts>,
 }
 
 impl<S: TableStore + 'static> Node<S> {
     /// What this instance may take of each server now.
-    pub fn parts(&self) -> BTreeMap<ServerName, Part> {
+    pub fn parts(&self) -> BTreeMap<ServerName, ServerQuota> {
         self.exchange().parts.borrow().clone()
     }
 
@@ -50,7 +50,7 @@
         }
         let from = (sender.instance.clone(), sender.incarnation);
         let mut book = self.exchange().book.borrow_mut();
-        book.hear(sender.instance.clone(), report.demands, self.now());
+        book.record(sender.instance.clone(), report.demands, self.now());
         let report = report.crashes;
         self.handle().note_crash(&CrashNote::Heard { from, report });
     }
@@ -61,7 +61,7 @@
         let now = self.now();
         let part = |row: ServerRow| {
             let own = demands.get(&row.name).copied().unwrap_or(Demand::NONE);
-            let part = book.part_of(&row, own, listed, now);
+            let part = book.quota_for_row(&row, own, listed, now);
             (row.name, part)
         };
         self.servers().into_iter().map(part).collect()
--- a/crates/citronproxy/src/control/replica.rs
+++ b/crates/citronproxy/src/control/replica.rs
@@ -187,7 +187,7 @@
             };
         }
         let keys: Vec<RowKey> = touched.into_iter().map(|(key, ..)| key).collect();
-        self.map = Arc::new(self.map.next(&self.table, &keys));
+        self.map = Arc::new(self.map.with_changes(&self.table, &keys));
         self.roster.observe(&self.table, now);
         Ok(true)
     }
--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -25,7 +25,7 @@
         ranges::{MapPart, PartedMap},
         registry::{Registry, RegistryTimes},
         routes::RouteConfig,
-        slowstart::{COLD_WINDOW, Group},
+        slowstart::{COLD_WINDOW, SlowStartGroup},
         time::{StoreClock, StoreTime, Time},
     },
     citron_ports::{Adapter, RowSet, StoreError},
@@ -101,7 +101,7 @@
     /// The newest configuration that was heard of.
     pub config_versions: VersionTracker,
     /// Who sends to cold servers, once the other instances are known.
-    pub slow_start_group: Option<Arc<Group>>,
+    pub slow_start_group: Option<Arc<SlowStartGroup>>,
 }
 
 /// The control thread's centre.
@@ -454,8 +454,12 @@
         if group.is_some_and(|group| *group.members() == members) {
             return false;
         }
-        let number = group.map_or(0, |group| group.number()) + 1;
-        state.slow_start_group = Some(Arc::new(Group::new(instance.clone(), members, number)));
+        let number = group.map_or(0, |group| group.generation()) + 1;
+        state.slow_start_group = Some(Arc::new(SlowStartGroup::new(
+            instance.clone(),
+            members,
+            number,
+        )));
         true
     }
 
@@ -470,7 +474,7 @@
     /// What this instance tells others now.
     pub fn heartbeat(&self) -> Heartbeat {
         let now = self.clock.now();
-        let loads = self.shared.loads().own(now);
+        let loads = self.shared.loads().local_loads(now);
         let state = self.state.borrow();
         let ages = state.freshness.ages(now);
         self.metrics.set_table_age(&ages);
--- a/crates/citronproxy/src/edge/control/heartbeat.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -213,7 +213,7 @@
         let loads = heartbeat.loads.iter();
         let loads = loads.filter_map(|load| load.clone().try_into().ok());
         let mut load_book = controller.shared.loads();
-        load_book.report(name.clone(), loads.collect(), now);
+        load_book.apply_report(name.clone(), loads.collect(), now);
     }
     if let Some(crashes) = heartbeat.crashes.clone() {
         let sender = (name.clone(), Incarnation(heartbeat.start));
--- a/crates/citronproxy/src/edge/control/peers.rs
+++ b/crates/citronproxy/src/edge/control/peers.rs
@@ -4,7 +4,7 @@
     citron_core::{
         freshness::{HeartbeatSchedule, PropagationTimes, Sender},
         id::{DomainName, InstanceId},
-        slowstart::Members,
+        slowstart::GroupMembers,
         time::Time,
     },
     citron_wire::heartbeat::Heartbeat,
@@ -221,7 +221,7 @@
 
     /// All instances that were ever heard of, whether they are there or not, but for
     /// those whose failure domain is not known.
-    pub fn members(&self) -> Members {
+    pub fn members(&self) -> GroupMembers {
         let peers = self.peers.iter();
         let known_peers =
             peers.filter_map(|(name, peer)| Some((name.clone(), peer.domain.clone()?)));
--- a/crates/citronproxy/src/edge/control/planner/capacity.rs
+++ b/crates/citronproxy/src/edge/control/planner/capacity.rs
@@ -2,7 +2,7 @@
 
 use {
     citron_core::{
-        dispatch::LoadBook, ranges::Capacity, registry::ServerRecord, slowstart::SlowStart,
+        dispatch::LoadTracker, ranges::Capacity, registry::ServerRecord, slowstart::SlowStart,
         time::Time,
     },
     std::time::Duration,
@@ -42,12 +42,12 @@
 pub fn capacities(
     servers: &[&ServerRecord],
     slow_start: Option<SlowStart>,
-    loads: &LoadBook,
+    loads: &LoadTracker,
     now: Time,
 ) -> Vec<Capacity> {
     let servers: Vec<(&ServerRecord, Option<f64>)> = servers
         .iter()
-        .map(|known| (*known, loads.get(&known.entry.name).run(now)))
+        .map(|known| (*known, loads.get(&known.entry.name).run_time(now)))
         .collect();
     let run_times: Vec<f64> = servers.iter().filter_map(|(_, run)| *run).collect();
     let mean_run = match run_times.len() {
--- a/crates/citronproxy/src/edge/shared.rs
+++ b/crates/citronproxy/src/edge/shared.rs
@@ -4,8 +4,8 @@
     super::{freshness::SharedFreshness, view::View},
     arc_swap::ArcSwapOption,
     citron_core::{
-        crash::{CrashConfig, CrashLog},
-        dispatch::LoadBook,
+        crash::{CrashConfig, CrashTracker},
+        dispatch::LoadTracker,
         id::ServiceName,
         ranges::{MoveLog, MoveNews, OwnerHint, RangeKey, Slice},
         time::Time,
@@ -27,9 +27,9 @@
     view: ArcSwapOption<View>,
     freshness: SharedFreshness,
     publications: watch::Sender<u64>,
-    loads: Mutex<LoadBook>,
+    loads: Mutex<LoadTracker>,
     pending_keys: Mutex<Vec<(ServiceName, RangeKey)>>,
-    crashes: Mutex<CrashLog>,
+    crashes: Mutex<CrashTracker>,
     moves: Mutex<BTreeMap<ServiceName, MoveLog>>,
     leaving: watch::Sender<bool>,
 }
@@ -42,7 +42,7 @@
             publications: watch::Sender::new(0),
             loads: Mutex::default(),
             pending_keys: Mutex::default(),
-            crashes: Mutex::new(CrashLog::new(CrashConfig::STARTS)),
+            crashes: Mutex::new(CrashTracker::new(CrashConfig::PER_START)),
             moves: Mutex::default(),
             leaving: watch::Sender::new(false),
         }
@@ -72,7 +72,7 @@
     }
 
     /// Loads of servers.
-    pub fn loads(&self) -> MutexGuard<'_, LoadBook> {
+    pub fn loads(&self) -> MutexGuard<'_, LoadTracker> {
         self.loads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Requests that crash servers.
-    pub fn crashes(&self) -> MutexGuard<'_, CrashLog> {
+    pub fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/call.rs
@@ -145,7 +145,7 @@
         let failed = answer.status().is_server_error();
         let mut crashes = self.front.board.crashes();
         if !failed && !crashes.is_empty() {
-            crashes.answered(self.print(), self.front.clock.now());
+            crashes.record_answer(self.print(), self.front.clock.now());
         }
         drop(crashes);
         if failed && self.message.repeat == Repeat::Idempotent && self.may_retry(server) {
@@ -163,7 +163,7 @@
         let head = self.message.head;
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let body = self.message.source.kept();
-        Fingerprint::of(&[head.method.as_str().as_bytes(), path.as_bytes(), &body])
+        Fingerprint::from_parts(&[head.method.as_str().as_bytes(), path.as_bytes(), &body])
     }
 
     /// How much longer requests like this one are kept from servers.
@@ -172,7 +172,7 @@
         if crashes.is_empty() {
             return None;
         }
-        crashes.refused(self.print(), self.front.clock.now())
+        crashes.refused_for(self.print(), self.front.clock.now())
     }
 
     /// Counts a try, and takes another from the budget.
@@ -276,7 +276,7 @@
     fn note_rejected(&self) {
         let owner = self.slice().and_then(|slice| slice.owner);
         if let Some(owner) = owner {
-            self.front.board.loads().note_rejected(&owner);
+            self.front.board.loads().record_rejection(&owner);
         }
     }
 
@@ -332,7 +332,7 @@
     fn refused_again(&self) -> Duration {
         let loads = self.front.board.loads();
         let last = self.tried.last();
-        let callers = last.map_or(1.0, |last| loads.get(last).callers());
+        let callers = last.map_or(1.0, |last| loads.get(last).callers_per_admission());
         let spread = rand::rng().random_range(RETRY_JITTER);
         let again = REJECTED_RETRY_AFTER.mul_f64(callers * spread);
         again.min(REJECTED_RETRY_MOST)
--- a/crates/citronproxy/src/edge/traffic/crash.rs
+++ b/crates/citronproxy/src/edge/traffic/crash.rs
@@ -38,7 +38,9 @@
         if let Ok(Err(error)) = connected
             && error.kind() == ErrorKind::ConnectionRefused
         {
-            board.crashes().crashed(print, &label, &name, clock.now());
+            board
+                .crashes()
+                .record_crash(print, &label, &name, clock.now());
         }
     });
 }
--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/exchange.rs
@@ -18,7 +18,7 @@
     },
     bytes::BytesMut,
     citron_core::{
-        dispatch::{Finish, PROMPT, Speed, ToldLoad, run_share},
+        dispatch::{AttemptOutcome, ON_TIME_SHARE, ReportedLoad, Timeliness, run_share},
         id::{ServerName, ServiceName},
         registry::ServerRecord,
         routes::Repeat,
@@ -91,21 +91,21 @@
     fresh: bool,
     /// The part of its time there that it runs.
     share: f64,
-    finish: Finish,
+    finish: AttemptOutcome,
     clock: crate::clock::Clock,
     /// Where any server of the service would do.
     paced: Option<Paced>,
     /// How long it was planned to take; nothing if it was sent late.
     planned: Option<Duration>,
     /// What the server said of its load.
-    told: Option<ToldLoad>,
+    told: Option<ReportedLoad>,
 }
 
 impl Slot {
     fn new(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Self {
         let mut loads = front.board.loads();
         let name = &server.entry.name;
-        let share = run_share(loads.get(name).busy(), server.entry.slots);
+        let share = run_share(loads.get(name).in_flight(), server.entry.slots);
         loads.begin(name, front.clock.now());
         let begun = front.clock.now();
         let paced = (!message.keyed).then(|| front.paces.begin(&server.entry.service));
@@ -117,28 +117,28 @@
             begun,
             fresh: false,
             paced,
-            planned: (!left.is_zero()).then(|| left.mul_f64(PROMPT)),
+            planned: (!left.is_zero()).then(|| left.mul_f64(ON_TIME_SHARE)),
             share,
             told: None,
-            finish: Finish::Other,
+            finish: AttemptOutcome::Other,
             clock: front.clock,
         }
     }
 
     /// Ends it with a whole answer.
     pub fn ran(mut self) {
-        self.finish = Finish::Ran;
+        self.finish = AttemptOutcome::Ran;
     }
 
     /// What its end tells of the service's room.
-    fn speed(&self, span: Duration) -> Speed {
+    fn speed(&self, span: Duration) -> Timeliness {
         let late = self.planned.map(|planned| span > planned);
         match (self.finish, late) {
-            (Finish::Full | Finish::Closed, _) => Speed::Late,
-            (Finish::Ran, Some(false)) => Speed::InTime,
+            (AttemptOutcome::Full | AttemptOutcome::Closed, _) => Timeliness::Late,
+            (AttemptOutcome::Ran, Some(false)) => Timeliness::OnTime,
             // No answer by then, or given up by the caller, tells the same.
-            (Finish::Ran | Finish::Other, Some(true)) => Speed::Late,
-            _ => Speed::Unknown,
+            (AttemptOutcome::Ran | AttemptOutcome::Other, Some(true)) => Timeliness::Late,
+            _ => Timeliness::Unknown,
         }
     }
 }
@@ -184,21 +184,21 @@
     let end = exchange(front, server, message, &mut slot).await;
     slot.finish = match &end {
         // A streamed answer has taken the slot over, and this one counts nothing.
-        Ended::Passed(answer) if answer.status().is_server_error() => Finish::Failed,
-        Ended::Passed(_) => Finish::Ran,
+        Ended::Passed(answer) if answer.status().is_server_error() => AttemptOutcome::Failed,
+        Ended::Passed(_) => AttemptOutcome::Ran,
         Ended::Not(AttemptResult::Refused) if slot.told.is_some_and(|told| told.has_room()) => {
-            Finish::Shed
+            AttemptOutcome::Shed
         }
-        Ended::Not(AttemptResult::Refused) => Finish::Full,
-        Ended::Not(AttemptResult::Closed) => Finish::Closed,
+        Ended::Not(AttemptResult::Refused) => AttemptOutcome::Full,
+        Ended::Not(AttemptResult::Closed) => AttemptOutcome::Closed,
         // A server that takes connections and closes them at once is there, and full.
         Ended::Not(AttemptResult::Lost(_))
             if slot.fresh && front.clock.now() - slot.begun < SOON =>
         {
-            Finish::Closed
+            AttemptOutcome::Closed
         }
-        Ended::Not(AttemptResult::NotSent(_) | AttemptResult::Lost(_)) => Finish::Lost,
-        Ended::Not(_) | Ended::Streaming(..) => Finish::Other,
+        Ended::Not(AttemptResult::NotSent(_) | AttemptResult::Lost(_)) => AttemptOutcome::Lost,
+        Ended::Not(_) | Ended::Streaming(..) => AttemptOutcome::Other,
     };
     match end {
         Ended::Passed(answer) => AttemptResult::Answered(answer),
@@ -274,7 +274,7 @@
     repeat: Repeat,
     connection: &Connection,
 ) -> bool {
-    let doubted = front.board.loads().get(&server.entry.name).is_doubted();
+    let doubted = front.board.loads().get(&server.entry.name).is_suspect();
     let waits = doubted || repeat == Repeat::Once;
     if waits {
         sleep(SETTLE).await;
@@ -312,7 +312,7 @@
 }
 
 /// What a server says of its load; figures that cannot be are counted and left.
-fn told_load(front: &Front, headers: &HeaderMap) -> Option<ToldLoad> {
+fn told_load(front: &Front, headers: &HeaderMap) -> Option<ReportedLoad> {
     let value = headers.get(&front.headers.load)?;
     let told = value.to_str().ok().and_then(|text| text.parse().ok());
     if told.is_none() {
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -23,7 +23,7 @@
         registry::SendBounds,
         routes::ConfigVersion,
         routing::{BudgetConfig, RetryBudget},
-        slowstart::SlowStartGate,
+        slowstart::SlowStartLimiter,
         time::Time,
     },
     citron_ports::HeaderNames,
@@ -80,7 +80,7 @@
     /// How long idle connections are trusted.
     pub idles: Rc<Idles>,
     /// What cold servers get from this instance.
-    pub cold: RefCell<SlowStartGate>,
+    pub cold: RefCell<SlowStartLimiter>,
     /// How long owners may get requests that leave or are evacuated.
     pub bounds: SendBounds,
     /// Requests counted since the metrics were last read.
@@ -147,7 +147,7 @@
         let retries = self.settings.retry_budget;
         let burst = (retries.extra * BUDGET_PART / instances as f64).max(1.0);
         let share = retries.ratio * BUDGET_PART;
-        let new = || RetryBudget::of_start(BudgetConfig { share, burst });
+        let new = || RetryBudget::with_one_token(BudgetConfig { share, burst });
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(new);
         budget.set_burst(burst);
--- a/crates/citronproxy/src/edge/traffic/idles.rs
+++ b/crates/citronproxy/src/edge/traffic/idles.rs
@@ -1,7 +1,7 @@
 //! How long idle connections are trusted, by service.
 
 use {
-    citron_core::{dispatch::IdleTrust, id::ServiceName, time::Time},
+    citron_core::{dispatch::IdleLimit, id::ServiceName, time::Time},
     std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration},
 };
 
@@ -12,10 +12,10 @@
 /// connection that is dead without a word.
 const SILENT: Duration = Duration::from_millis(500);
 
-/// An [`IdleTrust`] for each service.
+/// An [`IdleLimit`] for each service.
 #[derive(Debug, Default)]
 pub struct Idles {
-    services: RefCell<BTreeMap<ServiceName, IdleTrust>>,
+    services: RefCell<BTreeMap<ServiceName, IdleLimit>>,
 }
 
 impl Idles {
@@ -23,10 +23,10 @@
     pub fn bound(&self, service: &ServiceName) -> Duration {
         let services = self.services.borrow();
         let trust = services.get(service);
-        trust.map_or_else(|| IdleTrust::default().bound(), IdleTrust::bound)
+        trust.map_or_else(|| IdleLimit::default().limit(), IdleLimit::limit)
     }
 
-    fn learn(&self, service: &ServiceName, f: impl FnOnce(&mut IdleTrust)) {
+    fn learn(&self, service: &ServiceName, f: impl FnOnce(&mut IdleLimit)) {
         let mut services = self.services.borrow_mut();
         f(services.entry(service.clone()).or_default());
     }
@@ -65,14 +65,15 @@
     pub fn answered(mut self) {
         self.ended = true;
         self.idles
-            .learn(&self.service, |trust| trust.worked(self.idle));
+            .learn(&self.service, |trust| trust.record_success(self.idle));
     }
 
     /// The connection broke.
     pub fn broke(mut self) {
         self.ended = true;
         if self.clock.now() - self.begun < SOON {
-            self.idles.learn(&self.service, IdleTrust::was_dead);
+            self.idles
+                .learn(&self.service, IdleLimit::record_dead_connection);
         }
     }
 }
@@ -80,7 +81,8 @@
 impl Drop for Reused {
     fn drop(&mut self) {
         if !self.ended && self.clock.now() - self.begun > SILENT {
-            self.idles.learn(&self.service, IdleTrust::was_dead);
+            self.idles
+                .learn(&self.service, IdleLimit::record_dead_connection);
         }
     }
 }
--- a/crates/citronproxy/src/edge/traffic/paces.rs
+++ b/crates/citronproxy/src/edge/traffic/paces.rs
@@ -2,17 +2,17 @@
 
 use {
     citron_core::{
-        dispatch::{Pace, Speed},
+        dispatch::{ConcurrencyLimit, Timeliness},
         id::ServiceName,
     },
     rand::Rng,
     std::{cell::RefCell, collections::BTreeMap, rc::Rc},
 };
 
-/// A [`Pace`] for each service that was asked.
+/// A [`ConcurrencyLimit`] for each service that was asked.
 #[derive(Debug, Default)]
 pub struct Paces {
-    services: RefCell<BTreeMap<ServiceName, Pace>>,
+    services: RefCell<BTreeMap<ServiceName, ConcurrencyLimit>>,
 }
 
 impl Paces {
@@ -30,7 +30,7 @@
         Paced {
             paces: Rc::clone(self),
             service: service.clone(),
-            speed: Speed::Unknown,
+            speed: Timeliness::Unknown,
         }
     }
 }
@@ -41,7 +41,7 @@
     paces: Rc<Paces>,
     service: ServiceName,
     /// What its end tells.
-    pub speed: Speed,
+    pub speed: Timeliness,
 }
 
 impl Drop for Paced {
--- a/crates/citronproxy/src/edge/traffic/target.rs
+++ b/crates/citronproxy/src/edge/traffic/target.rs
@@ -4,7 +4,7 @@
     super::{exchange::reuse, front::Front},
     crate::edge::view::View,
     citron_core::{
-        dispatch::{Candidate, Decision, RejectReason, TimeLimits, choose, sample_size},
+        dispatch::{Candidate, Decision, RejectReason, TimeLimits, sample_size, select_server},
         id::{Epoch, ServerName, ServiceName},
         ranges::{OwnerHint, RangeKey},
         registry::ServerRecord,
@@ -204,7 +204,7 @@
     let Some(group) = &view.slow_start_group else {
         return false;
     };
-    let most = front.settings.cold_bound.most(&slow);
+    let most = front.settings.cold_bound.max_requests(&slow);
     let entry = &known.entry;
     let mut gate = front.cold.borrow_mut();
     let share = gate.share(group, &entry.name, || match query.key {
@@ -243,13 +243,13 @@
         Candidate {
             server,
             same_domain,
-            kept: front.pool.has_idle(&server.entry.address, reuse),
+            has_connection: front.pool.has_idle(&server.entry.address, reuse),
             load_factor,
         }
     });
     let loads = front.board.loads();
     let mut rng = rand::rng();
-    match choose(&loads, candidates, limits, now, || rng.random()) {
+    match select_server(&loads, candidates, limits, now, || rng.random()) {
         Decision::Reject {
             retry_after,
             reason,
@@ -261,7 +261,7 @@
                 return Target::None;
             };
             if !known.remaining_warm_up(now).is_zero() {
-                front.cold.borrow_mut().note(&known.entry.name, now);
+                front.cold.borrow_mut().record(&known.entry.name, now);
             }
             Target::Server(Arc::clone(known))
         }
--- a/crates/citronproxy/src/edge/view.rs
+++ b/crates/citronproxy/src/edge/view.rs
@@ -6,7 +6,7 @@
         ranges::PartedMap,
         registry::{ServerList, ServerRecord},
         routes::RouteConfig,
-        slowstart::Group,
+        slowstart::SlowStartGroup,
     },
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
@@ -27,7 +27,7 @@
     /// Time between two reports of each of them.
     pub report_interval: Duration,
     /// Who sends to cold servers; nobody yet if this instance does not know the others.
-    pub slow_start_group: Option<Arc<Group>>,
+    pub slow_start_group: Option<Arc<SlowStartGroup>>,
 }
 
 impl View {
--- a/crates/citronproxy/src/traffic/answer.rs
+++ b/crates/citronproxy/src/traffic/answer.rs
@@ -3,7 +3,7 @@
 use {
     super::body::AnswerBody,
     bytes::Bytes,
-    citron_core::routing::{Outcome, Verdict},
+    citron_core::routing::{LocalResponse, Outcome},
     http::{HeaderValue, Response, StatusCode, header},
     http_body_util::Full,
 };
@@ -43,11 +43,11 @@
 }
 
 /// The answer that core decided on.
-pub fn from_verdict(verdict: &Verdict) -> Response<AnswerBody> {
+pub fn from_verdict(verdict: &LocalResponse) -> Response<AnswerBody> {
     let status = StatusCode::from_u16(verdict.status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let reason = verdict.reason.to_string();
-    own(status, verdict.outcome, verdict.retry, &reason)
+    own(status, verdict.outcome, verdict.retry_after, &reason)
 }
 
 /// The answer of an instance that can route nothing now.
--- a/crates/citronproxy/src/traffic/body.rs
+++ b/crates/citronproxy/src/traffic/body.rs
@@ -3,7 +3,7 @@
 use {
     super::{exchange::Exchange, gates::Slot},
     bytes::Bytes,
-    citron_core::admission::Release,
+    citron_core::admission::ReleaseReason,
     http_body::{Body, Frame, SizeHint},
     http_body_util::Full,
     hyper::body::Incoming,
@@ -84,7 +84,7 @@
         if let Some(mut slot) = self.slot.take()
             && small
         {
-            slot.note(Release::Answered);
+            slot.note(ReleaseReason::Answered);
         }
     }
 
--- a/crates/citronproxy/src/traffic/call.rs
+++ b/crates/citronproxy/src/traffic/call.rs
@@ -10,9 +10,11 @@
         tries::{Answered, Ended, Tries},
     },
     citron_core::{
-        admission::Release,
+        admission::ReleaseReason,
         id::ServiceName,
-        routing::{Attempt, Event, Outcome, Reason, RequestBody, RequestKind, Step, Try},
+        routing::{
+            AttemptNo, Event, FailureReason, Outcome, RequestBody, RequestKind, RetryState, Step,
+        },
     },
     futures::stream::{FuturesUnordered, StreamExt},
     http::{Response, StatusCode},
@@ -29,7 +31,7 @@
 pub struct Call<'a> {
     tries: &'a Tries,
     service: &'a ServiceName,
-    attempt: Attempt,
+    attempt: RetryState,
     answer: Option<Box<Answered>>,
     slot: Option<Slot>,
 }
@@ -38,7 +40,7 @@
     /// A request of a service.
     pub fn new(tries: &'a Tries, service: &'a ServiceName, idempotent: bool) -> Self {
         let body = match tries.source.whole() {
-            true => RequestBody::Kept,
+            true => RequestBody::Buffered,
             false => RequestBody::Streamed,
         };
         let kind = RequestKind {
@@ -46,7 +48,7 @@
             body,
             deadline: tries.deadline,
         };
-        let new = |retries: &mut _| Attempt::new(kind, retries);
+        let new = |retries: &mut _| RetryState::new(kind, retries);
         Self {
             attempt: tries.state.with_retries(service, new),
             tries,
@@ -61,7 +63,7 @@
     /// connections.
     pub async fn run(mut self) -> (Response<AnswerBody>, u32) {
         let answer = self.drive().await;
-        (answer, self.attempt.tries())
+        (answer, self.attempt.attempts())
     }
 
     async fn drive(&mut self) -> Response<AnswerBody> {
@@ -124,7 +126,7 @@
             return None;
         }
         let wait = crashes.refused(self.tries.fingerprint())?;
-        let reason = Reason::Quarantined;
+        let reason = FailureReason::Quarantined;
         Some(Event::Denied { reason, wait })
     }
 
@@ -145,7 +147,7 @@
     fn note_crash(&self, event: Event) {
         let tries = self.tries;
         if let Event::Lost(_, point) = event
-            && !point.is_clean()
+            && !point.is_unsent()
             && let Some(server) = tries.server.borrow().clone()
         {
             tries.state.handle.note_crash(&CrashNote::Crashed {
@@ -163,7 +165,7 @@
         let attempt = &mut self.attempt;
         state.with_retries(self.service, |retries| {
             if consumed {
-                attempt.step(Event::BodyBegun, now, retries);
+                attempt.step(Event::BodyStarted, now, retries);
             }
             attempt.step(event, now, retries)
         })
@@ -189,9 +191,9 @@
     /// Tells the server's gate what a failure says of the server's load.
     fn note_release(&mut self, event: Event) {
         let release = match event {
-            Event::Refused { .. } => Release::Refused,
-            Event::TimedOut(..) => Release::TimedOut,
-            _ => Release::Other,
+            Event::Refused { .. } => ReleaseReason::Refused,
+            Event::TimedOut(..) => ReleaseReason::TimedOut,
+            _ => ReleaseReason::Other,
         };
         if let Some(slot) = &mut self.slot {
             slot.note(release);
@@ -201,7 +203,7 @@
     /// Suspects the old connections of a server if a request on one of them got
     /// no bytes until its time was up.
     fn note_silence(&self, event: Event) {
-        if let (Event::TimedOut(Try(1), _), Some((begun, address))) =
+        if let (Event::TimedOut(AttemptNo(1), _), Some((begun, address))) =
             (event, self.tries.reused.get().copied())
         {
             self.tries.state.pool.suspect(address, begun);
@@ -216,13 +218,13 @@
         open == 1 && whole && self.attempt.can_hedge()
     }
 
-    fn forward(&mut self, no: Try) -> Response<AnswerBody> {
+    fn forward(&mut self, no: AttemptNo) -> Response<AnswerBody> {
         let Some(answered) = self.answer.take() else {
             return broken();
         };
         // A later try overtook the first: its connection, which was used before,
         // may have gone silent together with others of its age.
-        if no > Try(1)
+        if no > AttemptNo(1)
             && let Some((begun, address)) = self.tries.reused.get().copied()
         {
             self.tries.state.pool.suspect(address, begun);
@@ -248,7 +250,7 @@
             return None;
         };
         // Once a part is with the server, nobody knows what it makes of it.
-        let clean = matches!(event, Event::Lost(Try(1), point) if point.is_clean());
+        let clean = matches!(event, Event::Lost(AttemptNo(1), point) if point.is_unsent());
         let outcome = if clean {
             Outcome::NotRun
         } else {
--- a/crates/citronproxy/src/traffic/crashes.rs
+++ b/crates/citronproxy/src/traffic/crashes.rs
@@ -4,7 +4,7 @@
     super::upload::Source,
     crate::clock::Clock,
     citron_core::{
-        crash::{CrashConfig, CrashEntry, CrashLog, CrashReport, Fingerprint},
+        crash::{CrashConfig, CrashEntry, CrashReport, CrashTracker, Fingerprint},
         id::{Incarnation, InstanceId, ServerName},
     },
     http::request::Parts,
@@ -46,7 +46,7 @@
 /// The log of one thread.
 #[derive(Debug)]
 pub struct Crashes {
-    log: RefCell<CrashLog>,
+    log: RefCell<CrashTracker>,
     /// Whether anything was ever noted: else no request needs a fingerprint.
     noted: Cell<bool>,
     clock: Clock,
@@ -56,7 +56,7 @@
     /// Nothing noted.
     pub fn new(clock: Clock) -> Self {
         Self {
-            log: RefCell::new(CrashLog::new(CrashConfig::STANDARD)),
+            log: RefCell::new(CrashTracker::new(CrashConfig::STANDARD)),
             noted: Cell::new(false),
             clock,
         }
@@ -69,7 +69,7 @@
 
     /// Whether such requests crashed a server.
     pub fn knows(&self, print: Fingerprint) -> bool {
-        self.noted() && self.log.borrow().knows(print, self.clock.now())
+        self.noted() && self.log.borrow().has_crash(print, self.clock.now())
     }
 
     /// Takes in news.
@@ -81,8 +81,8 @@
                 print,
                 label,
                 server,
-            } => log.crashed(print, &label, &server, now),
-            CrashNote::Answered(print) => log.answered(print, now),
+            } => log.record_crash(print, &label, &server, now),
+            CrashNote::Answered(print) => log.record_answer(print, now),
             CrashNote::Lift(print) => log.lift(print, now),
             CrashNote::Heard { from, report } => log.merge(from, report, now),
         }
@@ -91,7 +91,7 @@
 
     /// How much longer such requests are refused.
     pub fn refused(&self, print: Fingerprint) -> Option<Duration> {
-        self.log.borrow().refused(print, self.clock.now())
+        self.log.borrow().refused_for(print, self.clock.now())
     }
 
     /// What this instance knows, for the others.
@@ -113,7 +113,7 @@
     let key = key.map_or(&b""[..], |key| key.as_bytes());
     let length = source.length().to_le_bytes();
     let body = source.kept();
-    Fingerprint::of(&[
+    Fingerprint::from_parts(&[
         head.method.as_str().as_bytes(),
         path.as_bytes(),
         key,
--- a/crates/citronproxy/src/traffic/gates.rs
+++ b/crates/citronproxy/src/traffic/gates.rs
@@ -4,11 +4,11 @@
     crate::clock::Clock,
     citron_core::{
         admission::{
-            Admission, Demand, Gate, GateConfig, Part, Rate, Release, SlotShare, Ticket, Turn,
-            even_share,
+            Admission, AdmissionConfig, AdmissionController, Demand, QueueDecision, Rate,
+            ReleaseReason, ServerQuota, SlotShare, Ticket, even_share,
         },
         id::ServerName,
-        routing::Reason,
+        routing::FailureReason,
         table::ServerRow,
         time::Time,
     },
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Denied {
     /// Why.
-    pub reason: Reason,
+    pub reason: FailureReason,
     /// When to come back.
     pub wait: Duration,
 }
@@ -43,10 +43,10 @@
 /// One server's gate, and the requests that wait at it.
 #[derive(Debug)]
 struct Server {
-    gate: RefCell<Gate>,
+    gate: RefCell<AdmissionController>,
     waiters: RefCell<FxHashMap<Ticket, oneshot::Sender<Result<Slot, Denied>>>>,
     /// What the gate was last set to.
-    part: Cell<Option<Part>>,
+    part: Cell<Option<ServerQuota>>,
     pumped: Notify,
     clock: Clock,
 }
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Parts {
     /// The parts; a server without one is not shared with other instances.
-    pub parts: BTreeMap<ServerName, Part>,
+    pub parts: BTreeMap<ServerName, ServerQuota>,
     /// How many threads share them.
     pub threads: usize,
 }
@@ -103,7 +103,7 @@
         let server = self.server(row);
         let ticket = self.ticket();
         let now = self.clock.now();
-        let admission = server.gate.borrow_mut().arrive(ticket, deadline, now);
+        let admission = server.gate.borrow_mut().admit(ticket, deadline, now);
         match admission {
             Admission::Start => Ok(Slot::new(server)),
             Admission::Shed { reason, wait } => Err(Denied { reason, wait }),
@@ -126,7 +126,11 @@
         }
         let now = self.clock.now();
         let server = Rc::new(Server {
-            gate: RefCell::new(Gate::new(GateConfig::STANDARD, part.share, now)),
+            gate: RefCell::new(AdmissionController::new(
+                AdmissionConfig::STANDARD,
+                part.share,
+                now,
+            )),
             waiters: RefCell::default(),
             part: Cell::new(None),
             pumped: Notify::new(),
@@ -139,16 +143,16 @@
     }
 
     /// This thread's part of a server.
-    fn part(&self, row: &ServerRow) -> Part {
+    fn part(&self, row: &ServerRow) -> ServerQuota {
         let parts = self.parts.borrow();
         let threads = parts.threads.max(1);
         let cap = |cap: Rate| Rate(cap.0 / threads as f64);
         match parts.parts.get(&row.name) {
-            Some(part) => Part {
+            Some(part) => ServerQuota {
                 share: SlotShare::new(part.share.slots() / threads as f64),
                 cap: part.cap.map(cap),
             },
-            None => Part {
+            None => ServerQuota {
                 share: SlotShare::new(even_share(row.slots, threads).slots().max(SHARE_LEAST)),
                 cap: row.cap.map(|rate| cap(Rate(f64::from(rate)))),
             },
@@ -158,7 +162,7 @@
 
 impl Server {
     /// Follows the server's row and the part of this thread.
-    fn set(&self, part: Part) {
+    fn set(&self, part: ServerQuota) {
         if self.part.replace(Some(part)) == Some(part) {
             return;
         }
@@ -178,7 +182,7 @@
         };
         self.pumped.notify_one();
         let wait = Duration::ZERO;
-        let reason = Reason::Overloaded;
+        let reason = FailureReason::Overloaded;
         waiter.await.unwrap_or(Err(Denied { reason, wait }))
     }
 
@@ -189,9 +193,9 @@
             let turn = self.gate.borrow_mut().next(now);
             let (ticket, answer) = match turn {
                 None => return,
-                Some(Turn::Start(ticket)) => (ticket, Ok(Slot::new(Rc::clone(self)))),
-                Some(Turn::Shed { ticket, wait }) => {
-                    let reason = Reason::Overloaded;
+                Some(QueueDecision::Start(ticket)) => (ticket, Ok(Slot::new(Rc::clone(self)))),
+                Some(QueueDecision::Shed { ticket, wait }) => {
+                    let reason = FailureReason::Overloaded;
                     (ticket, Err(Denied { reason, wait }))
                 }
             };
@@ -201,7 +205,7 @@
         }
     }
 
-    fn end(&self, release: Release, held: Duration) {
+    fn end(&self, release: ReleaseReason, held: Duration) {
         let now = self.clock.now();
         self.gate.borrow_mut().end(release, held, now);
     }
@@ -212,7 +216,7 @@
     while let Some(server) = server.upgrade() {
         server.turns();
         let now = server.clock.now();
-        let wake = server.gate.borrow().wake(now);
+        let wake = server.gate.borrow().ready_at(now);
         match wake {
             None => server.pumped.notified().await,
             Some(wake) => tokio::select! {
@@ -235,7 +239,7 @@
         let waiter = self.server.waiters.borrow_mut().remove(&self.ticket);
         if waiter.is_some() {
             let mut gate = self.server.gate.borrow_mut();
-            gate.leave(self.ticket, self.deadline);
+            gate.cancel(self.ticket, self.deadline);
         }
     }
 }
@@ -245,7 +249,7 @@
 pub struct Slot {
     server: Rc<Server>,
     begun: Time,
-    release: Release,
+    release: ReleaseReason,
 }
 
 impl Slot {
@@ -253,12 +257,12 @@
         Self {
             begun: server.clock.now(),
             server,
-            release: Release::Other,
+            release: ReleaseReason::Other,
         }
     }
 
     /// Notes how the request ended.
-    pub fn note(&mut self, release: Release) {
+    pub fn note(&mut self, release: ReleaseReason) {
         self.release = release;
     }
 }
--- a/crates/citronproxy/src/traffic/handle.rs
+++ b/crates/citronproxy/src/traffic/handle.rs
@@ -11,7 +11,7 @@
     },
     arc_swap::{ArcSwapOption, Guard},
     citron_core::{
-        admission::{Demand, Part},
+        admission::{Demand, ServerQuota},
         crash::{CrashEntry, CrashReport},
         id::{Revision, ServerName, ServiceName},
         routing::Snapshot,
@@ -140,7 +140,7 @@
 
     /// Sets what this instance may take of each server; of a server without a
     /// part it takes all slots. Resolves when the parts are in force.
-    pub async fn set_parts(&self, parts: BTreeMap<ServerName, Part>) {
+    pub async fn set_parts(&self, parts: BTreeMap<ServerName, ServerQuota>) {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner).len();
         let parts = Arc::new(Parts { parts, threads });
--- a/crates/citronproxy/src/traffic/owner.rs
+++ b/crates/citronproxy/src/traffic/owner.rs
@@ -6,7 +6,7 @@
         target::{NoTarget, Target},
         tries::Tries,
     },
-    citron_core::{id::Revision, routing::Send},
+    citron_core::{id::Revision, routing::SendAttempt},
     std::time::Duration,
     tokio::time::timeout,
 };
@@ -31,7 +31,7 @@
 
 impl Tries {
     /// The owner of the key, once the instance may write to it.
-    pub(super) async fn target(&self, send: Send) -> Result<Target, NoRoute> {
+    pub(super) async fn target(&self, send: SendAttempt) -> Result<Target, NoRoute> {
         let refused = self.refused.get().filter(|_| send.reroute);
         if refused.is_none()
             && let Ok(target) = self.find()
--- a/crates/citronproxy/src/traffic/proxy.rs
+++ b/crates/citronproxy/src/traffic/proxy.rs
@@ -188,14 +188,14 @@
 
 impl<'a> Room<'a> {
     fn enter(state: &'a State, operator: &'a OperatorName) -> Option<Self> {
-        let entered = state.room.borrow_mut().enter(operator);
+        let entered = state.room.borrow_mut().try_acquire(operator);
         entered.then_some(Self { state, operator })
     }
 }
 
 impl Drop for Room<'_> {
     fn drop(&mut self) {
-        self.state.room.borrow_mut().leave(self.operator);
+        self.state.room.borrow_mut().release(self.operator);
     }
 }
 
--- a/crates/citronproxy/src/traffic/state.rs
+++ b/crates/citronproxy/src/traffic/state.rs
@@ -7,9 +7,9 @@
     },
     crate::clock::Clock,
     citron_core::{
-        admission::OperatorRoom,
+        admission::OperatorLimiter,
         id::ServiceName,
-        routing::{BudgetConfig, HedgeDelay, Retries},
+        routing::{BudgetConfig, HedgeDelay, RetryPolicy},
     },
     rustc_hash::FxHashMap,
     std::{
@@ -34,7 +34,7 @@
     /// Requests that crashed servers.
     pub crashes: Crashes,
     /// Room for requests in progress, by operator.
-    pub room: RefCell<OperatorRoom>,
+    pub room: RefCell<OperatorLimiter>,
     /// Idle connections.
     pub pool: Pool,
     /// The clock.
@@ -43,7 +43,7 @@
     pub limits: Limits,
     /// Requests that wait for a route.
     pub waiting: Cell<usize>,
-    retries: RefCell<FxHashMap<ServiceName, Retries>>,
+    retries: RefCell<FxHashMap<ServiceName, RetryPolicy>>,
     hedges: RefCell<FxHashMap<SocketAddr, HedgeDelay>>,
     seed: u64,
 }
@@ -57,7 +57,7 @@
             metrics: RefCell::new(handle.shared_metrics().local()),
             crashes: Crashes::new(clock),
             handle,
-            room: RefCell::new(OperatorRoom::new(limits.room)),
+            room: RefCell::new(OperatorLimiter::new(limits.room)),
             pool: Pool::new(clock),
             clock,
             limits,
@@ -69,10 +69,14 @@
     }
 
     /// Lets `act` use the service's retry budget and backoff.
-    pub fn with_retries<T>(&self, service: &ServiceName, act: impl FnOnce(&mut Retries) -> T) -> T {
+    pub fn with_retries<T>(
+        &self,
+        service: &ServiceName,
+        act: impl FnOnce(&mut RetryPolicy) -> T,
+    ) -> T {
         let mut retries = self.retries.borrow_mut();
         if !retries.contains_key(service) {
-            let fresh = Retries::new(BudgetConfig::STANDARD, self.seed);
+            let fresh = RetryPolicy::new(BudgetConfig::STANDARD, self.seed);
             retries.insert(service.clone(), fresh);
         }
         let retries = retries.get_mut(service);
@@ -81,7 +85,7 @@
 
     /// When a hedge is due at a server, after the write.
     pub fn hedge_due(&self, address: SocketAddr) -> Option<Duration> {
-        self.hedges.borrow().get(&address)?.due()
+        self.hedges.borrow().get(&address)?.delay()
     }
 
     /// Counts the latency of an answer.
--- a/crates/citronproxy/src/traffic/target.rs
+++ b/crates/citronproxy/src/traffic/target.rs
@@ -61,7 +61,7 @@
         let service = map.service(host(head), head.uri.path());
         let service = service.ok_or(NoTarget::Service)?;
         let key = key_hash(&service.row.key, head).ok_or(NoTarget::Key)?;
-        let route = service.route(key).filter(|route| route.open);
+        let route = service.route(key).filter(|route| route.is_open);
         let route = route.ok_or(NoTarget::Owner(map.revision))?;
         let server = map.server(route.server);
         let flight = Flight::enter(flights, service, route.scope, server, map.revision);
--- a/crates/citronproxy/src/traffic/tries.rs
+++ b/crates/citronproxy/src/traffic/tries.rs
@@ -17,7 +17,7 @@
     citron_core::{
         crash::Fingerprint,
         id::Revision,
-        routing::{Event, Link, Point, Send, Try},
+        routing::{AttemptNo, ConnectionPolicy, Event, ExchangeStage, SendAttempt},
         table::ServerRow,
         time::Time,
     },
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Answered {
     /// Which try.
-    pub no: Try,
+    pub no: AttemptNo,
     /// The answer.
     pub response: Response<Incoming>,
     /// The exchange, which goes on until the answer's end.
@@ -87,11 +87,11 @@
 }
 
 impl Progress {
-    fn point(&self) -> Point {
+    fn point(&self) -> ExchangeStage {
         match &*self.wire.borrow() {
-            None => Point::Unconnected,
-            Some((wire, begun)) if wire.written() == *begun => Point::Connected,
-            Some(_) => Point::Written,
+            None => ExchangeStage::Unconnected,
+            Some((wire, begun)) if wire.written() == *begun => ExchangeStage::Connected,
+            Some(_) => ExchangeStage::Written,
         }
     }
 }
@@ -107,15 +107,15 @@
     /// # Errors
     /// [`Denied`], at once, if the request has to come back later.
     pub async fn admit(&self) -> Result<Option<Slot>, Denied> {
-        let first = Send {
-            no: Try(0),
-            after: Duration::ZERO,
-            limit: self.deadline - self.state.clock.now(),
-            link: Link::Any,
+        let first = SendAttempt {
+            no: AttemptNo(0),
+            delay: Duration::ZERO,
+            timeout: self.deadline - self.state.clock.now(),
+            connection: ConnectionPolicy::Any,
             reroute: false,
         };
         // Without an owner there is no server to wait for; the first try tells so.
-        let Ok(Ok(target)) = timeout(first.limit, self.target(first)).await else {
+        let Ok(Ok(target)) = timeout(first.timeout, self.target(first)).await else {
             return Ok(None);
         };
         let server = Arc::clone(&target.server);
@@ -125,36 +125,36 @@
     }
 
     /// Runs one try to the head of an answer.
-    pub async fn run(&self, send: Send) -> Ended {
+    pub async fn run(&self, send: SendAttempt) -> Ended {
         let progress = Progress::default();
-        let tried = timeout(send.limit + send.after, self.try_once(send, &progress)).await;
+        let tried = timeout(send.timeout + send.delay, self.try_once(send, &progress)).await;
         // A try that ran out of time was dropped with its connection, so that
         // nothing is written any more: the point is final.
         tried.unwrap_or_else(|_| Ended::Failed(Event::TimedOut(send.no, progress.point())))
     }
 
-    async fn try_once(&self, send: Send, progress: &Progress) -> Ended {
-        if !send.after.is_zero() {
-            sleep(send.after).await;
+    async fn try_once(&self, send: SendAttempt, progress: &Progress) -> Ended {
+        if !send.delay.is_zero() {
+            sleep(send.delay).await;
         }
         let target = match self.target(send).await {
             Ok(target) => target,
-            Err(NoRoute::Unconfirmed) => return Ended::Failed(Event::Withheld(send.no)),
+            Err(NoRoute::Unconfirmed) => return Ended::Failed(Event::Unconfirmed(send.no)),
             Err(NoRoute::Moving) => return Ended::Failed(Event::Fenced(send.no)),
         };
         let revision = target.leave.snapshot.map.revision;
         let address = target.server.address;
         self.server.replace(Some(Arc::clone(&target.server)));
-        let reuse = match send.link {
-            Link::Any => Reuse::ANY,
-            Link::Trusted => Reuse::FRESH,
-            Link::New => Reuse::Never,
+        let reuse = match send.connection {
+            ConnectionPolicy::Any => Reuse::ANY,
+            ConnectionPolicy::Trusted => Reuse::FRESH,
+            ConnectionPolicy::New => Reuse::Never,
         };
         let connection = match self.state.pool.take(address, reuse).await {
             Ok(connection) => connection,
             Err(error) => {
                 log::debug!("{address}: {error}");
-                return Ended::Failed(Event::Lost(send.no, Point::Unconnected));
+                return Ended::Failed(Event::Lost(send.no, ExchangeStage::Unconnected));
             }
         };
         let now = self.state.clock.now();
@@ -177,9 +177,9 @@
             Err(error) => {
                 log::debug!("{address}: {error}");
                 let event = match error {
-                    ExchangeError::Leave => Event::Withheld(send.no),
-                    ExchangeError::Before(_) => Event::Lost(send.no, Point::Connected),
-                    ExchangeError::After(_) => Event::Lost(send.no, Point::Written),
+                    ExchangeError::Leave => Event::Unconfirmed(send.no),
+                    ExchangeError::Before(_) => Event::Lost(send.no, ExchangeStage::Connected),
+                    ExchangeError::After(_) => Event::Lost(send.no, ExchangeStage::Written),
                 };
                 Ended::Failed(event)
             }
@@ -188,7 +188,7 @@
 
     fn answered(
         &self,
-        no: Try,
+        no: AttemptNo,
         response: Response<Incoming>,
         exchange: Exchange,
         revision: Revision,
@@ -204,7 +204,7 @@
             return Ended::Failed(Event::Fenced(no));
         }
         if !is_delimited(&response) {
-            return Ended::Failed(Event::Lost(no, Point::AnswerPart));
+            return Ended::Failed(Event::Lost(no, ExchangeStage::AnswerPart));
         }
         Ended::Answered(Box::new(Answered {
             no,
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use {
     citron_core::{
-        admission::{Part, SlotShare},
+        admission::{ServerQuota, SlotShare},
         id::Slots,
         table::Row,
     },
@@ -157,7 +157,7 @@
 async fn a_part_of_the_slots_is_kept_to() {
     let server = slow(Duration::from_millis(400)).await;
     let path = path(&server, 4, None);
-    let part = Part {
+    let part = ServerQuota {
         share: SlotShare::new(2.0),
         cap: None,
     };
--- a/crates/core/examples/policy_cost.rs
+++ b/crates/core/examples/policy_cost.rs
@@ -5,12 +5,15 @@
 use {
     citron_core::{
         admission::{
-            Admission, Demand, DemandBook, Gate, GateConfig, Rate, Release, SlotShare, Ticket,
+            Admission, AdmissionConfig, AdmissionController, Demand, DemandTracker, Rate,
+            ReleaseReason, SlotShare, Ticket,
         },
-        crash::{CrashConfig, CrashLog, Fingerprint},
+        crash::{CrashConfig, CrashTracker, Fingerprint},
         health::{HealthConfig, PoolHealth},
         id::{ServerName, Slots},
-        routing::{Attempt, BudgetConfig, Event, RequestBody, RequestKind, Retries, Try},
+        routing::{
+            AttemptNo, BudgetConfig, Event, RequestBody, RequestKind, RetryPolicy, RetryState,
+        },
         time::Time,
     },
     std::{
@@ -28,8 +31,8 @@
 fn main() {
     println!(
         "bytes: gate {}, attempt {}",
-        size_of::<Gate>(),
-        size_of::<Attempt>()
+        size_of::<AdmissionController>(),
+        size_of::<RetryState>()
     );
     measure("attempt, one try", attempt());
     measure("gate, a free slot", free_gate());
@@ -56,18 +59,18 @@
 }
 
 fn attempt() -> impl FnMut(u64) {
-    let mut retries = Retries::new(BudgetConfig::STANDARD, 1);
+    let mut retries = RetryPolicy::new(BudgetConfig::STANDARD, 1);
     move |round| {
         let kind = RequestKind {
             idempotent: true,
-            body: RequestBody::Kept,
+            body: RequestBody::Buffered,
             deadline: at(round + 1_000),
         };
-        let mut attempt = Attempt::new(kind, &mut retries);
+        let mut attempt = RetryState::new(kind, &mut retries);
         for event in [
             Event::Admitted,
-            Event::Answered(Try(1)),
-            Event::Completed(Try(1)),
+            Event::Answered(AttemptNo(1)),
+            Event::Completed(AttemptNo(1)),
         ] {
             black_box(attempt.step(event, at(round), &mut retries));
         }
@@ -75,27 +78,28 @@
 }
 
 fn free_gate() -> impl FnMut(u64) {
-    let mut gate = Gate::new(GateConfig::STANDARD, SlotShare::new(4.0), Time::ZERO);
+    let mut gate =
+        AdmissionController::new(AdmissionConfig::STANDARD, SlotShare::new(4.0), Time::ZERO);
     move |round| {
-        let admitted = gate.arrive(Ticket(round), at(round + 1_000), at(round));
+        let admitted = gate.admit(Ticket(round), at(round + 1_000), at(round));
         assert_eq!(admitted, Admission::Start);
-        gate.end(Release::Answered, HOLD, at(round));
+        gate.end(ReleaseReason::Answered, HOLD, at(round));
         black_box(gate.next(at(round)));
     }
 }
 
 fn full_gate() -> impl FnMut(u64) {
-    let config = GateConfig {
-        wait: Duration::from_secs(3_600),
-        ..GateConfig::STANDARD
+    let config = AdmissionConfig {
+        wait_max: Duration::from_secs(3_600),
+        ..AdmissionConfig::STANDARD
     };
-    let mut gate = Gate::new(config, SlotShare::new(4.0), Time::ZERO);
+    let mut gate = AdmissionController::new(config, SlotShare::new(4.0), Time::ZERO);
     let far = at(u64::MAX / 2_000);
     for ticket in 0..68 {
-        gate.arrive(Ticket(ticket), far, Time::ZERO);
+        gate.admit(Ticket(ticket), far, Time::ZERO);
     }
     move |round| {
-        let shed = gate.arrive(Ticket(round + 100), far, at(round));
+        let shed = gate.admit(Ticket(round + 100), far, at(round));
         assert!(matches!(shed, Admission::Shed { .. }));
     }
 }
@@ -107,19 +111,19 @@
     move |round| {
         let name = &names[round as usize % SERVERS];
         black_box(pool.check(name, true, at(round)));
-        pool.succeeded(name, HOLD, at(round));
+        pool.record_success(name, HOLD, at(round));
     }
 }
 
 fn crash() -> impl FnMut(u64) {
-    let mut log = CrashLog::new(CrashConfig::STANDARD);
+    let mut log = CrashTracker::new(CrashConfig::STANDARD);
     let server = &servers()[0];
-    for number in 0..CrashConfig::STANDARD.entries as u64 {
-        log.crashed(Fingerprint(number), "GET /", server, Time::ZERO);
+    for number in 0..CrashConfig::STANDARD.max_entries as u64 {
+        log.record_crash(Fingerprint(number), "GET /", server, Time::ZERO);
     }
     move |round| {
-        let print = Fingerprint::of(&[b"GET", b"/sets/7", &round.to_le_bytes()]);
-        black_box(log.refused(print, Time::ZERO));
+        let print = Fingerprint::from_parts(&[b"GET", b"/sets/7", &round.to_le_bytes()]);
+        black_box(log.refused_for(print, Time::ZERO));
     }
 }
 
@@ -129,14 +133,14 @@
         answers: Rate(20.0),
     };
     let names = servers();
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     for peer in 1..INSTANCES {
         let from = format!("instance-{peer}").parse().expect("a valid name");
         let demands = names.iter().map(|name| (name.clone(), demand));
-        book.hear(from, demands.collect(), Time::ZERO);
+        book.record(from, demands.collect(), Time::ZERO);
     }
     move |round| {
         let name = &names[round as usize % SERVERS];
-        black_box(book.part(name, Slots(4), None, demand, INSTANCES, Time::ZERO));
+        black_box(book.quota(name, Slots(4), None, demand, INSTANCES, Time::ZERO));
     }
 }
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -72,7 +72,7 @@
     };
     let begun = Instant::now();
     table.apply(changes).expect("next");
-    black_box(map.next(table, &changed));
+    black_box(map.with_changes(table, &changed));
     begun.elapsed()
 }
 
--- a/crates/core/src/admission/demand_tracker.rs
+++ b/crates/core/src/admission/demand_tracker.rs
@@ -1,7 +1,7 @@
 //! What the instances last told each other about their demand.
 
 use {
-    super::{Demand, Rate, SlotShare, share::share_of},
+    super::{Demand, Rate, SlotShare, share::slot_share},
     crate::{
         id::{InstanceId, ServerName, Slots},
         table::ServerRow,
@@ -11,11 +11,11 @@
 };
 
 /// How long a report counts.
-const FRESH: Duration = Duration::from_secs(2);
+const REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// An instance's part of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct ServerQuota {
     /// Of its slots.
     pub share: SlotShare,
     /// Of its cap, if it has one.
@@ -23,8 +23,8 @@
 }
 
 #[derive(Debug)]
-struct Heard {
-    at: Time,
+struct DemandReport {
+    received: Time,
     demands: BTreeMap<ServerName, Demand>,
 }
 
@@ -35,55 +35,68 @@
 /// sides of a partition together do not overload the server.
 ///
 /// ```
-/// use citron_core::{admission::{Demand, DemandBook, Rate}, id::Slots, time::Time};
-/// let book = DemandBook::default();
+/// use citron_core::{admission::{Demand, DemandTracker, Rate}, id::Slots, time::Time};
+/// let tracker = DemandTracker::default();
 /// let own = Demand { arrivals: Rate(100.0), answers: Rate(50.0) };
 /// let server = "server-1".parse().unwrap();
-/// assert_eq!(book.part(&server, Slots(4), None, own, 10, Time::ZERO).share.slots(), 0.4);
+/// assert_eq!(tracker.quota(&server, Slots(4), None, own, 10, Time::ZERO).share.slots(), 0.4);
 /// ```
 #[derive(Debug, Default)]
-pub struct DemandBook {
-    heard: BTreeMap<InstanceId, Heard>,
+pub struct DemandTracker {
+    reports: BTreeMap<InstanceId, DemandReport>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// Takes in a report; a later one replaces it.
-    pub fn hear(&mut self, from: InstanceId, demands: BTreeMap<ServerName, Demand>, now: Time) {
-        self.heard.retain(|_, heard| now - heard.at <= FRESH);
-        self.heard.insert(from, Heard { at: now, demands });
+    pub fn record(&mut self, from: InstanceId, demands: BTreeMap<ServerName, Demand>, now: Time) {
+        self.reports
+            .retain(|_, report| now - report.received <= REPORT_TTL);
+        self.reports.insert(
+            from,
+            DemandReport {
+                received: now,
+                demands,
+            },
+        );
     }
 
-    /// This instance's part of a server, `listed` being how many instances there
+    /// This instance's part of a server, `instances` being how many instances there
     /// are, itself included.
-    pub fn part(
+    pub fn quota(
         &self,
         server: &ServerName,
         slots: Slots,
         cap: Option<Rate>,
         own: Demand,
-        listed: usize,
+        instances: usize,
         now: Time,
-    ) -> Part {
+    ) -> ServerQuota {
         let mut demands = vec![own];
-        demands.extend(self.fresh(server, now));
-        let listed = listed.max(demands.len());
-        let known = demands.len() as f64 / listed as f64;
-        let share = share_of(f64::from(slots.0) * known, &own, &demands);
-        let cap = cap.map(|cap| Rate(cap.0 * known * own.part_of(&demands)));
-        Part { share, cap }
+        demands.extend(self.current(server, now));
+        let instances = instances.max(demands.len());
+        let known_share = demands.len() as f64 / instances as f64;
+        let share = slot_share(f64::from(slots.0) * known_share, &own, &demands);
+        let cap = cap.map(|cap| Rate(cap.0 * known_share * own.fraction_of(&demands)));
+        ServerQuota { share, cap }
     }
 
     /// The same with what the server's row says.
-    pub fn part_of(&self, row: &ServerRow, own: Demand, listed: usize, now: Time) -> Part {
+    pub fn quota_for_row(
+        &self,
+        row: &ServerRow,
+        own: Demand,
+        instances: usize,
+        now: Time,
+    ) -> ServerQuota {
         let cap = row.cap.map(|cap| Rate(f64::from(cap)));
-        self.part(&row.name, row.slots, cap, own, listed, now)
+        self.quota(&row.name, row.slots, cap, own, instances, now)
     }
 
-    fn fresh(&self, server: &ServerName, now: Time) -> impl Iterator<Item = Demand> {
-        let fresh = self
-            .heard
+    fn current(&self, server: &ServerName, now: Time) -> impl Iterator<Item = Demand> {
+        let current = self
+            .reports
             .values()
-            .filter(move |heard| now - heard.at <= FRESH);
-        fresh.map(|heard| heard.demands.get(server).copied().unwrap_or(Demand::NONE))
+            .filter(move |report| now - report.received <= REPORT_TTL);
+        current.map(|report| report.demands.get(server).copied().unwrap_or(Demand::NONE))
     }
 }
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -3,52 +3,52 @@
 use {super::SlotShare, crate::time::Time, std::time::Duration};
 
 /// Weight of a new sample of the time that requests hold a slot.
-const HOLD_GAIN: f64 = 0.1;
+const HOLD_EWMA_WEIGHT: f64 = 0.1;
 /// Where the estimate of that time begins.
-const HOLD_FIRST: f64 = 0.02;
+const HOLD_INITIAL_S: f64 = 0.02;
 /// The shortest estimate that is used.
-const HOLD_LEAST: f64 = 0.0005;
+const HOLD_MIN_S: f64 = 0.0005;
 /// The smallest limit that a rate is worked out from.
-const LIMIT_LEAST: f64 = 0.001;
+const LIMIT_MIN: f64 = 0.001;
 /// The longest wait that is told, in seconds.
-const WAIT_MOST: f64 = 3_600.0;
+const WAIT_MAX_S: f64 = 3_600.0;
 /// Added to a computed time, so that rounding does not make it too early.
-const TICK: Duration = Duration::from_micros(1);
+const ROUNDING_MARGIN: Duration = Duration::from_micros(1);
 
 /// How the factor on the share follows the server's refusals.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitConfig {
     /// The smallest factor.
-    pub least: f64,
+    pub factor_min: f64,
     /// The largest: how far shares may be overbooked.
-    pub most: f64,
+    pub factor_max: f64,
     /// Added for an answer that came while requests waited.
-    pub rise: f64,
+    pub increase: f64,
     /// Multiplied on a refusal.
-    pub fall: f64,
+    pub decrease_factor: f64,
 }
 
 impl LimitConfig {
     /// For shares that are exchanged.
     pub const STANDARD: Self = Self {
-        least: 0.5,
-        most: 2.0,
-        rise: 0.05,
-        fall: 0.95,
+        factor_min: 0.5,
+        factor_max: 2.0,
+        increase: 0.05,
+        decrease_factor: 0.95,
     };
 
     /// The share as it is.
     pub const FIXED: Self = Self {
-        least: 1.0,
-        most: 1.0,
-        rise: 0.0,
-        fall: 1.0,
+        factor_min: 1.0,
+        factor_max: 1.0,
+        increase: 0.0,
+        decrease_factor: 1.0,
     };
 }
 
 /// How a request that held a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Release {
+pub enum ReleaseReason {
     /// The server answered.
     Answered,
     /// The server refused it for lack of slots.
@@ -70,10 +70,10 @@
     config: LimitConfig,
     share: SlotShare,
     factor: f64,
-    hold: f64,
+    hold_s: f64,
     tokens: f64,
     running: u32,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl ServerLimit {
@@ -83,10 +83,10 @@
             config,
             share,
             factor: 1.0,
-            hold: HOLD_FIRST,
+            hold_s: HOLD_INITIAL_S,
             tokens: 1.0,
             running: 0,
-            filled: now,
+            refilled_at: now,
         }
     }
 
@@ -97,10 +97,10 @@
     }
 
     /// Takes leave to begin a request; `false` if it has to wait.
-    pub fn begin(&mut self, now: Time) -> bool {
+    pub fn try_begin(&mut self, now: Time) -> bool {
         self.refill(now);
-        if !self.has_whole() {
-            if !self.has_part() || self.tokens < 1.0 {
+        if !self.has_whole_slot() {
+            if !self.has_partial_slot() || self.tokens < 1.0 {
                 return false;
             }
             self.tokens -= 1.0;
@@ -109,18 +109,19 @@
         true
     }
 
-    /// Gives the slot back; `waited` says whether any request
+    /// Gives the slot back; `has_waited` says whether any request
     /// had to wait here since the last answer.
-    pub fn end(&mut self, release: Release, held: Duration, waited: bool, now: Time) {
+    pub fn end(&mut self, release: ReleaseReason, held: Duration, has_waited: bool, now: Time) {
         self.refill(now);
         self.running = self.running.saturating_sub(1);
         match release {
-            Release::Answered => self.answered(held, waited),
-            Release::Refused => {
-                self.factor = (self.factor * self.config.fall).max(self.config.least)
+            ReleaseReason::Answered => self.record_answer(held, has_waited),
+            ReleaseReason::Refused => {
+                self.factor =
+                    (self.factor * self.config.decrease_factor).max(self.config.factor_min)
             }
-            Release::TimedOut => self.hold_for(held),
-            Release::Other => {}
+            ReleaseReason::TimedOut => self.record_hold(held),
+            ReleaseReason::Other => {}
         }
     }
 
@@ -135,62 +136,63 @@
     }
 
     /// How long a request holds a slot.
-    pub fn hold(&self) -> Duration {
-        Duration::from_secs_f64(self.hold)
+    pub fn hold_time(&self) -> Duration {
+        Duration::from_secs_f64(self.hold_s)
     }
 
     /// The wait of a request with `ahead` others before it.
     pub fn expected_wait(&self, ahead: usize) -> Duration {
         let free = (self.limit() - f64::from(self.running)).max(0.0);
         let missing = (ahead as f64 + 1.0 - free).max(0.0);
-        let rate = self.limit().max(LIMIT_LEAST) / self.hold;
-        seconds(missing / rate)
+        let rate = self.limit().max(LIMIT_MIN) / self.hold_s;
+        capped_duration(missing / rate)
     }
 
     /// When the next request may begin; `None` if only the end of one allows it.
     pub fn ready_at(&self, now: Time) -> Option<Time> {
-        if self.has_whole() {
+        if self.has_whole_slot() {
             return Some(now);
         }
-        let wait = seconds((1.0 - self.tokens).max(0.0) / self.rate());
-        self.has_part().then(|| now + wait + TICK)
+        let wait = capped_duration((1.0 - self.tokens).max(0.0) / self.partial_slot_rate());
+        self.has_partial_slot()
+            .then(|| now + wait + ROUNDING_MARGIN)
     }
 
     /// Room among the whole slots: a new request begins when one has ended, so
     /// that the number running stays even.
-    fn has_whole(&self) -> bool {
+    fn has_whole_slot(&self) -> bool {
         f64::from(self.running) < self.limit().floor()
     }
 
     /// Room in the slot of which only a part is this instance's.
-    fn has_part(&self) -> bool {
+    fn has_partial_slot(&self) -> bool {
         f64::from(self.running) < self.limit().ceil().max(1.0)
     }
 
     /// Begins a second that keep the part of a slot in use.
-    fn rate(&self) -> f64 {
-        self.limit().fract().max(LIMIT_LEAST) / self.hold
+    fn partial_slot_rate(&self) -> f64 {
+        self.limit().fract().max(LIMIT_MIN) / self.hold_s
     }
 
-    fn answered(&mut self, held: Duration, waited: bool) {
-        self.hold_for(held);
-        if waited {
-            self.factor = (self.factor + self.config.rise).min(self.config.most);
+    fn record_answer(&mut self, held: Duration, has_waited: bool) {
+        self.record_hold(held);
+        if has_waited {
+            self.factor = (self.factor + self.config.increase).min(self.config.factor_max);
         }
     }
 
-    fn hold_for(&mut self, held: Duration) {
+    fn record_hold(&mut self, held: Duration) {
         let held = held.as_secs_f64();
-        self.hold = (self.hold + HOLD_GAIN * (held - self.hold)).max(HOLD_LEAST);
+        self.hold_s = (self.hold_s + HOLD_EWMA_WEIGHT * (held - self.hold_s)).max(HOLD_MIN_S);
     }
 
     fn refill(&mut self, now: Time) {
-        let span = (now - self.filled).as_secs_f64();
-        self.tokens = (self.tokens + span * self.rate()).min(1.0);
-        self.filled = self.filled.max(now);
+        let elapsed = (now - self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.partial_slot_rate()).min(1.0);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-fn seconds(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds.min(WAIT_MOST))
+fn capped_duration(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds.min(WAIT_MAX_S))
 }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -11,13 +11,13 @@
 mod warmup;
 
 pub use {
-    chain::{Ask, Guards, TryEnd},
-    controller::{Admission, Gate, GateConfig, Turn},
-    demand_tracker::{DemandBook, Part},
-    limit::{LimitConfig, Release, ServerLimit},
-    operator_limiter::OperatorRoom,
+    chain::{AdmissionChain, AttemptEnd, AttemptRequest},
+    controller::{Admission, AdmissionConfig, AdmissionController, QueueDecision},
+    demand_tracker::{DemandTracker, ServerQuota},
+    limit::{LimitConfig, ReleaseReason, ServerLimit},
+    operator_limiter::OperatorLimiter,
     queue::{Ticket, WaitQueue},
-    rate::{Rate, RateCap},
+    rate::{Rate, RateLimiter},
     share::{Demand, SlotShare, even_share, shares},
     warmup::Warmup,
 };
--- a/crates/core/src/admission/operator_limiter.rs
+++ b/crates/core/src/admission/operator_limiter.rs
@@ -3,7 +3,7 @@
 use {crate::id::OperatorName, std::collections::BTreeMap};
 
 /// How much of the free room an operator may hold, as a factor.
-const ALPHA: usize = 2;
+const FREE_ROOM_FACTOR: usize = 2;
 
 /// Counts the requests in progress on one instance, by operator.
 ///
@@ -13,57 +13,57 @@
 /// configured, and nothing that runs is cut.
 ///
 /// ```
-/// use citron_core::admission::OperatorRoom;
-/// let mut room = OperatorRoom::new(30);
+/// use citron_core::admission::OperatorLimiter;
+/// let mut limiter = OperatorLimiter::new(30);
 /// let (one, two) = ("one".parse().unwrap(), "two".parse().unwrap());
-/// while room.enter(&one) {}
-/// assert_eq!(room.held(&one), 20);
-/// assert!(room.enter(&two));
-/// room.leave(&two);
+/// while limiter.try_acquire(&one) {}
+/// assert_eq!(limiter.in_progress(&one), 20);
+/// assert!(limiter.try_acquire(&two));
+/// limiter.release(&two);
 /// ```
 #[derive(Debug)]
-pub struct OperatorRoom {
+pub struct OperatorLimiter {
     limit: usize,
     total: usize,
-    held: BTreeMap<OperatorName, usize>,
+    in_progress: BTreeMap<OperatorName, usize>,
 }
 
-impl OperatorRoom {
+impl OperatorLimiter {
     /// Room for so many requests, running and waiting.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
             total: 0,
-            held: BTreeMap::new(),
+            in_progress: BTreeMap::new(),
         }
     }
 
     /// Takes room for a request; `false` if the operator has its part.
-    pub fn enter(&mut self, operator: &OperatorName) -> bool {
+    pub fn try_acquire(&mut self, operator: &OperatorName) -> bool {
         let free = self.limit.saturating_sub(self.total);
-        let held = self.held(operator);
-        if held >= ALPHA * free {
+        let in_progress = self.in_progress(operator);
+        if in_progress >= FREE_ROOM_FACTOR * free {
             return false;
         }
-        self.held.insert(operator.clone(), held + 1);
+        self.in_progress.insert(operator.clone(), in_progress + 1);
         self.total += 1;
         true
     }
 
     /// Gives the room of a request back.
-    pub fn leave(&mut self, operator: &OperatorName) {
-        let Some(held) = self.held.get_mut(operator) else {
+    pub fn release(&mut self, operator: &OperatorName) {
+        let Some(in_progress) = self.in_progress.get_mut(operator) else {
             return;
         };
-        *held -= 1;
+        *in_progress -= 1;
         self.total -= 1;
-        if *held == 0 {
-            self.held.remove(operator);
+        if *in_progress == 0 {
+            self.in_progress.remove(operator);
         }
     }
 
     /// Requests of an operator in progress.
-    pub fn held(&self, operator: &OperatorName) -> usize {
-        self.held.get(operator).copied().unwrap_or(0)
+    pub fn in_progress(&self, operator: &OperatorName) -> usize {
+        self.in_progress.get(operator).copied().unwrap_or(0)
     }
 }
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -30,7 +30,7 @@
     }
 
     /// How many would go before a request with this deadline.
-    pub fn ahead(&self, deadline: Time) -> usize {
+    pub fn count_ahead(&self, deadline: Time) -> usize {
         self.waiting.range(..=(deadline, Ticket(u64::MAX))).count()
     }
 
@@ -46,9 +46,9 @@
     }
 
     /// Takes one that would end after its deadline, begun now and held so long.
-    pub fn pop_late(&mut self, now: Time, hold: Duration) -> Option<Ticket> {
+    pub fn pop_expired(&mut self, now: Time, hold_time: Duration) -> Option<Ticket> {
         let (&(deadline, _), ()) = self.waiting.first_key_value()?;
-        if now + hold <= deadline {
+        if now + hold_time <= deadline {
             return None;
         }
         self.pop()
--- a/crates/core/src/admission/rate.rs
+++ b/crates/core/src/admission/rate.rs
@@ -16,12 +16,12 @@
 pub struct Rate(pub f64);
 
 /// Weight of a new sample in a smoothed rate.
-const GAIN: f64 = 0.2;
+const EWMA_WEIGHT: f64 = 0.2;
 
 impl Rate {
     /// Moves a smoothed rate towards a sample.
-    pub(super) fn approach(&mut self, sample: f64) {
-        self.0 += GAIN * (sample - self.0);
+    pub(super) fn update_average(&mut self, sample: f64) {
+        self.0 += EWMA_WEIGHT * (sample - self.0);
     }
 }
 
@@ -49,26 +49,26 @@
 /// saved up, one request at least.
 ///
 /// ```
-/// use {citron_core::{admission::{Rate, RateCap}, time::Time}, std::time::Duration};
-/// let mut cap = RateCap::new(Rate(2.0), Time::ZERO);
-/// assert!(cap.take(Time::ZERO) && cap.take(Time::ZERO) && !cap.take(Time::ZERO));
-/// assert_eq!(cap.wait(Time::ZERO), Duration::from_millis(500));
-/// assert!(cap.take(Time::from_micros(500_000)));
+/// use {citron_core::{admission::{Rate, RateLimiter}, time::Time}, std::time::Duration};
+/// let mut limiter = RateLimiter::new(Rate(2.0), Time::ZERO);
+/// assert!(limiter.try_take(Time::ZERO) && limiter.try_take(Time::ZERO) && !limiter.try_take(Time::ZERO));
+/// assert_eq!(limiter.wait(Time::ZERO), Duration::from_millis(500));
+/// assert!(limiter.try_take(Time::from_micros(500_000)));
 /// ```
 #[derive(Debug)]
-pub struct RateCap {
+pub struct RateLimiter {
     rate: Rate,
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
-impl RateCap {
+impl RateLimiter {
     /// A full bucket.
     pub fn new(rate: Rate, now: Time) -> Self {
         Self {
             rate,
             tokens: rate.0.max(1.0),
-            filled: now,
+            refilled_at: now,
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Takes leave for one request.
-    pub fn take(&mut self, now: Time) -> bool {
+    pub fn try_take(&mut self, now: Time) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
             return false;
@@ -90,15 +90,15 @@
 
     /// How long until there is leave for one; an hour if the rate is 0.
     pub fn wait(&self, now: Time) -> Duration {
-        let gained = (now - self.filled).as_secs_f64() * self.rate.0;
+        let gained = (now - self.refilled_at).as_secs_f64() * self.rate.0;
         let missing = (1.0 - self.tokens - gained).max(0.0);
         let seconds = missing / self.rate.0.max(f64::MIN_POSITIVE);
         Duration::from_secs_f64(seconds.min(3_600.0))
     }
 
     fn refill(&mut self, now: Time) {
-        let gained = (now - self.filled).as_secs_f64() * self.rate.0;
+        let gained = (now - self.refilled_at).as_secs_f64() * self.rate.0;
         self.tokens = (self.tokens + gained).min(self.rate.0.max(1.0));
-        self.filled = self.filled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/core/src/admission/share.rs
+++ b/crates/core/src/admission/share.rs
@@ -7,13 +7,13 @@
 };
 
 /// Requests a second of an instance that had none, so that its first one starts.
-const RATE_LEAST: f64 = 0.5;
+const RATE_MIN: f64 = 0.5;
 /// Part of the requests that may go unanswered before slots count as short: about
 /// what twice the capacity brings. Below it the rule for short slots turns more
 /// requests away than the lack of slots does.
-const SHORT: f64 = 0.4;
+const UNANSWERED_SHARE_MAX: f64 = 0.4;
 /// What every instance may hold while slots are not short.
-const CALM_LEAST: f64 = 1.0;
+const UNCONTENDED_SHARE_MIN: f64 = 1.0;
 
 /// Slots that an instance may hold on average; a fraction is held part of the time.
 ///
@@ -83,21 +83,25 @@
 /// ```
 /// use citron_core::{admission::{Demand, Rate, shares}, id::Slots};
 /// let demand = |arrivals, answers| Demand { arrivals: Rate(arrivals), answers: Rate(answers) };
-/// let short = shares(Slots(4), &[demand(300.0, 100.0), demand(100.0, 33.0)]);
-/// assert_eq!((short[0].slots(), short[1].slots()), (3.0, 1.0));
-/// let calm = shares(Slots(4), &[demand(99.0, 99.0), demand(1.0, 1.0)]);
-/// assert!(calm[1].slots() >= 1.0);
+/// let contended = shares(Slots(4), &[demand(300.0, 100.0), demand(100.0, 33.0)]);
+/// assert_eq!((contended[0].slots(), contended[1].slots()), (3.0, 1.0));
+/// let uncontended = shares(Slots(4), &[demand(99.0, 99.0), demand(1.0, 1.0)]);
+/// assert!(uncontended[1].slots() >= 1.0);
 /// ```
 pub fn shares(slots: Slots, demands: &[Demand]) -> Vec<SlotShare> {
     let slots = f64::from(slots.0);
-    let share = |demand| share_of(slots, demand, demands);
+    let share = |demand| slot_share(slots, demand, demands);
     demands.iter().map(share).collect()
 }
 
 /// The share of one of `demands` in so many slots.
-pub(super) fn share_of(slots: f64, demand: &Demand, demands: &[Demand]) -> SlotShare {
-    let least = if is_short(demands) { 0.0 } else { CALM_LEAST };
-    SlotShare((slots * demand.part_of(demands)).max(least))
+pub(super) fn slot_share(slots: f64, demand: &Demand, demands: &[Demand]) -> SlotShare {
+    let min_share = if is_contended(demands) {
+        0.0
+    } else {
+        UNCONTENDED_SHARE_MIN
+    };
+    SlotShare((slots * demand.fraction_of(demands)).max(min_share))
 }
 
 impl Demand {
@@ -108,19 +112,19 @@
     };
 
     /// This demand over all of them.
-    pub(super) fn part_of(&self, all: &[Self]) -> f64 {
+    pub(super) fn fraction_of(&self, all: &[Self]) -> f64 {
         self.weight() / all.iter().map(Self::weight).sum::<f64>()
     }
 
     fn weight(&self) -> f64 {
-        self.arrivals.0.max(RATE_LEAST)
+        self.arrivals.0.max(RATE_MIN)
     }
 }
 
-fn is_short(demands: &[Demand]) -> bool {
+fn is_contended(demands: &[Demand]) -> bool {
     let arrivals: f64 = demands.iter().map(|demand| demand.arrivals.0).sum();
     let answers: f64 = demands.iter().map(|demand| demand.answers.0).sum();
-    answers < arrivals * (1.0 - SHORT)
+    answers < arrivals * (1.0 - UNANSWERED_SHARE_MAX)
 }
 
 /// The same part for each instance: for as long as nothing was heard from others.
--- a/crates/core/src/admission/warmup.rs
+++ b/crates/core/src/admission/warmup.rs
@@ -3,9 +3,9 @@
 use {crate::time::Time, std::time::Duration};
 
 /// How long a cold server takes to get its full share.
-const SPAN: Duration = Duration::from_secs(10);
+const WARMUP_TIME: Duration = Duration::from_secs(10);
 /// The part that it begins with.
-const FIRST: f64 = 0.25;
+const INITIAL_SHARE: f64 = 0.25;
 
 /// Lets a cold server's share grow evenly to full.
 ///
@@ -16,23 +16,23 @@
 /// ```
 /// use {citron_core::{admission::Warmup, time::Time}, std::time::Duration};
 /// let warmup = Warmup::new(Time::ZERO);
-/// assert_eq!(warmup.part(Time::ZERO), 0.25);
-/// assert_eq!(warmup.part(Time::ZERO + Duration::from_secs(10)), 1.0);
+/// assert_eq!(warmup.share_fraction(Time::ZERO), 0.25);
+/// assert_eq!(warmup.share_fraction(Time::ZERO + Duration::from_secs(10)), 1.0);
 /// ```
 #[derive(Debug)]
 pub struct Warmup {
-    begun: Time,
+    started: Time,
 }
 
 impl Warmup {
     /// A server that came up now.
     pub fn new(now: Time) -> Self {
-        Self { begun: now }
+        Self { started: now }
     }
 
     /// The part of its share that the server may get.
-    pub fn part(&self, now: Time) -> f64 {
-        let done = (now - self.begun).as_secs_f64() / SPAN.as_secs_f64();
-        (FIRST + (1.0 - FIRST) * done).min(1.0)
+    pub fn share_fraction(&self, now: Time) -> f64 {
+        let done = (now - self.started).as_secs_f64() / WARMUP_TIME.as_secs_f64();
+        (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * done).min(1.0)
     }
 }
--- a/crates/core/src/crash/fingerprint.rs
+++ b/crates/core/src/crash/fingerprint.rs
@@ -10,9 +10,9 @@
 ///
 /// ```
 /// use citron_core::crash::Fingerprint;
-/// let one = Fingerprint::of(&[b"POST", b"/bars/7/pickups", b"body"]);
-/// assert_eq!(one, Fingerprint::of(&[b"POST", b"/bars/7/pickups", b"body"]));
-/// assert_ne!(one, Fingerprint::of(&[b"POST", b"/bars/7/pickup", b"sbody"]));
+/// let one = Fingerprint::from_parts(&[b"POST", b"/bars/7/pickups", b"body"]);
+/// assert_eq!(one, Fingerprint::from_parts(&[b"POST", b"/bars/7/pickups", b"body"]));
+/// assert_ne!(one, Fingerprint::from_parts(&[b"POST", b"/bars/7/pickup", b"sbody"]));
 /// assert_eq!(one.to_string().parse(), Ok(one));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,7 +22,7 @@
     /// Hashes parts: method, path with query, `Idempotency-Key`, length of the
     /// body, and as much of the body as is kept. Requests that differ in none of
     /// the parts are taken for the same.
-    pub fn of(parts: &[&[u8]]) -> Self {
+    pub fn from_parts(parts: &[&[u8]]) -> Self {
         let mut hash = Xxh3::new();
         for part in parts {
             hash.update(&(part.len() as u64).to_le_bytes());
--- a/crates/core/src/crash/mod.rs
+++ b/crates/core/src/crash/mod.rs
@@ -7,5 +7,5 @@
 pub use {
     fingerprint::Fingerprint,
     report::{CrashCount, CrashEntry, CrashReport, Lift},
-    tracker::{CrashConfig, CrashLog},
+    tracker::{CrashConfig, CrashTracker},
 };
--- a/crates/core/src/crash/tracker.rs
+++ b/crates/core/src/crash/tracker.rs
@@ -13,31 +13,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashConfig {
     /// Crashes, over all instances together, that the requests are refused after.
-    pub crashes: u32,
+    pub crash_limit: u32,
     /// How long a crash counts, and how long the requests are refused.
-    pub hold: Duration,
+    pub retention: Duration,
     /// Fingerprints that one instance counts; the oldest give way.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Whether servers are named by their starts, each of which crashes once at
     /// most: more losses at one of them are a cut, and no crash.
-    pub starts: bool,
+    pub servers_are_starts: bool,
 }
 
 impl CrashConfig {
     /// The defaults.
     pub const STANDARD: Self = Self {
-        crashes: 3,
-        hold: Duration::from_secs(600),
-        entries: 256,
-        starts: false,
+        crash_limit: 3,
+        retention: Duration::from_secs(600),
+        max_entries: 256,
+        servers_are_starts: false,
     };
 
     /// For servers that are named by their starts. Half a minute outlasts three
     /// crashes of one server after the other, each away for some seconds; a
     /// request refused without reason should not be for long.
-    pub const STARTS: Self = Self {
-        hold: Duration::from_secs(30),
-        starts: true,
+    pub const PER_START: Self = Self {
+        retention: Duration::from_secs(30),
+        servers_are_starts: true,
         ..Self::STANDARD
     };
 }
@@ -48,18 +48,18 @@
 const LABEL_MAX: usize = 120;
 
 #[derive(Debug, Clone)]
-struct Count {
+struct CrashRecord {
     label: String,
     crashes: u32,
-    ends: Time,
-    last: Option<(ServerName, Time)>,
+    expires: Time,
+    last_crash: Option<(ServerName, Time)>,
 }
 
 #[derive(Debug, Default)]
-struct Peer {
+struct PeerCrashes {
     number: u64,
-    heard: Time,
-    counts: BTreeMap<Fingerprint, Count>,
+    received: Time,
+    counts: BTreeMap<Fingerprint, CrashRecord>,
 }
 
 /// The crashes that one instance knows of, its own and those of others.
@@ -72,29 +72,29 @@
 ///
 /// ```
 /// use {citron_core::{crash::*, time::Time}, std::time::Duration};
-/// let mut log = CrashLog::new(CrashConfig::STANDARD);
-/// let bad = Fingerprint::of(&[b"GET", b"/sets/666"]);
+/// let mut tracker = CrashTracker::new(CrashConfig::STANDARD);
+/// let bad = Fingerprint::from_parts(&[b"GET", b"/sets/666"]);
 /// for second in 0..3 {
 ///     let now = Time::ZERO + Duration::from_secs(second);
-///     assert_eq!(log.refused(bad, now), None);
-///     log.crashed(bad, "GET /sets/666", &"server-1".parse().unwrap(), now);
+///     assert_eq!(tracker.refused_for(bad, now), None);
+///     tracker.record_crash(bad, "GET /sets/666", &"server-1".parse().unwrap(), now);
 /// }
 /// let now = Time::ZERO + Duration::from_secs(3);
-/// assert!(log.refused(bad, now).is_some());
-/// log.lift(bad, now);
-/// assert_eq!(log.refused(bad, now), None);
+/// assert!(tracker.refused_for(bad, now).is_some());
+/// tracker.lift(bad, now);
+/// assert_eq!(tracker.refused_for(bad, now), None);
 /// ```
 #[derive(Debug)]
-pub struct CrashLog {
+pub struct CrashTracker {
     config: CrashConfig,
     number: u64,
-    own: BTreeMap<Fingerprint, Count>,
-    peers: BTreeMap<(InstanceId, Incarnation), Peer>,
+    own: BTreeMap<Fingerprint, CrashRecord>,
+    peers: BTreeMap<(InstanceId, Incarnation), PeerCrashes>,
     /// Crashes that would be forgotten no later than this are void.
     lifts: BTreeMap<Fingerprint, Time>,
 }
 
-impl CrashLog {
+impl CrashTracker {
     /// Nothing counted.
     pub fn new(config: CrashConfig) -> Self {
         Self {
@@ -113,76 +113,86 @@
 
     /// A connection died after a part of the request was written to it. Timeouts
     /// and refused connections are no crashes.
-    pub fn crashed(&mut self, print: Fingerprint, label: &str, server: &ServerName, now: Time) {
-        self.forget(now);
-        let ends = now + self.config.hold;
-        let count = self.own.entry(print).or_insert_with(|| Count {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        label: &str,
+        server: &ServerName,
+        now: Time,
+    ) {
+        self.expire(now);
+        let expires = now + self.config.retention;
+        let count = self.own.entry(fingerprint).or_insert_with(|| CrashRecord {
             label: label.chars().take(LABEL_MAX).collect(),
             crashes: 0,
-            ends,
-            last: None,
+            expires,
+            last_crash: None,
         });
-        let starts = self.config.starts;
-        let same =
-            |(name, at): &(ServerName, Time)| name == server && (starts || now - *at < SAME_CRASH);
-        if !count.last.as_ref().is_some_and(same) {
+        let servers_are_starts = self.config.servers_are_starts;
+        let is_same_crash = |(name, at): &(ServerName, Time)| {
+            name == server && (servers_are_starts || now - *at < SAME_CRASH)
+        };
+        if !count.last_crash.as_ref().is_some_and(is_same_crash) {
             count.crashes += 1;
         }
-        count.ends = ends;
-        count.last = Some((server.clone(), now));
-        if self.own.len() > self.config.entries {
-            drop_oldest(&mut self.own, |count| count.ends);
+        count.expires = expires;
+        count.last_crash = Some((server.clone(), now));
+        if self.own.len() > self.config.max_entries {
+            evict_oldest(&mut self.own, |count| count.expires);
         }
     }
 
     /// A request was answered whole: those like it do not crash servers, and the
     /// crashes so far had another cause.
-    pub fn answered(&mut self, print: Fingerprint, now: Time) {
-        if self.knows(print, now) {
-            self.lift(print, now);
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, now: Time) {
+        if self.has_crash(fingerprint, now) {
+            self.lift(fingerprint, now);
         }
     }
 
     /// Whether a crash of such requests still counts.
-    pub fn knows(&self, print: Fingerprint, now: Time) -> bool {
-        self.counts(print, now).next().is_some()
+    pub fn has_crash(&self, fingerprint: Fingerprint, now: Time) -> bool {
+        self.counts(fingerprint, now).next().is_some()
     }
 
     /// How much longer the request is refused; `None` if it may be sent. To be
     /// asked before each try.
-    pub fn refused(&self, print: Fingerprint, now: Time) -> Option<Duration> {
+    pub fn refused_for(&self, fingerprint: Fingerprint, now: Time) -> Option<Duration> {
         if self.own.is_empty() && self.peers.is_empty() {
             return None;
         }
-        let crashes: u32 = self.counts(print, now).map(|count| count.crashes).sum();
-        if crashes < self.config.crashes {
+        let crashes: u32 = self
+            .counts(fingerprint, now)
+            .map(|count| count.crashes)
+            .sum();
+        if crashes < self.config.crash_limit {
             return None;
         }
-        let counts = self.counts(print, now);
-        counts.map(|count| count.ends - now).max()
+        let counts = self.counts(fingerprint, now);
+        counts.map(|count| count.expires - now).max()
     }
 
     /// Lets requests through again until they reach the number of crashes anew;
     /// the other instances hear of it by the next report.
-    pub fn lift(&mut self, print: Fingerprint, now: Time) {
-        self.apply_lift(print, now + self.config.hold);
+    pub fn lift(&mut self, fingerprint: Fingerprint, now: Time) {
+        self.apply_lift(fingerprint, now + self.config.retention);
     }
 
     /// What to send to the other instances.
     pub fn report(&mut self, now: Time) -> CrashReport {
-        self.forget(now);
+        self.expire(now);
         self.number += 1;
-        let hold = self.config.hold;
-        let age = |ends: Time| hold.saturating_sub(ends - now);
-        let count = |(print, count): (&Fingerprint, &Count)| CrashCount {
-            fingerprint: *print,
+        let retention = self.config.retention;
+        let age = |expires: Time| retention.saturating_sub(expires - now);
+        let count = |(fingerprint, count): (&Fingerprint, &CrashRecord)| CrashCount {
+            fingerprint: *fingerprint,
             label: count.label.clone(),
             crashes: count.crashes,
-            age: age(count.ends),
+            age: age(count.expires),
         };
-        let lift = |(print, ends): (&Fingerprint, &Time)| Lift {
-            fingerprint: *print,
-            age: age(*ends),
+        let lift = |(fingerprint, expires): (&Fingerprint, &Time)| Lift {
+            fingerprint: *fingerprint,
+            age: age(*expires),
         };
         CrashReport {
             number: self.number,
@@ -193,91 +203,100 @@
 
     /// Takes in what another instance sent, in whatever order reports come.
     pub fn merge(&mut self, from: (InstanceId, Incarnation), report: CrashReport, now: Time) {
-        self.forget(now);
-        let hold = self.config.hold;
-        let ends = |age: Duration| now + hold.saturating_sub(age);
+        self.expire(now);
+        let retention = self.config.retention;
+        let expires = |age: Duration| now + retention.saturating_sub(age);
         for lift in report.lifts {
-            self.apply_lift(lift.fingerprint, ends(lift.age));
+            self.apply_lift(lift.fingerprint, expires(lift.age));
         }
         let peer = self.peers.entry(from).or_default();
         if report.number <= peer.number {
             return;
         }
         let count = |count: CrashCount| {
-            let known = Count {
+            let known = CrashRecord {
                 label: count.label,
                 crashes: count.crashes,
-                ends: ends(count.age),
-                last: None,
+                expires: expires(count.age),
+                last_crash: None,
             };
             (count.fingerprint, known)
         };
         peer.number = report.number;
-        peer.heard = now;
-        let most = self.config.entries;
-        peer.counts = report.counts.into_iter().take(most).map(count).collect();
+        peer.received = now;
+        let max_entries = self.config.max_entries;
+        peer.counts = report
+            .counts
+            .into_iter()
+            .take(max_entries)
+            .map(count)
+            .collect();
     }
 
     /// All fingerprints with a crash that still counts, for operators.
     pub fn entries(&self, now: Time) -> Vec<CrashEntry> {
         let peers = self.peers.values().flat_map(|peer| &peer.counts);
         let mut sums: BTreeMap<Fingerprint, CrashEntry> = BTreeMap::new();
-        for (print, count) in self.own.iter().chain(peers) {
-            if !self.is_valid(*print, count, now) {
+        for (fingerprint, count) in self.own.iter().chain(peers) {
+            if !self.is_valid(*fingerprint, count, now) {
                 continue;
             }
-            let entry = sums.entry(*print).or_insert_with(|| CrashEntry {
-                fingerprint: *print,
+            let entry = sums.entry(*fingerprint).or_insert_with(|| CrashEntry {
+                fingerprint: *fingerprint,
                 label: count.label.clone(),
                 crashes: 0,
-                refused: self.refused(*print, now),
+                refused: self.refused_for(*fingerprint, now),
             });
             entry.crashes += count.crashes;
         }
         sums.into_values().collect()
     }
 
-    fn counts(&self, print: Fingerprint, now: Time) -> impl Iterator<Item = &Count> {
+    fn counts(&self, fingerprint: Fingerprint, now: Time) -> impl Iterator<Item = &CrashRecord> {
         let peers = self.peers.values();
-        let heard = peers.filter_map(move |peer| peer.counts.get(&print));
-        let all = self.own.get(&print).into_iter().chain(heard);
-        all.filter(move |count| self.is_valid(print, count, now))
+        let received = peers.filter_map(move |peer| peer.counts.get(&fingerprint));
+        let all = self.own.get(&fingerprint).into_iter().chain(received);
+        all.filter(move |count| self.is_valid(fingerprint, count, now))
     }
 
-    fn is_valid(&self, print: Fingerprint, count: &Count, now: Time) -> bool {
-        let lifted = self
+    fn is_valid(&self, fingerprint: Fingerprint, count: &CrashRecord, now: Time) -> bool {
+        let is_lifted = self
             .lifts
-            .get(&print)
-            .is_some_and(|lift| count.ends <= *lift);
-        count.ends > now && !lifted
+            .get(&fingerprint)
+            .is_some_and(|lift| count.expires <= *lift);
+        count.expires > now && !is_lifted
     }
 
-    fn apply_lift(&mut self, print: Fingerprint, ends: Time) {
-        let lift = self.lifts.entry(print).or_insert(ends);
-        *lift = ends.max(*lift);
+    fn apply_lift(&mut self, fingerprint: Fingerprint, expires: Time) {
+        let lift = self.lifts.entry(fingerprint).or_insert(expires);
+        *lift = expires.max(*lift);
         let lift = *lift;
-        if self.own.get(&print).is_some_and(|count| count.ends <= lift) {
-            self.own.remove(&print);
+        if self
+            .own
+            .get(&fingerprint)
+            .is_some_and(|count| count.expires <= lift)
+        {
+            self.own.remove(&fingerprint);
         }
-        if self.lifts.len() > self.config.entries {
-            drop_oldest(&mut self.lifts, |ends| *ends);
+        if self.lifts.len() > self.config.max_entries {
+            evict_oldest(&mut self.lifts, |expires| *expires);
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        self.own.retain(|_, count| count.ends > now);
-        self.lifts.retain(|_, ends| *ends > now);
-        let hold = self.config.hold;
-        self.peers.retain(|_, peer| now - peer.heard < hold);
+    fn expire(&mut self, now: Time) {
+        self.own.retain(|_, count| count.expires > now);
+        self.lifts.retain(|_, expires| *expires > now);
+        let retention = self.config.retention;
+        self.peers.retain(|_, peer| now - peer.received < retention);
         for peer in self.peers.values_mut() {
-            peer.counts.retain(|_, count| count.ends > now);
+            peer.counts.retain(|_, count| count.expires > now);
         }
     }
 }
 
-fn drop_oldest<T>(map: &mut BTreeMap<Fingerprint, T>, ends: impl Fn(&T) -> Time) {
-    let oldest = map.iter().min_by_key(|(_, value)| ends(value));
-    if let Some(print) = oldest.map(|(print, _)| *print) {
-        map.remove(&print);
+fn evict_oldest<T>(map: &mut BTreeMap<Fingerprint, T>, expires: impl Fn(&T) -> Time) {
+    let oldest = map.iter().min_by_key(|(_, value)| expires(value));
+    if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
+        map.remove(&fingerprint);
     }
 }
--- a/crates/core/src/dispatch/concurrency.rs
+++ b/crates/core/src/dispatch/concurrency.rs
@@ -2,29 +2,29 @@
 
 /// Requests at a time that a new instance begins with: more than its part of any
 /// service seen so far, as the first late answers correct it.
-const FIRST: f64 = 8.0;
+const LIMIT_INITIAL: f64 = 8.0;
 /// The least: one request in three that come when none is under way, so that
 /// answers go on telling whether there is room again.
-const LEAST: f64 = 0.3;
+const LIMIT_MIN: f64 = 0.3;
 /// Added for an answer in time while most of the limit is in use.
-const RISE: f64 = 0.2;
+const INCREASE: f64 = 0.2;
 /// The same as a part of a limit above eight, so that late answers weigh the
 /// same at any size: up to a fifth of them leave the limit where it is.
-const RISE_PART: f64 = RISE / 8.0;
+const INCREASE_SHARE: f64 = INCREASE / 8.0;
 /// Factor for a late answer.
-const FALL: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 /// Part of the limit that must be in use for it to rise.
-const IN_USE: f64 = 0.6;
+const IN_USE_SHARE: f64 = 0.6;
 
 /// Part of the time up to the objective within which an answer counts as in time:
 /// the limit has to fall before all of it is needed.
-pub const PROMPT: f64 = 0.85;
+pub const ON_TIME_SHARE: f64 = 0.85;
 
 /// What an end tells of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Speed {
-    /// Answered within [`PROMPT`] of the objective.
-    InTime,
+pub enum Timeliness {
+    /// Answered within [`ON_TIME_SHARE`] of the objective.
+    OnTime,
     /// Answered later, not answered by then, or refused for want of room.
     Late,
     /// Nothing can be learned.
@@ -42,52 +42,54 @@
 /// over it is refused at once.
 ///
 /// ```
-/// use citron_core::dispatch::{Pace, Speed};
-/// let mut pace = Pace::default();
+/// use citron_core::dispatch::{ConcurrencyLimit, Timeliness};
+/// let mut limiter = ConcurrencyLimit::default();
 /// for _ in 0..100 {
-///     pace.begin();
-///     pace.end(Speed::Late);
+///     limiter.begin();
+///     limiter.end(Timeliness::Late);
 /// }
-/// pace.begin();
-/// assert!(!pace.admits(0.5));
+/// limiter.begin();
+/// assert!(!limiter.admits(0.5));
 /// ```
 #[derive(Debug)]
-pub struct Pace {
+pub struct ConcurrencyLimit {
     limit: f64,
-    open: u32,
+    in_flight: u32,
 }
 
-impl Default for Pace {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self {
-            limit: FIRST,
-            open: 0,
+            limit: LIMIT_INITIAL,
+            in_flight: 0,
         }
     }
 }
 
-impl Pace {
-    /// Whether one more may begin; `drawn` from 0 to 1 decides over the part of a
+impl ConcurrencyLimit {
+    /// Whether one more may begin; `random` from 0 to 1 decides over the part of a
     /// request in the limit.
-    pub fn admits(&self, drawn: f64) -> bool {
-        let open = f64::from(self.open);
+    pub fn admits(&self, random: f64) -> bool {
+        let in_flight = f64::from(self.in_flight);
         let whole = self.limit.floor();
-        open < whole || (open == whole && drawn < self.limit - whole)
+        in_flight < whole || (in_flight == whole && random < self.limit - whole)
     }
 
     /// One begins.
     pub fn begin(&mut self) {
-        self.open += 1;
+        self.in_flight += 1;
     }
 
     /// One ends.
-    pub fn end(&mut self, speed: Speed) {
-        let used = f64::from(self.open) > self.limit * IN_USE;
-        self.open = self.open.saturating_sub(1);
-        match speed {
-            Speed::InTime if used => self.limit += RISE.max(self.limit * RISE_PART),
-            Speed::Late => self.limit = (self.limit * FALL).max(LEAST),
-            Speed::InTime | Speed::Unknown => {}
+    pub fn end(&mut self, timeliness: Timeliness) {
+        let is_in_use = f64::from(self.in_flight) > self.limit * IN_USE_SHARE;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        match timeliness {
+            Timeliness::OnTime if is_in_use => {
+                self.limit += INCREASE.max(self.limit * INCREASE_SHARE)
+            }
+            Timeliness::Late => self.limit = (self.limit * DECREASE_FACTOR).max(LIMIT_MIN),
+            Timeliness::OnTime | Timeliness::Unknown => {}
         }
     }
 }
--- a/crates/core/src/dispatch/idle_limit.rs
+++ b/crates/core/src/dispatch/idle_limit.rs
@@ -4,17 +4,17 @@
 
 /// The bound at first, and after a connection was found to be dead: too short for
 /// anything between to have forgotten it.
-const FIRST: Duration = Duration::from_millis(1_500);
+const LIMIT_INITIAL: Duration = Duration::from_millis(1_500);
 /// The most: callers' requests come every few seconds to each server, and a longer
 /// bound would save few connections.
-const MOST: Duration = Duration::from_secs(6);
+const LIMIT_MAX: Duration = Duration::from_secs(6);
 /// How much the bound rises at a time.
-const STEP: Duration = Duration::from_millis(2_250);
+const LIMIT_STEP: Duration = Duration::from_millis(2_250);
 /// Connections idle for as long as the next bound that must have worked before it is
 /// taken. Where one
 /// in ten is dead, a step is taken by mistake four times in ten, and the first that
 /// is found dead takes it back.
-const CLEAN: u32 = 8;
+const SUCCESSES_PER_STEP: u32 = 8;
 
 /// A bound that follows what requests find that may run again.
 ///
@@ -26,52 +26,52 @@
 /// quarter of the requests may run only once.
 ///
 /// ```
-/// use {citron_core::dispatch::IdleTrust, std::time::Duration};
-/// let mut trust = IdleTrust::default();
-/// let first = trust.bound();
+/// use {citron_core::dispatch::IdleLimit, std::time::Duration};
+/// let mut idle_limit = IdleLimit::default();
+/// let first = idle_limit.limit();
 /// for _ in 0..100 {
-///     trust.worked(Duration::from_secs(8));
+///     idle_limit.record_success(Duration::from_secs(8));
 /// }
-/// assert!(trust.bound() > first);
-/// trust.was_dead();
-/// assert_eq!(trust.bound(), first);
+/// assert!(idle_limit.limit() > first);
+/// idle_limit.record_dead_connection();
+/// assert_eq!(idle_limit.limit(), first);
 /// ```
 #[derive(Debug)]
-pub struct IdleTrust {
-    bound: Duration,
-    clean: u32,
+pub struct IdleLimit {
+    limit: Duration,
+    successes: u32,
 }
 
-impl Default for IdleTrust {
+impl Default for IdleLimit {
     fn default() -> Self {
         Self {
-            bound: FIRST,
-            clean: 0,
+            limit: LIMIT_INITIAL,
+            successes: 0,
         }
     }
 }
 
-impl IdleTrust {
+impl IdleLimit {
     /// How long a connection may have been idle.
-    pub fn bound(&self) -> Duration {
-        self.bound
+    pub fn limit(&self) -> Duration {
+        self.limit
     }
 
     /// A connection that was idle for so long has brought an answer.
-    pub fn worked(&mut self, idle: Duration) {
-        let next = (self.bound + STEP).min(MOST);
+    pub fn record_success(&mut self, idle: Duration) {
+        let next = (self.limit + LIMIT_STEP).min(LIMIT_MAX);
         if idle < next {
             return;
         }
-        self.clean += 1;
-        if self.clean >= CLEAN {
-            self.bound = next;
-            self.clean = 0;
+        self.successes += 1;
+        if self.successes >= SUCCESSES_PER_STEP {
+            self.limit = next;
+            self.successes = 0;
         }
     }
 
     /// One was found to be dead.
-    pub fn was_dead(&mut self) {
+    pub fn record_dead_connection(&mut self) {
         *self = Self::default();
     }
 }
--- a/crates/core/src/dispatch/load_tracker.rs
+++ b/crates/core/src/dispatch/load_tracker.rs
@@ -1,7 +1,7 @@
 //! Loads of all servers.
 
 use {
-    super::{Finish, ServerLoad},
+    super::{AttemptOutcome, ServerLoad},
     crate::{
         id::{InstanceId, ServerName},
         time::Time,
@@ -11,7 +11,7 @@
 
 /// A report older than this counts for nothing: its instance is gone or cut off,
 /// and what it had at servers has ended or soon will.
-const REPORT_TIME: Duration = Duration::from_secs(1);
+const REPORT_TTL: Duration = Duration::from_secs(1);
 
 /// What one instance says of a server.
 #[derive(Debug, Clone, PartialEq)]
@@ -19,14 +19,14 @@
     /// The server.
     pub server: ServerName,
     /// The instance's requests there.
-    pub busy: u32,
+    pub in_flight: u32,
     /// Run time of a request, in seconds, if it saw any lately.
-    pub run: Option<f64>,
+    pub run_time: Option<f64>,
 }
 
 #[derive(Debug)]
-struct Report {
-    heard: Time,
+struct PeerReport {
+    received: Time,
     loads: Vec<PeerLoad>,
 }
 
@@ -35,105 +35,106 @@
 /// ```
 /// use {citron_core::{dispatch::*, time::Time}, std::time::Duration};
 /// let server = "s-1".parse().unwrap();
-/// let mut book = LoadBook::default();
-/// book.begin(&server, Time::ZERO);
-/// let load = PeerLoad { server: server.clone(), busy: 2, run: None };
-/// book.report("peer-1".parse().unwrap(), vec![load], Time::ZERO);
-/// assert_eq!(book.get(&server).busy(), 3);
-/// book.end(&server, Finish::Ran, Duration::from_millis(200), 1.0, Time::ZERO);
-/// assert_eq!(book.get(&server).busy(), 2);
+/// let mut tracker = LoadTracker::default();
+/// tracker.begin(&server, Time::ZERO);
+/// let load = PeerLoad { server: server.clone(), in_flight: 2, run_time: None };
+/// tracker.apply_report("peer-1".parse().unwrap(), vec![load], Time::ZERO);
+/// assert_eq!(tracker.get(&server).in_flight(), 3);
+/// tracker.end(&server, AttemptOutcome::Ran, Duration::from_millis(200), 1.0, Time::ZERO);
+/// assert_eq!(tracker.get(&server).in_flight(), 2);
 /// ```
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     servers: BTreeMap<ServerName, ServerLoad>,
-    reports: BTreeMap<InstanceId, Report>,
-    none: ServerLoad,
+    reports: BTreeMap<InstanceId, PeerReport>,
+    untracked: ServerLoad,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// What is known of a server; nothing if it is new.
     pub fn get(&self, server: &ServerName) -> &ServerLoad {
-        self.servers.get(server).unwrap_or(&self.none)
+        self.servers.get(server).unwrap_or(&self.untracked)
     }
 
     /// A request goes to a server.
     pub fn begin(&mut self, server: &ServerName, now: Time) {
         let load = self.servers.entry(server.clone()).or_default();
-        load.average(now);
-        load.own += 1;
+        load.update_mean(now);
+        load.local += 1;
     }
 
     /// It has ended.
     pub fn end(
         &mut self,
         server: &ServerName,
-        finish: Finish,
+        outcome: AttemptOutcome,
         span: Duration,
         share: f64,
         now: Time,
     ) {
         if let Some(load) = self.servers.get_mut(server) {
-            load.average(now);
-            load.own = load.own.saturating_sub(1);
-            load.note(finish, span, share, now);
+            load.update_mean(now);
+            load.local = load.local.saturating_sub(1);
+            load.record(outcome, span, share, now);
         }
     }
 
     /// A request for a server was rejected without being sent.
-    pub fn note_rejected(&mut self, server: &ServerName) {
+    pub fn record_rejection(&mut self, server: &ServerName) {
         self.servers
             .entry(server.clone())
             .or_default()
-            .note_rejected();
+            .record_rejection();
     }
 
     /// Replaces what another instance says of servers.
-    pub fn report(&mut self, from: InstanceId, loads: Vec<PeerLoad>, now: Time) {
-        for said in &loads {
-            let load = self.servers.entry(said.server.clone()).or_default();
-            load.average(now);
-            load.peers += said.busy;
-            if let Some(run) = said.run {
-                load.note_peer_run(run, now);
+    pub fn apply_report(&mut self, peer: InstanceId, loads: Vec<PeerLoad>, now: Time) {
+        for reported in &loads {
+            let load = self.servers.entry(reported.server.clone()).or_default();
+            load.update_mean(now);
+            load.peers += reported.in_flight;
+            if let Some(run_time) = reported.run_time {
+                load.record_peer_run_time(run_time, now);
             }
         }
-        let heard = now;
-        let former = self.reports.insert(from, Report { heard, loads });
-        self.take_back(former, now);
-        let old = |report: &Report| now - report.heard >= REPORT_TIME;
-        let gone = self.reports.iter().find(|(_, report)| old(report));
-        if let Some(name) = gone.map(|(name, _)| name.clone()) {
+        let received = now;
+        let previous = self.reports.insert(peer, PeerReport { received, loads });
+        self.subtract_report(previous, now);
+        let is_expired = |report: &PeerReport| now - report.received >= REPORT_TTL;
+        let expired = self.reports.iter().find(|(_, report)| is_expired(report));
+        if let Some(name) = expired.map(|(name, _)| name.clone()) {
             let report = self.reports.remove(&name);
-            self.take_back(report, now);
+            self.subtract_report(report, now);
         }
     }
 
-    fn take_back(&mut self, report: Option<Report>, now: Time) {
-        for said in report.into_iter().flat_map(|report| report.loads) {
-            if let Some(load) = self.servers.get_mut(&said.server) {
-                load.average(now);
-                load.peers = load.peers.saturating_sub(said.busy);
+    fn subtract_report(&mut self, report: Option<PeerReport>, now: Time) {
+        for reported in report.into_iter().flat_map(|report| report.loads) {
+            if let Some(load) = self.servers.get_mut(&reported.server) {
+                load.update_mean(now);
+                load.peers = load.peers.saturating_sub(reported.in_flight);
             }
         }
     }
 
     /// What this instance says of servers, the busiest first; those without a request
     /// are left out.
-    pub fn own(&self, now: Time) -> Vec<PeerLoad> {
-        let said = self.servers.iter().map(|(server, load)| PeerLoad {
+    pub fn local_loads(&self, now: Time) -> Vec<PeerLoad> {
+        let reported = self.servers.iter().map(|(server, load)| PeerLoad {
             server: server.clone(),
-            busy: load.own,
-            run: load.own_run(now),
+            in_flight: load.local,
+            run_time: load.local_run_time(now),
         });
-        let said = said.filter(|said| said.busy > 0 || said.run.is_some());
-        let mut said: Vec<PeerLoad> = said.collect();
-        said.sort_by_key(|said| std::cmp::Reverse(said.busy));
-        said
+        let reported =
+            reported.filter(|reported| reported.in_flight > 0 || reported.run_time.is_some());
+        let mut reported: Vec<PeerLoad> = reported.collect();
+        reported.sort_by_key(|reported| std::cmp::Reverse(reported.in_flight));
+        reported
     }
 
     /// Forgets servers that are known no more and have nothing under way.
     pub fn retain(&mut self, keep: impl Fn(&ServerName) -> bool) {
         self.servers
-            .retain(|server, load| load.own > 0 || keep(server));
+            .retain(|server, load| load.local > 0 || keep(server));
     }
 }
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -9,10 +9,10 @@
 mod select;
 
 pub use {
-    concurrency::{PROMPT, Pace, Speed},
-    idle_limit::IdleTrust,
-    load::{Finish, ServerLoad, run_share},
-    load_tracker::{LoadBook, PeerLoad},
-    reported_load::{ToldLoad, ToldLoadError},
-    select::{Candidate, Decision, RejectReason, TimeLimits, choose, sample_size},
+    concurrency::{ConcurrencyLimit, ON_TIME_SHARE, Timeliness},
+    idle_limit::IdleLimit,
+    load::{AttemptOutcome, ServerLoad, run_share},
+    load_tracker::{LoadTracker, PeerLoad},
+    reported_load::{ReportedLoad, ReportedLoadError},
+    select::{Candidate, Decision, RejectReason, TimeLimits, sample_size, select_server},
 };
--- a/crates/core/src/dispatch/reported_load.rs
+++ b/crates/core/src/dispatch/reported_load.rs
@@ -7,24 +7,24 @@
 };
 
 /// More requests or slots than any server has: a larger number is a mistake.
-const MOST: u32 = 100_000;
+const COUNT_MAX: u32 = 100_000;
 /// The slowest machine that is believed, in percent of the usual time.
-const SLOWEST: u32 = 100_000;
+const PERCENT_MAX: u32 = 100_000;
 /// Work takes as long as usual.
-const USUAL: u32 = 100;
+const PERCENT_NORMAL: u32 = 100;
 
 /// A server's load at the moment of an answer, over all its callers.
 ///
 /// ```
-/// use citron_core::dispatch::ToldLoad;
-/// let told: ToldLoad = "3,1,4,250".parse().unwrap();
-/// assert_eq!((told.running, told.waiting, told.slots.0), (3, 1, 4));
-/// assert_eq!(told.slowness, 2.5);
-/// assert!(told.has_room());
-/// assert!("3,1".parse::<ToldLoad>().is_err());
+/// use citron_core::dispatch::ReportedLoad;
+/// let load: ReportedLoad = "3,1,4,250".parse().unwrap();
+/// assert_eq!((load.running, load.waiting, load.slots.0), (3, 1, 4));
+/// assert_eq!(load.slowdown, 2.5);
+/// assert!(load.has_room());
+/// assert!("3,1".parse::<ReportedLoad>().is_err());
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait for a slot.
@@ -32,51 +32,51 @@
     /// Requests that it runs at a time.
     pub slots: Slots,
     /// Time that work takes now, as a multiple of the usual.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
 /// Figures of a load that cannot be.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("load '{found}': running, waiting, slots and, if told, percent of the usual time")]
-pub struct ToldLoadError {
+pub struct ReportedLoadError {
     found: String,
 }
 
-impl ToldLoad {
+impl ReportedLoad {
     /// Whether another request could begin at once.
     pub fn has_room(&self) -> bool {
         self.running < self.slots.0
     }
 
-    fn read(text: &str) -> Option<Self> {
-        let mut figures = text.split(',').map(|part| part.trim().parse::<u32>().ok());
-        let mut next = |most: u32| figures.next().flatten().filter(|figure| *figure <= most);
-        let (running, waiting, slots) = (next(MOST)?, next(MOST)?, next(MOST)?);
+    fn parse_fields(text: &str) -> Option<Self> {
+        let mut fields = text.split(',').map(|part| part.trim().parse::<u32>().ok());
+        let mut next = |max: u32| fields.next().flatten().filter(|value| *value <= max);
+        let (running, waiting, slots) = (next(COUNT_MAX)?, next(COUNT_MAX)?, next(COUNT_MAX)?);
         let percent = match text.matches(',').count() {
-            2 => USUAL,
-            _ => next(SLOWEST)?,
+            2 => PERCENT_NORMAL,
+            _ => next(PERCENT_MAX)?,
         };
         (slots > 0 && percent > 0).then_some(Self {
             running,
             waiting,
             slots: Slots(slots),
-            slowness: f64::from(percent) / f64::from(USUAL),
+            slowdown: f64::from(percent) / f64::from(PERCENT_NORMAL),
         })
     }
 }
 
-impl FromStr for ToldLoad {
-    type Err = ToldLoadError;
+impl FromStr for ReportedLoad {
+    type Err = ReportedLoadError;
 
-    fn from_str(text: &str) -> Result<Self, ToldLoadError> {
+    fn from_str(text: &str) -> Result<Self, ReportedLoadError> {
         let found = || text.chars().take(64).collect();
-        Self::read(text).ok_or_else(|| ToldLoadError { found: found() })
+        Self::parse_fields(text).ok_or_else(|| ReportedLoadError { found: found() })
     }
 }
 
-impl fmt::Display for ToldLoad {
+impl fmt::Display for ReportedLoad {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let percent = (self.slowness * f64::from(USUAL)).round();
+        let percent = (self.slowdown * f64::from(PERCENT_NORMAL)).round();
         let Self {
             running, waiting, ..
         } = self;
--- a/crates/core/src/dispatch/select.rs
+++ b/crates/core/src/dispatch/select.rs
@@ -1,46 +1,46 @@
 //! The choice of a server, or of none.
 
 use {
-    super::{LoadBook, ServerLoad},
+    super::{LoadTracker, ServerLoad},
     crate::{id::ServerName, registry::ServerRecord, time::Time},
     std::{fmt, time::Duration},
 };
 
 /// Factors and limits by which servers are weighed.
-struct ChoiceWeights {
+struct SelectionWeights {
     /// Run time while no server of the service was measured, in seconds.
     default_run_time: f64,
     /// Factor of the run time on a server that has just started, or got keys without a
     /// handover.
-    cold: f64,
+    cold_factor: f64,
     /// Longest planned time to a response, as a fraction of the time to the objective.
-    planned: f64,
+    objective_share: f64,
     /// The same for a request that is late anyway, as a fraction of the time to the deadline.
-    planned_late: f64,
+    deadline_share: f64,
     /// Penalty of another failure domain: traffic between them is paid for.
-    cross_domain: f64,
+    cross_domain_penalty: f64,
     /// Penalty of a new connection: it takes a slot of the server for a moment.
-    new_connection: f64,
+    new_connection_penalty: f64,
     /// Penalty of a server that rejects all tries, in run times.
-    rejecting: f64,
+    failure_penalty: f64,
 }
 
-const WEIGHTS: ChoiceWeights = ChoiceWeights {
+const WEIGHTS: SelectionWeights = SelectionWeights {
     default_run_time: 0.2,
-    cold: 2.0,
-    planned: 1.0,
-    planned_late: 0.5,
-    cross_domain: 1.1,
-    new_connection: 2.0,
-    rejecting: 4.0,
+    cold_factor: 2.0,
+    objective_share: 1.0,
+    deadline_share: 0.5,
+    cross_domain_penalty: 1.1,
+    new_connection_penalty: 2.0,
+    failure_penalty: 4.0,
 };
 
 /// Shortest and longest Retry-After, in seconds.
-const RETRY_AFTER: [f64; 2] = [0.08, 3.0];
+const RETRY_AFTER_RANGE_S: [f64; 2] = [0.08, 3.0];
 /// Longest Retry-After, in seconds, for a server that rejects nobody yet.
-const RETRY_QUEUE: f64 = 0.9;
+const RETRY_AFTER_QUEUE_MAX_S: f64 = 0.9;
 /// Jitter of Retry-After, as a fraction: callers rejected together would return together.
-const RETRY_JITTER: f64 = 0.3;
+const RETRY_AFTER_JITTER: f64 = 0.3;
 
 /// A server that a request may go to.
 #[derive(Debug, Clone, Copy)]
@@ -50,7 +50,7 @@
     /// Whether it is in this instance's failure domain.
     pub same_domain: bool,
     /// Whether a connection to it is kept that the request may use.
-    pub kept: bool,
+    pub has_connection: bool,
     /// Requests at the server for each that this instance knows of; above 1 where only
     /// some of the other instances report to it.
     pub load_factor: f64,
@@ -68,9 +68,9 @@
 }
 
 /// Reports younger than this tell which server is the best.
-const FRESH: Duration = Duration::from_millis(150);
+const FRESH_PERIOD_MAX: Duration = Duration::from_millis(150);
 /// Servers compared where reports are older.
-const FEW: usize = 2;
+const STALE_SAMPLE_SIZE: usize = 2;
 
 /// How many servers are compared where reports of other instances come every
 /// `period`; all if they are young.
@@ -84,8 +84,8 @@
 /// assert_eq!(sample_size(Duration::from_millis(400)), 2);
 /// ```
 pub fn sample_size(period: Duration) -> usize {
-    match period > FRESH {
-        true => FEW,
+    match period > FRESH_PERIOD_MAX {
+        true => STALE_SAMPLE_SIZE,
         false => usize::MAX,
     }
 }
@@ -112,7 +112,7 @@
     /// It refused a request for want of room a short while ago.
     Refusing,
     /// Its answer would come too late, by the requests that are there.
-    Queue,
+    QueueTooLong,
 }
 
 impl fmt::Display for RejectReason {
@@ -120,7 +120,7 @@
         f.write_str(match self {
             Self::Unreachable => "no server could be reached lately",
             Self::Refusing => "all servers have refused requests lately",
-            Self::Queue => "no server would answer in time",
+            Self::QueueTooLong => "no server would answer in time",
         })
     }
 }
@@ -130,96 +130,107 @@
 /// A server's own queue makes every request late once it is longer than the
 /// objective allows, and each request in it then waits for nothing. So what
 /// should not end in time is not sent, and the caller is told at once.
-pub fn choose<'a>(
-    book: &LoadBook,
+pub fn select_server<'a>(
+    loads: &LoadTracker,
     candidates: impl Iterator<Item = Candidate<'a>>,
     limits: TimeLimits,
     now: Time,
-    mut drawn: impl FnMut() -> f64,
+    mut random: impl FnMut() -> f64,
 ) -> Decision {
     let candidates: Vec<Candidate<'a>> = candidates.collect();
-    let view = LoadEstimate {
-        book,
-        usual: usual_run(book, &candidates, now),
+    let estimate = LoadEstimate {
+        loads,
+        default_run_time: mean_run_time(loads, &candidates, now),
         now,
     };
-    let (mut near, mut far) = (Vec::new(), Vec::new());
-    let mut room = (f64::INFINITY, RejectReason::Unreachable);
+    let (mut local, mut remote) = (Vec::new(), Vec::new());
+    let mut earliest = (f64::INFINITY, RejectReason::Unreachable);
     for candidate in &candidates {
         match (
-            view.offer(candidate, limits, drawn()),
+            estimate.evaluate(candidate, limits, random()),
             candidate.same_domain,
         ) {
-            (Ok(offer), true) => near.push(offer),
-            (Ok(offer), false) => far.push(offer),
-            (Err(full), _) if full.0 < room.0 => room = full,
+            (Ok(option), true) => local.push(option),
+            (Ok(option), false) => remote.push(option),
+            (Err(unavailable), _) if unavailable.0 < earliest.0 => earliest = unavailable,
             (Err(_), _) => {}
         }
     }
-    let kept = near.iter().filter(|offer| offer.kept).copied().collect();
-    let mut offers = draw(near, limits.sample_size, &mut drawn);
-    offers.extend(draw(kept, 1, &mut drawn));
-    if offers.iter().all(|offer| offer.wait > 0.0) {
-        offers.extend(draw(far, limits.sample_size, &mut drawn));
+    let connected = local
+        .iter()
+        .filter(|option| option.has_connection)
+        .copied()
+        .collect();
+    let mut options = sample(local, limits.sample_size, &mut random);
+    options.extend(sample(connected, 1, &mut random));
+    if options.iter().all(|option| option.wait > 0.0) {
+        options.extend(sample(remote, limits.sample_size, &mut random));
     }
-    if let Some(offer) = offers.iter().min_by(|a, b| a.score.total_cmp(&b.score)) {
-        return Decision::Send(offer.server.clone());
+    if let Some(option) = options.iter().min_by(|a, b| a.score.total_cmp(&b.score)) {
+        return Decision::Send(option.server.clone());
     }
-    let jitter = 1.0 + RETRY_JITTER * (drawn() - 0.5);
-    let seconds = (room.0 * jitter).clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
+    let jitter = 1.0 + RETRY_AFTER_JITTER * (random() - 0.5);
+    let seconds = (earliest.0 * jitter).clamp(RETRY_AFTER_RANGE_S[0], RETRY_AFTER_RANGE_S[1]);
     Decision::Reject {
         retry_after: Duration::from_secs_f64(seconds),
-        reason: room.1,
+        reason: earliest.1,
     }
 }
 
 /// What servers are weighed by.
 struct LoadEstimate<'a> {
-    book: &'a LoadBook,
+    loads: &'a LoadTracker,
     /// Run time of a server that nobody has measured.
-    usual: f64,
+    default_run_time: f64,
     now: Time,
 }
 
 impl LoadEstimate<'_> {
     /// How good a server is for a request; in how many seconds it should have room if
     /// it has none, and why it has none.
-    fn offer<'s>(
+    fn evaluate<'s>(
         &self,
         candidate: &Candidate<'s>,
         limits: TimeLimits,
-        drawn: f64,
-    ) -> Result<Offer<'s>, (f64, RejectReason)> {
+        random: f64,
+    ) -> Result<ScoredServer<'s>, (f64, RejectReason)> {
         let entry = &candidate.server.entry;
-        let load = self.book.get(&entry.name);
-        let run = run_time(load, candidate.server, self.usual, self.now);
-        let busy = load.expected(candidate.load_factor, self.now);
-        let wait = waiting(busy, entry.slots.0, run);
+        let load = self.loads.get(&entry.name);
+        let run_time = estimate_run_time(load, candidate.server, self.default_run_time, self.now);
+        let in_flight = load.expected_in_flight(candidate.load_factor, self.now);
+        let wait = queue_time(in_flight, entry.slots.0, run_time);
         let reason = match () {
-            () if load.is_down(self.now) => Some(RejectReason::Unreachable),
+            () if load.is_unreachable(self.now) => Some(RejectReason::Unreachable),
             () if load.is_full(self.now) => Some(RejectReason::Refusing),
-            () if run + wait > limit(limits, run) => Some(RejectReason::Queue),
+            () if run_time + wait > time_limit(limits, run_time) => {
+                Some(RejectReason::QueueTooLong)
+            }
             () => None,
         };
         if let Some(reason) = reason {
-            let queue = (wait + run / f64::from(entry.slots.0)).min(RETRY_QUEUE);
-            return Err((queue * load.callers(), reason));
+            let until_free =
+                (wait + run_time / f64::from(entry.slots.0)).min(RETRY_AFTER_QUEUE_MAX_S);
+            return Err((until_free * load.callers_per_admission(), reason));
         }
         // One that nobody has measured lately may have joined just now, and would
         // stay without a request as long as others have room.
-        let kept = candidate.kept || load.run(self.now).is_none();
-        let distance = if candidate.same_domain {
+        let has_connection = candidate.has_connection || load.run_time(self.now).is_none();
+        let domain_factor = if candidate.same_domain {
             1.0
         } else {
-            WEIGHTS.cross_domain
+            WEIGHTS.cross_domain_penalty
         };
-        let connection = if kept { 1.0 } else { WEIGHTS.new_connection };
-        let refusing = 1.0 + load.refused() * WEIGHTS.rejecting;
+        let connection_factor = if has_connection {
+            1.0
+        } else {
+            WEIGHTS.new_connection_penalty
+        };
+        let failure_factor = 1.0 + load.failure_rate() * WEIGHTS.failure_penalty;
         // Jitter: instances with the same load reports would pick the same server.
-        let spread = 0.9 + 0.2 * drawn;
-        Ok(Offer {
-            score: (run + wait) * distance * connection * refusing * spread,
-            kept,
+        let jitter = 0.9 + 0.2 * random;
+        Ok(ScoredServer {
+            score: (run_time + wait) * domain_factor * connection_factor * failure_factor * jitter,
+            has_connection,
             wait,
             server: &entry.name,
         })
@@ -228,51 +239,53 @@
 
 /// A server that should answer in time.
 #[derive(Clone, Copy)]
-struct Offer<'a> {
+struct ScoredServer<'a> {
     /// The lower, the better.
     score: f64,
     /// Whether a connection to it is kept, or nothing is known of it.
-    kept: bool,
+    has_connection: bool,
     /// How long a request waits there, in seconds.
     wait: f64,
     server: &'a ServerName,
 }
 
 /// `count` of the offers at random.
-fn draw<'a>(
-    mut offers: Vec<Offer<'a>>,
+fn sample<'a>(
+    mut options: Vec<ScoredServer<'a>>,
     count: usize,
-    drawn: &mut impl FnMut() -> f64,
-) -> Vec<Offer<'a>> {
-    if offers.len() <= count {
-        return offers;
+    random: &mut impl FnMut() -> f64,
+) -> Vec<ScoredServer<'a>> {
+    if options.len() <= count {
+        return options;
     }
-    for place in 0..count {
-        let left = offers.len() - place;
-        // Guards against rounding up to `left`.
-        let other = ((drawn() * left as f64) as usize).min(left - 1);
-        offers.swap(place, place + other);
+    for index in 0..count {
+        let remaining = options.len() - index;
+        // Guards against rounding up to `remaining`.
+        let offset = ((random() * remaining as f64) as usize).min(remaining - 1);
+        options.swap(index, index + offset);
     }
-    offers.truncate(count);
-    offers
+    options.truncate(count);
+    options
 }
 
 /// The longest time that a request may be planned to take.
-fn limit(limits: TimeLimits, run: f64) -> f64 {
-    let objective = limits.objective.as_secs_f64() * WEIGHTS.planned;
-    if objective >= run {
+fn time_limit(limits: TimeLimits, run_time: f64) -> f64 {
+    let objective = limits.objective.as_secs_f64() * WEIGHTS.objective_share;
+    if objective >= run_time {
         return objective;
     }
     // It will be late: it gets a slot that is free, and no place in a queue.
-    run.min(limits.deadline.as_secs_f64() * WEIGHTS.planned_late)
+    run_time.min(limits.deadline.as_secs_f64() * WEIGHTS.deadline_share)
 }
 
 /// What a server is taken to need that nobody has measured: as much as the others.
-fn usual_run(book: &LoadBook, candidates: &[Candidate<'_>], now: Time) -> f64 {
-    let runs = candidates
+fn mean_run_time(loads: &LoadTracker, candidates: &[Candidate<'_>], now: Time) -> f64 {
+    let run_times = candidates
         .iter()
-        .filter_map(|candidate| book.get(&candidate.server.entry.name).run(now));
-    let (sum, count) = runs.fold((0.0, 0.0), |(sum, count), run| (sum + run, count + 1.0));
+        .filter_map(|candidate| loads.get(&candidate.server.entry.name).run_time(now));
+    let (sum, count) = run_times.fold((0.0, 0.0), |(sum, count), run_time| {
+        (sum + run_time, count + 1.0)
+    });
     if count > 0.0 {
         sum / count
     } else {
@@ -280,16 +293,21 @@
     }
 }
 
-fn run_time(load: &ServerLoad, server: &ServerRecord, usual: f64, now: Time) -> f64 {
-    let run = load.run(now).unwrap_or(usual);
+fn estimate_run_time(
+    load: &ServerLoad,
+    server: &ServerRecord,
+    default_run_time: f64,
+    now: Time,
+) -> f64 {
+    let run_time = load.run_time(now).unwrap_or(default_run_time);
     match server.remaining_warm_up(now).is_zero() {
-        true => run,
-        false => run * WEIGHTS.cold,
+        true => run_time,
+        false => run_time * WEIGHTS.cold_factor,
     }
 }
 
 /// How long a request waits for a slot.
-fn waiting(busy: f64, slots: u32, run: f64) -> f64 {
+fn queue_time(in_flight: f64, slots: u32, run_time: f64) -> f64 {
     let slots = f64::from(slots);
-    (busy + 1.0 - slots).max(0.0) * run / slots
+    (in_flight + 1.0 - slots).max(0.0) * run_time / slots
 }
--- a/crates/core/src/health/config.rs
+++ b/crates/core/src/health/config.rs
@@ -6,27 +6,27 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthConfig {
     /// Failures in a row that eject a server.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// The largest part of a pool that is ejected.
-    pub share: f64,
+    pub ejected_share_max: f64,
     /// Latency over the pool's middle one that ejects a server.
     pub slow_factor: f64,
     /// No server is slow below this latency.
-    pub slow_least: Duration,
+    pub slow_min: Duration,
     /// Answers that a latency counts after.
-    pub samples: u32,
+    pub samples_min: u32,
     /// Probes answered in a row that take a server back.
-    pub probes: u32,
+    pub probes_required: u32,
 }
 
 impl HealthConfig {
     /// The defaults.
     pub const STANDARD: Self = Self {
-        failures: 5,
-        share: 0.3,
+        consecutive_failures: 5,
+        ejected_share_max: 0.3,
         slow_factor: 5.0,
-        slow_least: Duration::from_millis(100),
-        samples: 50,
-        probes: 3,
+        slow_min: Duration::from_millis(100),
+        samples_min: 50,
+        probes_required: 3,
     };
 }
--- a/crates/core/src/health/connections.rs
+++ b/crates/core/src/health/connections.rs
@@ -4,28 +4,28 @@
 
 /// How long after it last received bytes a connection may still take a request
 /// that is not idempotent.
-const TRUST: Duration = Duration::from_secs(5);
+const NON_IDEMPOTENT_IDLE_MAX: Duration = Duration::from_secs(5);
 /// How long after it last received bytes a connection is kept at all.
-const KEEP: Duration = Duration::from_secs(60);
+const IDLE_MAX: Duration = Duration::from_secs(60);
 /// A wait for an answer is a silence after this, at least.
-const SILENCE_LEAST: Duration = Duration::from_secs(1);
+const SILENCE_TIMEOUT_MIN: Duration = Duration::from_secs(1);
 /// And after so many times the usual high latency.
 const SILENCE_FACTOR: u32 = 5;
 
 /// A kept connection's age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Kept {
+pub struct ConnectionAge {
     /// When it was opened.
     pub opened: Time,
     /// When something was last read from it.
-    pub alive: Time,
+    pub last_read: Time,
 }
 
 /// What a silence tells against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Blame {
+pub enum SilenceCause {
     /// Connections opened before; new ones are likely to work.
-    Links,
+    Connections,
     /// The server: even a connection opened for the request is silent.
     Server,
 }
@@ -41,52 +41,60 @@
 /// ```
 /// use {citron_core::{health::*, time::Time}, std::time::Duration};
 /// let at = |seconds| Time::ZERO + Duration::from_secs(seconds);
-/// let mut links = Links::default();
-/// let old = Kept { opened: at(1), alive: at(7) };
-/// assert!(links.allows(old, false, at(9)));
-/// assert_eq!(links.silent(at(1), at(8), at(9)), Blame::Links);
-/// assert!(!links.allows(old, true, at(9)));
-/// assert!(links.allows(Kept { opened: at(9), alive: at(9) }, false, at(10)));
+/// let mut connections = ConnectionHealth::default();
+/// let old = ConnectionAge { opened: at(1), last_read: at(7) };
+/// assert!(connections.allows(old, false, at(9)));
+/// assert_eq!(connections.record_silence(at(1), at(8), at(9)), SilenceCause::Connections);
+/// assert!(!connections.allows(old, true, at(9)));
+/// assert!(connections.allows(ConnectionAge { opened: at(9), last_read: at(9) }, false, at(10)));
 /// ```
 #[derive(Debug, Default)]
-pub struct Links {
-    noticed: Option<Time>,
+pub struct ConnectionHealth {
+    detected: Option<Time>,
     begun: Time,
 }
 
-impl Links {
+impl ConnectionHealth {
     /// Nothing was read for too long, on a connection opened at `opened`, of an
     /// exchange begun at `begun`.
-    pub fn silent(&mut self, opened: Time, begun: Time, now: Time) -> Blame {
+    pub fn record_silence(&mut self, opened: Time, begun: Time, now: Time) -> SilenceCause {
         if opened >= begun {
-            return Blame::Server;
+            return SilenceCause::Server;
         }
-        self.noticed = Some(now);
+        self.detected = Some(now);
         self.begun = begun;
-        Blame::Links
+        SilenceCause::Connections
     }
 
     /// Whether a connection is under suspicion; it is closed then.
-    pub fn suspects(&self, kept: Kept) -> bool {
-        let older = self.noticed.is_some_and(|noticed| kept.opened < noticed);
-        older && kept.alive < self.begun
+    pub fn is_suspect(&self, connection: ConnectionAge) -> bool {
+        let is_older = self
+            .detected
+            .is_some_and(|detected| connection.opened < detected);
+        is_older && connection.last_read < self.begun
     }
 
     /// Whether a request may be written to a kept connection.
-    pub fn allows(&self, kept: Kept, idempotent: bool, now: Time) -> bool {
-        let longest = if idempotent { KEEP } else { TRUST };
-        !self.suspects(kept) && now - kept.alive <= longest
+    pub fn allows(&self, connection: ConnectionAge, idempotent: bool, now: Time) -> bool {
+        let idle_max = if idempotent {
+            IDLE_MAX
+        } else {
+            NON_IDEMPOTENT_IDLE_MAX
+        };
+        !self.is_suspect(connection) && now - connection.last_read <= idle_max
     }
 }
 
 /// How long an exchange may show no progress, given the usual high latency.
 ///
 /// ```
-/// use {citron_core::health::silence_after, std::time::Duration};
-/// assert_eq!(silence_after(None), Duration::from_secs(1));
-/// assert_eq!(silence_after(Some(Duration::from_secs(1))), Duration::from_secs(5));
+/// use {citron_core::health::silence_timeout, std::time::Duration};
+/// assert_eq!(silence_timeout(None), Duration::from_secs(1));
+/// assert_eq!(silence_timeout(Some(Duration::from_secs(1))), Duration::from_secs(5));
 /// ```
-pub fn silence_after(usual: Option<Duration>) -> Duration {
-    let usual = usual.unwrap_or_default();
-    usual.saturating_mul(SILENCE_FACTOR).max(SILENCE_LEAST)
+pub fn silence_timeout(high_latency: Option<Duration>) -> Duration {
+    let high_latency = high_latency.unwrap_or_default();
+    high_latency
+        .saturating_mul(SILENCE_FACTOR)
+        .max(SILENCE_TIMEOUT_MIN)
 }
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -8,8 +8,8 @@
 
 pub use {
     config::HealthConfig,
-    connections::{Blame, Kept, Links, silence_after},
-    load::ServerLoad,
+    connections::{ConnectionAge, ConnectionHealth, SilenceCause, silence_timeout},
+    load::MeasuredLoad,
     pool::PoolHealth,
-    server::{Check, ServerHealth},
+    server::{HealthDecision, ServerHealth},
 };
--- a/crates/core/src/health/pool.rs
+++ b/crates/core/src/health/pool.rs
@@ -1,7 +1,7 @@
 //! Which servers of a service are outliers.
 
 use {
-    super::{Check, HealthConfig, ServerHealth},
+    super::{HealthConfig, HealthDecision, ServerHealth},
     crate::{id::ServerName, time::Time},
     std::{collections::BTreeMap, time::Duration},
 };
@@ -18,7 +18,7 @@
 /// let mut pool = PoolHealth::new(HealthConfig::STANDARD);
 /// pool.set_servers(names.iter().cloned());
 /// for name in &names {
-///     (0..10).for_each(|_| pool.failed(name, Time::ZERO));
+///     (0..10).for_each(|_| pool.record_failure(name, Time::ZERO));
 /// }
 /// assert_eq!(pool.ejected().count(), 1);
 /// ```
@@ -39,63 +39,63 @@
 
     /// Replaces the list of servers; those that stay keep their state.
     pub fn set_servers(&mut self, names: impl Iterator<Item = ServerName>) {
-        let mut old = std::mem::take(&mut self.servers);
+        let mut previous = std::mem::take(&mut self.servers);
         for name in names {
-            let health = old.remove(&name).unwrap_or_default();
+            let health = previous.remove(&name).unwrap_or_default();
             self.servers.insert(name, health);
         }
     }
 
     /// The server answered after so long; whether it has just been taken back, so
     /// that its gate begins cold.
-    pub fn succeeded(&mut self, name: &ServerName, latency: Duration, now: Time) -> bool {
-        let late = self.is_outlier(latency);
+    pub fn record_success(&mut self, name: &ServerName, latency: Duration, now: Time) -> bool {
+        let is_slow = self.is_outlier(latency);
         let Some(server) = self.servers.get_mut(name) else {
             return false;
         };
         // A slow server answers its probes too; slowly, they do not take it back.
-        if server.is_ejected() && late {
-            server.failed(&self.config, now);
+        if server.is_ejected() && is_slow {
+            server.record_failure(&self.config, now);
             return false;
         }
-        let back = server.succeeded(latency, &self.config);
-        let usual = server.latency(&self.config);
-        if usual.is_some_and(|usual| self.is_outlier(usual)) && self.has_room() {
+        let is_restored = server.record_success(latency, &self.config);
+        let smoothed = server.latency(&self.config);
+        if smoothed.is_some_and(|smoothed| self.is_outlier(smoothed)) && self.has_room() {
             self.eject(name, now);
         }
-        back
+        is_restored
     }
 
     /// The server refused a request: it is busy, not dead.
-    pub fn alive(&mut self, name: &ServerName) {
+    pub fn record_alive(&mut self, name: &ServerName) {
         if let Some(server) = self.servers.get_mut(name) {
-            server.alive();
+            server.record_alive();
         }
     }
 
     /// The server gave no answer: it could not be reached, the connection died,
     /// or one that was opened for the request stayed silent.
-    pub fn failed(&mut self, name: &ServerName, now: Time) {
+    pub fn record_failure(&mut self, name: &ServerName, now: Time) {
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
-        let many = server.failed(&self.config, now);
-        if many && self.has_room() {
+        let is_over_limit = server.record_failure(&self.config, now);
+        if is_over_limit && self.has_room() {
             self.eject(name, now);
         }
     }
 
     /// Whether a request may go to a server.
-    pub fn check(&mut self, name: &ServerName, idempotent: bool, now: Time) -> Check {
+    pub fn check(&mut self, name: &ServerName, idempotent: bool, now: Time) -> HealthDecision {
         let server = self.servers.get_mut(name);
-        server.map_or(Check::Pass, |server| server.check(idempotent, now))
+        server.map_or(HealthDecision::Pass, |server| server.check(idempotent, now))
     }
 
     /// The servers that are ejected, for the planner to move their shards.
     pub fn ejected(&self) -> impl Iterator<Item = &ServerName> {
         let servers = self.servers.iter();
-        let out = servers.filter(|(_, server)| server.is_ejected());
-        out.map(|(name, _)| name)
+        let ejected_servers = servers.filter(|(_, server)| server.is_ejected());
+        ejected_servers.map(|(name, _)| name)
     }
 
     fn eject(&mut self, name: &ServerName, now: Time) {
@@ -106,13 +106,13 @@
 
     /// Whether one more may be ejected.
     fn has_room(&self) -> bool {
-        let most = self.config.share * self.servers.len() as f64;
-        (self.ejected().count() + 1) as f64 <= most
+        let max_ejected = self.config.ejected_share_max * self.servers.len() as f64;
+        (self.ejected().count() + 1) as f64 <= max_ejected
     }
 
     /// Whether a latency is far above the pool's middle one.
     fn is_outlier(&self, latency: Duration) -> bool {
-        if latency <= self.config.slow_least {
+        if latency <= self.config.slow_min {
             return false;
         }
         let servers = self.servers.values();
@@ -120,7 +120,7 @@
             .filter_map(|server| server.latency(&self.config))
             .collect();
         all.sort_unstable();
-        let middle = all.get(all.len().saturating_sub(1) / 2);
-        middle.is_some_and(|middle| latency > middle.mul_f64(self.config.slow_factor))
+        let median = all.get(all.len().saturating_sub(1) / 2);
+        median.is_some_and(|median| latency > median.mul_f64(self.config.slow_factor))
     }
 }
--- a/crates/core/src/health/server.rs
+++ b/crates/core/src/health/server.rs
@@ -3,14 +3,14 @@
 use {super::HealthConfig, crate::time::Time, std::time::Duration};
 
 /// Weight of a new sample of the latency.
-const GAIN: f64 = 0.05;
+const EWMA_WEIGHT: f64 = 0.05;
 /// The first wait of an ejected server for a probe; it doubles up to the longest.
-const PROBE_FIRST: Duration = Duration::from_secs(1);
-const PROBE_LONGEST: Duration = Duration::from_secs(30);
+const PROBE_INTERVAL_MIN: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL_MAX: Duration = Duration::from_secs(30);
 
 /// Whether a request may go to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Check {
+pub enum HealthDecision {
     /// It may.
     Pass,
     /// The server is ejected, and this request tells whether it has come back.
@@ -24,9 +24,9 @@
 
 #[derive(Debug)]
 struct Ejection {
-    wait: Duration,
-    probe: Time,
-    answers: u32,
+    probe_interval: Duration,
+    next_probe: Time,
+    probes_passed: u32,
 }
 
 /// Failures and latency of one server.
@@ -40,16 +40,16 @@
 
 impl ServerHealth {
     /// Counts an answer; whether the server has just been taken back.
-    pub fn succeeded(&mut self, latency: Duration, config: &HealthConfig) -> bool {
+    pub fn record_success(&mut self, latency: Duration, config: &HealthConfig) -> bool {
         self.failures = 0;
-        let gain = if self.samples == 0 { 1.0 } else { GAIN };
+        let gain = if self.samples == 0 { 1.0 } else { EWMA_WEIGHT };
         self.latency += gain * (latency.as_secs_f64() - self.latency);
         self.samples = self.samples.saturating_add(1);
         let Some(ejection) = &mut self.ejection else {
             return false;
         };
-        ejection.answers += 1;
-        if ejection.answers < config.probes {
+        ejection.probes_passed += 1;
+        if ejection.probes_passed < config.probes_required {
             return false;
         }
         // What was measured before belongs to the trouble that is over.
@@ -58,28 +58,28 @@
     }
 
     /// Counts an answer that says nothing about the latency.
-    pub fn alive(&mut self) {
+    pub fn record_alive(&mut self) {
         self.failures = 0;
     }
 
     /// Counts a failure; whether there are too many in a row.
-    pub fn failed(&mut self, config: &HealthConfig, now: Time) -> bool {
+    pub fn record_failure(&mut self, config: &HealthConfig, now: Time) -> bool {
         self.failures = self.failures.saturating_add(1);
         if let Some(ejection) = &mut self.ejection {
-            ejection.answers = 0;
-            ejection.wait = (ejection.wait * 2).min(PROBE_LONGEST);
-            ejection.probe = now + ejection.wait;
+            ejection.probes_passed = 0;
+            ejection.probe_interval = (ejection.probe_interval * 2).min(PROBE_INTERVAL_MAX);
+            ejection.next_probe = now + ejection.probe_interval;
             return false;
         }
-        self.failures >= config.failures
+        self.failures >= config.consecutive_failures
     }
 
     /// Takes the server out.
     pub fn eject(&mut self, now: Time) {
         self.ejection.get_or_insert(Ejection {
-            wait: PROBE_FIRST,
-            probe: now + PROBE_FIRST,
-            answers: 0,
+            probe_interval: PROBE_INTERVAL_MIN,
+            next_probe: now + PROBE_INTERVAL_MIN,
+            probes_passed: 0,
         });
     }
 
@@ -89,21 +89,21 @@
     /// A probe of a frozen server ends as `unknown` if it is not idempotent. Such a
     /// request is taken only when no other came for another wait, since a service
     /// that has no others would never get its server back.
-    pub fn check(&mut self, idempotent: bool, now: Time) -> Check {
+    pub fn check(&mut self, idempotent: bool, now: Time) -> HealthDecision {
         let Some(ejection) = &mut self.ejection else {
-            return Check::Pass;
+            return HealthDecision::Pass;
         };
         let grace = if idempotent {
             Duration::ZERO
         } else {
-            ejection.wait
+            ejection.probe_interval
         };
-        let due = ejection.probe + grace;
+        let due = ejection.next_probe + grace;
         if now < due {
-            return Check::Refuse { wait: due - now };
+            return HealthDecision::Refuse { wait: due - now };
         }
-        ejection.probe = now + ejection.wait;
-        Check::Probe
+        ejection.next_probe = now + ejection.probe_interval;
+        HealthDecision::Probe
     }
 
     /// Whether it is taken out.
@@ -113,7 +113,7 @@
 
     /// The smoothed latency, once enough was seen.
     pub fn latency(&self, config: &HealthConfig) -> Option<Duration> {
-        let enough = self.samples >= config.samples;
+        let enough = self.samples >= config.samples_min;
         enough.then(|| Duration::from_secs_f64(self.latency))
     }
 }
--- a/crates/core/src/routes/table.rs
+++ b/crates/core/src/routes/table.rs
@@ -102,7 +102,7 @@
     /// The longest time that a server of any service stays cold.
     pub fn cold_span(&self) -> Duration {
         let spans = self.services().filter_map(|service| service.slow_start);
-        spans.map(|slow| slow.span).max().unwrap_or_default()
+        spans.map(|slow| slow.duration).max().unwrap_or_default()
     }
 
     /// All services.
--- a/crates/core/src/routing/attempt.rs
+++ b/crates/core/src/routing/attempt.rs
@@ -2,24 +2,25 @@
 
 use {
     super::{
-        Backoff, BudgetConfig, Event, Link, Point, Reason, RetryBudget, Send, Step, Try, Verdict,
+        AttemptNo, Backoff, BudgetConfig, ConnectionPolicy, Event, ExchangeStage, FailureReason,
+        LocalResponse, RetryBudget, SendAttempt, Step,
     },
     crate::time::Time,
     std::time::Duration,
 };
 
 /// Exchanges that one request may cause, hedges included.
-pub const TRIES_MAX: u32 = 3;
+pub const ATTEMPTS_MAX: u32 = 3;
 /// A try with less time than this left is not begun.
-const TRY_LEAST: Duration = Duration::from_millis(5);
+const ATTEMPT_TIME_MIN: Duration = Duration::from_millis(5);
 /// `Retry-After` for a server that is gone or lost a connection.
-const RECONNECT: Duration = Duration::from_secs(1);
+const RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
 /// Whether the body can be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestBody {
     /// There is none, or it is kept whole.
-    Kept,
+    Buffered,
     /// It is streamed from the caller and can be sent again only if nothing was
     /// taken from the caller yet.
     Streamed,
@@ -38,14 +39,14 @@
 
 /// What the requests of one service share on one traffic thread.
 #[derive(Debug)]
-pub struct Retries {
+pub struct RetryPolicy {
     /// How much retries and hedges may add to the load.
     pub budget: RetryBudget,
     /// The waits before retries.
     pub backoff: Backoff,
 }
 
-impl Retries {
+impl RetryPolicy {
     /// A full budget, and jitter from a seed.
     pub fn new(config: BudgetConfig, seed: u64) -> Self {
         Self {
@@ -62,236 +63,244 @@
 ///
 /// ```
 /// use citron_core::{routing::*, time::Time};
-/// let mut retries = Retries::new(BudgetConfig::STANDARD, 7);
+/// let mut policy = RetryPolicy::new(BudgetConfig::STANDARD, 7);
 /// let deadline = Time::from_micros(1_000_000);
-/// let kind = RequestKind { idempotent: false, body: RequestBody::Kept, deadline };
-/// let mut attempt = Attempt::new(kind, &mut retries);
-/// let Step::Send(send) = attempt.step(Event::Admitted, Time::ZERO, &mut retries) else { panic!() };
-/// let lost = Event::Lost(send.no, Point::Written);
-/// let Step::Answer(verdict) = attempt.step(lost, Time::ZERO, &mut retries) else { panic!() };
-/// assert_eq!((verdict.status, verdict.outcome, verdict.retry), (502, Outcome::Unknown, None));
+/// let kind = RequestKind { idempotent: false, body: RequestBody::Buffered, deadline };
+/// let mut attempt = RetryState::new(kind, &mut policy);
+/// let Step::Send(send) = attempt.step(Event::Admitted, Time::ZERO, &mut policy) else { panic!() };
+/// let lost = Event::Lost(send.no, ExchangeStage::Written);
+/// let Step::Answer(response) = attempt.step(lost, Time::ZERO, &mut policy) else { panic!() };
+/// assert_eq!((response.status, response.outcome, response.retry_after), (502, Outcome::Unknown, None));
 /// ```
 #[derive(Debug)]
-pub struct Attempt {
+pub struct RetryState {
     kind: RequestKind,
-    begun: u32,
-    open: Vec<Try>,
-    consumed: bool,
-    doubt: bool,
-    answered: Option<Try>,
-    ended: bool,
+    attempts: u32,
+    open_attempts: Vec<AttemptNo>,
+    is_body_consumed: bool,
+    may_have_run: bool,
+    answered: Option<AttemptNo>,
+    is_ended: bool,
 }
 
 /// A try that came to nothing.
 struct Failure {
-    no: Try,
-    reason: Reason,
-    clean: bool,
+    no: AttemptNo,
+    reason: FailureReason,
+    is_unsent: bool,
     wait: Option<Duration>,
     reroute: bool,
 }
 
-impl Attempt {
+impl RetryState {
     /// A request that was just read; it counts for the retry budget.
-    pub fn new(kind: RequestKind, retries: &mut Retries) -> Self {
-        retries.budget.deposit();
+    pub fn new(kind: RequestKind, policy: &mut RetryPolicy) -> Self {
+        policy.budget.deposit();
         Self {
             kind,
-            begun: 0,
-            open: Vec::new(),
-            consumed: false,
-            doubt: false,
+            attempts: 0,
+            open_attempts: Vec::new(),
+            is_body_consumed: false,
+            may_have_run: false,
             answered: None,
-            ended: false,
+            is_ended: false,
         }
     }
 
     /// What to do after an event.
-    pub fn step(&mut self, event: Event, now: Time, retries: &mut Retries) -> Step {
-        if self.ended {
+    pub fn step(&mut self, event: Event, now: Time, policy: &mut RetryPolicy) -> Step {
+        if self.is_ended {
             return Step::Wait;
         }
         match event {
-            Event::Admitted => self.send(Duration::ZERO, self.first_link(), false, now),
+            Event::Admitted => self.send(Duration::ZERO, self.first_connection(), false, now),
             Event::Denied { reason, wait } => self.denied(reason, wait),
-            Event::BodyBegun => self.body_begun(),
-            Event::HedgeDue => self.hedge(now, retries),
+            Event::BodyStarted => self.body_started(),
+            Event::HedgeDue => self.hedge(now, policy),
             Event::CallerLeft => self.end(Step::Drop),
             Event::Answered(no) => self.answer(no),
-            Event::Cut(no) => self.after_head(no, Step::Abort),
+            Event::Truncated(no) => self.after_head(no, Step::Abort),
             Event::Completed(no) => self.after_head(no, Step::Done),
             Event::Lost(no, _) | Event::TimedOut(no, _) if self.answered == Some(no) => {
                 self.end(Step::Abort)
             }
-            Event::Lost(no, point) => self.failed(lost(no, point), now, retries),
-            Event::TimedOut(no, point) => self.failed(timed_out(no, point), now, retries),
-            Event::Refused { no, wait } => self.failed(refused(no, wait), now, retries),
-            Event::Fenced(no) => self.failed(unrouted(no, Reason::NoOwner), now, retries),
-            Event::Withheld(no) => self.failed(unrouted(no, Reason::Unconfirmed), now, retries),
+            Event::Lost(no, stage) => self.failed(lost(no, stage), now, policy),
+            Event::TimedOut(no, stage) => self.failed(timed_out(no, stage), now, policy),
+            Event::Refused { no, wait } => self.failed(refused(no, wait), now, policy),
+            Event::Fenced(no) => self.failed(unrouted(no, FailureReason::NoOwner), now, policy),
+            Event::Unconfirmed(no) => {
+                self.failed(unrouted(no, FailureReason::Unconfirmed), now, policy)
+            }
         }
     }
 
     /// Whether a hedge makes sense: the caller of the timer asks before arming it.
     pub fn can_hedge(&self) -> bool {
-        self.kind.idempotent && self.can_replay() && self.begun < TRIES_MAX
+        self.kind.idempotent && self.can_resend_body() && self.attempts < ATTEMPTS_MAX
     }
 
     /// Exchanges begun so far.
-    pub fn tries(&self) -> u32 {
-        self.begun
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 
-    fn first_link(&self) -> Link {
+    fn first_connection(&self) -> ConnectionPolicy {
         // A kept connection may have gone silent without a sign. An idempotent
         // request finds that out at the cost of a retry; one that is not
         // idempotent would end as `unknown`.
         if self.kind.idempotent {
-            Link::Any
+            ConnectionPolicy::Any
         } else {
-            Link::Trusted
+            ConnectionPolicy::Trusted
         }
     }
 
-    fn can_replay(&self) -> bool {
-        self.kind.body == RequestBody::Kept || !self.consumed
+    fn can_resend_body(&self) -> bool {
+        self.kind.body == RequestBody::Buffered || !self.is_body_consumed
     }
 
-    fn body_begun(&mut self) -> Step {
-        self.consumed = true;
+    fn body_started(&mut self) -> Step {
+        self.is_body_consumed = true;
         Step::Wait
     }
 
-    fn send(&mut self, after: Duration, link: Link, reroute: bool, now: Time) -> Step {
-        self.begun += 1;
-        let no = Try(self.begun);
-        self.open.push(no);
-        let limit = self.kind.deadline - (now + after);
-        Step::Send(Send {
+    fn send(
+        &mut self,
+        delay: Duration,
+        connection: ConnectionPolicy,
+        reroute: bool,
+        now: Time,
+    ) -> Step {
+        self.attempts += 1;
+        let no = AttemptNo(self.attempts);
+        self.open_attempts.push(no);
+        let timeout = self.kind.deadline - (now + delay);
+        Step::Send(SendAttempt {
             no,
-            after,
-            limit,
-            link,
+            delay,
+            timeout,
+            connection,
             reroute,
         })
     }
 
     /// The last try was not begun, so that it leaves no doubt; others stay open.
-    fn denied(&mut self, reason: Reason, wait: Duration) -> Step {
-        self.open.pop();
-        if self.open.is_empty() {
+    fn denied(&mut self, reason: FailureReason, wait: Duration) -> Step {
+        self.open_attempts.pop();
+        if self.open_attempts.is_empty() {
             return self.give_up(reason, Some(wait));
         }
         Step::Wait
     }
 
-    fn hedge(&mut self, now: Time, retries: &mut Retries) -> Step {
-        let one = self.open.len() == 1 && self.answered.is_none();
-        let time = self.kind.deadline - now >= TRY_LEAST;
-        if one && time && self.can_hedge() && retries.budget.take() {
-            return self.send(Duration::ZERO, Link::New, false, now);
+    fn hedge(&mut self, now: Time, policy: &mut RetryPolicy) -> Step {
+        let is_single = self.open_attempts.len() == 1 && self.answered.is_none();
+        let has_time = self.kind.deadline - now >= ATTEMPT_TIME_MIN;
+        if is_single && has_time && self.can_hedge() && policy.budget.take() {
+            return self.send(Duration::ZERO, ConnectionPolicy::New, false, now);
         }
         Step::Wait
     }
 
-    fn answer(&mut self, no: Try) -> Step {
-        if self.answered.is_some() || !self.open.contains(&no) {
+    fn answer(&mut self, no: AttemptNo) -> Step {
+        if self.answered.is_some() || !self.open_attempts.contains(&no) {
             return Step::Wait;
         }
         self.answered = Some(no);
         Step::Forward(no)
     }
 
-    fn after_head(&mut self, no: Try, step: Step) -> Step {
+    fn after_head(&mut self, no: AttemptNo, step: Step) -> Step {
         if self.answered != Some(no) {
             return Step::Wait;
         }
         self.end(step)
     }
 
-    fn failed(&mut self, failure: Failure, now: Time, retries: &mut Retries) -> Step {
-        let before = self.open.len();
-        self.open.retain(|no| *no != failure.no);
-        if self.open.len() == before || self.answered.is_some() {
+    fn failed(&mut self, failure: Failure, now: Time, policy: &mut RetryPolicy) -> Step {
+        let before = self.open_attempts.len();
+        self.open_attempts.retain(|no| *no != failure.no);
+        if self.open_attempts.len() == before || self.answered.is_some() {
             return Step::Wait;
         }
-        self.doubt |= !failure.clean;
-        if !self.open.is_empty() {
+        self.may_have_run |= !failure.is_unsent;
+        if !self.open_attempts.is_empty() {
             return Step::Wait;
         }
         if !self.may_retry(&failure) {
             return self.give_up(failure.reason, failure.wait);
         }
         let wait = failure.wait.unwrap_or_default();
-        let after = retries.backoff.wait(self.begun).max(wait);
-        let late = now + after + TRY_LEAST > self.kind.deadline;
+        let delay = policy.backoff.delay(self.attempts).max(wait);
+        let is_late = now + delay + ATTEMPT_TIME_MIN > self.kind.deadline;
         // A refused route puts no load on the server; the others draw on the budget.
-        if late || !(failure.reroute || retries.budget.take()) {
+        if is_late || !(failure.reroute || policy.budget.take()) {
             return self.give_up(failure.reason, failure.wait);
         }
-        self.send(after, Link::New, failure.reroute, now)
+        self.send(delay, ConnectionPolicy::New, failure.reroute, now)
     }
 
     /// The rule that keeps a request that is not idempotent from running twice.
     fn may_retry(&self, failure: &Failure) -> bool {
-        let safe = self.kind.idempotent || failure.clean;
-        safe && self.can_replay() && self.begun < TRIES_MAX
+        let is_safe = self.kind.idempotent || failure.is_unsent;
+        is_safe && self.can_resend_body() && self.attempts < ATTEMPTS_MAX
     }
 
-    fn give_up(&mut self, reason: Reason, wait: Option<Duration>) -> Step {
-        let wait = wait.unwrap_or(RECONNECT);
-        let verdict = if self.doubt {
-            Verdict::unknown(reason, self.kind.idempotent, wait)
+    fn give_up(&mut self, reason: FailureReason, wait: Option<Duration>) -> Step {
+        let wait = wait.unwrap_or(RECONNECT_DELAY);
+        let response = if self.may_have_run {
+            LocalResponse::unknown(reason, self.kind.idempotent, wait)
         } else {
-            Verdict::not_run(reason, wait)
+            LocalResponse::not_run(reason, wait)
         };
-        self.end(Step::Answer(verdict))
+        self.end(Step::Answer(response))
     }
 
     fn end(&mut self, step: Step) -> Step {
-        self.ended = true;
-        self.open.clear();
+        self.is_ended = true;
+        self.open_attempts.clear();
         step
     }
 }
 
-fn lost(no: Try, point: Point) -> Failure {
-    let unreachable = point == Point::Unconnected;
-    let reason = if unreachable {
-        Reason::Unreachable
+fn lost(no: AttemptNo, stage: ExchangeStage) -> Failure {
+    let is_unreachable = stage == ExchangeStage::Unconnected;
+    let reason = if is_unreachable {
+        FailureReason::Unreachable
     } else {
-        Reason::Lost
+        FailureReason::ConnectionLost
     };
     Failure {
         no,
         reason,
-        clean: point.is_clean(),
+        is_unsent: stage.is_unsent(),
         wait: None,
         reroute: false,
     }
 }
 
-fn timed_out(no: Try, point: Point) -> Failure {
+fn timed_out(no: AttemptNo, stage: ExchangeStage) -> Failure {
     Failure {
-        reason: Reason::TimedOut,
-        ..lost(no, point)
+        reason: FailureReason::TimedOut,
+        ..lost(no, stage)
     }
 }
 
-fn refused(no: Try, wait: Option<Duration>) -> Failure {
+fn refused(no: AttemptNo, wait: Option<Duration>) -> Failure {
     Failure {
         no,
-        reason: Reason::Refused,
-        clean: true,
+        reason: FailureReason::Refused,
+        is_unsent: true,
         wait,
         reroute: false,
     }
 }
 
-fn unrouted(no: Try, reason: Reason) -> Failure {
+fn unrouted(no: AttemptNo, reason: FailureReason) -> Failure {
     Failure {
         no,
         reason,
-        clean: true,
+        is_unsent: true,
         wait: None,
         reroute: true,
     }
--- a/crates/core/src/routing/backoff.rs
+++ b/crates/core/src/routing/backoff.rs
@@ -7,9 +7,9 @@
 };
 
 /// The shortest wait before the first retry.
-const BASE: Duration = Duration::from_millis(10);
+const DELAY_MIN: Duration = Duration::from_millis(10);
 /// The longest wait before any retry.
-const MAX: Duration = Duration::from_secs(1);
+const DELAY_MAX: Duration = Duration::from_secs(1);
 
 /// Exponential backoff with full jitter above a base, from a seed.
 ///
@@ -19,27 +19,27 @@
 /// ```
 /// use {citron_core::routing::Backoff, std::time::Duration};
 /// let (mut one, mut two) = (Backoff::new(7), Backoff::new(7));
-/// assert_eq!(one.wait(1), two.wait(1));
-/// assert!(one.wait(1) >= Duration::from_millis(10));
-/// assert!(one.wait(60) <= Duration::from_secs(1));
+/// assert_eq!(one.delay(1), two.delay(1));
+/// assert!(one.delay(1) >= Duration::from_millis(10));
+/// assert!(one.delay(60) <= Duration::from_secs(1));
 /// ```
 #[derive(Debug)]
 pub struct Backoff {
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl Backoff {
     /// Seeds the jitter.
     pub fn new(seed: u64) -> Self {
         Self {
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// The wait after so many failed tries, from 1.
-    pub fn wait(&mut self, failed: u32) -> Duration {
-        let doubled = BASE.saturating_mul(1 << failed.min(10));
-        let top = doubled.min(MAX);
-        self.random.random_range(BASE..=top)
+    pub fn delay(&mut self, failed_attempts: u32) -> Duration {
+        let ceiling = DELAY_MIN.saturating_mul(1 << failed_attempts.min(10));
+        let max = ceiling.min(DELAY_MAX);
+        self.rng.random_range(DELAY_MIN..=max)
     }
 }
--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -56,7 +56,7 @@
     /// A bucket of a process that has just started, with one retry in it. The process
     /// before may have spent a full one a moment ago, and when all processes start at
     /// once a full one for each would double what they may add together.
-    pub fn of_start(config: BudgetConfig) -> Self {
+    pub fn with_one_token(config: BudgetConfig) -> Self {
         Self {
             tokens: config.burst.min(1.0),
             config,
--- a/crates/core/src/routing/event.rs
+++ b/crates/core/src/routing/event.rs
@@ -1,13 +1,13 @@
 //! What an attempt is told, and what it asks for.
 
 use {
-    super::{Point, Reason, Verdict},
+    super::{ExchangeStage, FailureReason, LocalResponse},
     std::time::Duration,
 };
 
 /// One of the exchanges that a request caused; 1 is the first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Try(pub u32);
+pub struct AttemptNo(pub u32);
 
 /// What happened to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,33 +19,33 @@
     /// ends by [`Self::TimedOut`] instead.
     Denied {
         /// Why.
-        reason: Reason,
+        reason: FailureReason,
         /// The expected wait: when it may come back.
         wait: Duration,
     },
     /// The first piece of a streamed body was taken from the caller.
-    BodyBegun,
+    BodyStarted,
     /// The connection failed, or none could be made.
-    Lost(Try, Point),
+    Lost(AttemptNo, ExchangeStage),
     /// A try used up its time or made no progress; its connection is closed.
-    TimedOut(Try, Point),
+    TimedOut(AttemptNo, ExchangeStage),
     /// The server promised that it did not run the request and never will.
     Refused {
         /// Which exchange.
-        no: Try,
+        no: AttemptNo,
         /// Its `Retry-After`, if it gave one.
         wait: Option<Duration>,
     },
     /// The server refused the epoch, with the same promise.
-    Fenced(Try),
+    Fenced(AttemptNo),
     /// The leave to route had run out right before the write; nothing was written.
-    Withheld(Try),
+    Unconfirmed(AttemptNo),
     /// The head of a whole-looking answer was read.
-    Answered(Try),
+    Answered(AttemptNo),
     /// The answer broke off after its head.
-    Cut(Try),
+    Truncated(AttemptNo),
     /// The answer was read whole.
-    Completed(Try),
+    Completed(AttemptNo),
     /// The time of the hedge has come.
     HedgeDue,
     /// The caller's connection is gone.
@@ -54,7 +54,7 @@
 
 /// Which connections a try may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Link {
+pub enum ConnectionPolicy {
     /// A kept one or a new one.
     Any,
     /// A kept one only if it is neither suspect nor long idle; else a new one.
@@ -65,18 +65,18 @@
 
 /// An exchange to begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Send {
+pub struct SendAttempt {
     /// Its number; later events name it.
-    pub no: Try,
+    pub no: AttemptNo,
     /// How long to wait before. The route is looked up after the wait, under
     /// the snapshot of then.
-    pub after: Duration,
+    pub delay: Duration,
     /// Time for the exchange, from its begin.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Which connections it may use.
-    pub link: Link,
+    pub connection: ConnectionPolicy,
     /// Whether the route of the last try was refused: wait for a newer snapshot
-    /// for up to `limit` if the route is still the same.
+    /// for up to `timeout` if the route is still the same.
     pub reroute: bool,
 }
 
@@ -84,14 +84,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Begin an exchange; others that are open stay so.
-    Send(Send),
+    Send(SendAttempt),
     /// Nothing: another exchange is open, or the event came too late.
     Wait,
     /// Pass this answer on with outcome `ran`; close the connection of every
     /// other exchange.
-    Forward(Try),
+    Forward(AttemptNo),
     /// Answer the caller at once; close the connections of all open exchanges.
-    Answer(Verdict),
+    Answer(LocalResponse),
     /// The answer's head is out: break the caller's connection, so that the
     /// answer is never taken for whole.
     Abort,
--- a/crates/core/src/routing/local_response.rs
+++ b/crates/core/src/routing/local_response.rs
@@ -6,11 +6,11 @@
 };
 
 /// The longest time that a caller is told to stay away.
-const RETRY_MAX: Duration = Duration::from_secs(60);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
 /// Why a request gets an answer of ours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum FailureReason {
     /// Nobody owns the key now, or its shard is moving.
     NoOwner,
     /// The instance's leave to route ran out before the write.
@@ -20,9 +20,9 @@
     /// The server gave no answers lately and is probed from time to time.
     Ejected,
     /// The operator has as many requests in progress as the instance allows.
-    Crowded,
+    OperatorLimit,
     /// The server's cap of requests a second is used up.
-    Capped,
+    RateLimited,
     /// Requests like this one crashed servers.
     Quarantined,
     /// The server refused it and promised not to run it.
@@ -30,7 +30,7 @@
     /// No connection could be made.
     Unreachable,
     /// The connection was lost.
-    Lost,
+    ConnectionLost,
     /// The time was used up.
     TimedOut,
     /// The instance is leaving.
@@ -39,19 +39,19 @@
     CallerLeft,
 }
 
-impl Reason {
+impl FailureReason {
     /// All reasons.
     pub const ALL: [Self; 13] = [
         Self::NoOwner,
         Self::Unconfirmed,
         Self::Overloaded,
         Self::Ejected,
-        Self::Crowded,
-        Self::Capped,
+        Self::OperatorLimit,
+        Self::RateLimited,
         Self::Quarantined,
         Self::Refused,
         Self::Unreachable,
-        Self::Lost,
+        Self::ConnectionLost,
         Self::TimedOut,
         Self::Leaving,
         Self::CallerLeft,
@@ -61,29 +61,29 @@
     pub fn status(self) -> u16 {
         match self {
             Self::NoOwner | Self::Unconfirmed | Self::Overloaded => 503,
-            Self::Capped => 429,
+            Self::RateLimited => 429,
             Self::Quarantined => 422,
-            Self::Ejected | Self::Crowded | Self::Refused | Self::Leaving => 503,
-            Self::Unreachable | Self::Lost => 502,
+            Self::Ejected | Self::OperatorLimit | Self::Refused | Self::Leaving => 503,
+            Self::Unreachable | Self::ConnectionLost => 502,
             Self::TimedOut => 504,
             Self::CallerLeft => 499,
         }
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
             Self::NoOwner => "the key has no owner now",
             Self::Unconfirmed => "the owner of the key is not certain now",
             Self::Overloaded => "the wait for the backend server is too long",
             Self::Ejected => "the backend server does not answer now",
-            Self::Crowded => "the operator has too many requests in progress here",
-            Self::Capped => "the backend server's cap is used up",
+            Self::OperatorLimit => "the operator has too many requests in progress here",
+            Self::RateLimited => "the backend server's cap is used up",
             Self::Quarantined => "requests like this one crashed backend servers",
             Self::Refused => "the backend server refused the request",
             Self::Unreachable => "the backend server cannot be reached",
-            Self::Lost => "the connection to the backend server was lost",
+            Self::ConnectionLost => "the connection to the backend server was lost",
             Self::TimedOut => "the time for the request is used up",
             Self::Leaving => "the instance is leaving",
             Self::CallerLeft => "the caller left",
@@ -93,50 +93,50 @@
 
 /// An answer of ours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Verdict {
+pub struct LocalResponse {
     /// Why.
-    pub reason: Reason,
+    pub reason: FailureReason,
     /// The HTTP status.
     pub status: u16,
     /// What became of the request.
     pub outcome: Outcome,
     /// `Retry-After` in whole seconds, if coming back makes sense.
-    pub retry: Option<u32>,
+    pub retry_after: Option<u32>,
 }
 
-impl Verdict {
+impl LocalResponse {
     /// The answer for a request that no server runs; it may come back after `wait`.
     ///
     /// ```
-    /// use {citron_core::routing::{Outcome, Reason, Verdict}, std::time::Duration};
-    /// let verdict = Verdict::not_run(Reason::Overloaded, Duration::from_millis(1_200));
-    /// assert_eq!((verdict.status, verdict.retry), (503, Some(2)));
-    /// assert_eq!(verdict.outcome, Outcome::NotRun);
+    /// use {citron_core::routing::{Outcome, FailureReason, LocalResponse}, std::time::Duration};
+    /// let response = LocalResponse::not_run(FailureReason::Overloaded, Duration::from_millis(1_200));
+    /// assert_eq!((response.status, response.retry_after), (503, Some(2)));
+    /// assert_eq!(response.outcome, Outcome::NotRun);
     /// ```
-    pub fn not_run(reason: Reason, wait: Duration) -> Self {
+    pub fn not_run(reason: FailureReason, wait: Duration) -> Self {
         Self {
             reason,
             status: reason.status(),
             outcome: Outcome::NotRun,
-            retry: Some(whole_seconds(wait)),
+            retry_after: Some(whole_seconds(wait)),
         }
     }
 
     /// The answer for a request that may have run. The caller of one that is not
     /// idempotent is not invited back: a resend could run it twice.
-    pub fn unknown(reason: Reason, idempotent: bool, wait: Duration) -> Self {
+    pub fn unknown(reason: FailureReason, idempotent: bool, wait: Duration) -> Self {
         Self {
             reason,
             status: reason.status(),
             outcome: Outcome::Unknown,
-            retry: idempotent.then(|| whole_seconds(wait)),
+            retry_after: idempotent.then(|| whole_seconds(wait)),
         }
     }
 }
 
 /// Rounded up, so that nobody is back too early; at least a second.
 fn whole_seconds(wait: Duration) -> u32 {
-    let capped = wait.min(RETRY_MAX);
-    let up = u32::from(capped.subsec_nanos() > 0);
-    (capped.as_secs() as u32 + up).max(1)
+    let capped = wait.min(RETRY_AFTER_MAX);
+    let rounding = u32::from(capped.subsec_nanos() > 0);
+    (capped.as_secs() as u32 + rounding).max(1)
 }
--- a/crates/core/src/routing/map.rs
+++ b/crates/core/src/routing/map.rs
@@ -24,22 +24,22 @@
     /// What the epoch belongs to: the key's shard, or the key itself.
     pub scope: Scope,
     /// Whether requests may be sent now; if not, the shard is moving.
-    pub open: bool,
+    pub is_open: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Slot {
+struct OwnerEntry {
     server: ServerIndex,
     epoch: Epoch,
-    open: bool,
+    is_open: bool,
 }
 
-impl Slot {
+impl OwnerEntry {
     fn new(server: ServerIndex, assignment: &Assignment) -> Self {
         Self {
             server,
             epoch: assignment.epoch,
-            open: assignment.is_routable(),
+            is_open: assignment.is_routable(),
         }
     }
 }
@@ -51,24 +51,24 @@
 pub struct ServiceRoutes {
     /// The service's rules.
     pub row: ServiceRow,
-    slots: Vec<Option<Slot>>,
-    overrides: FxHashMap<KeyHash, Slot>,
+    entries: Vec<Option<OwnerEntry>>,
+    overrides: FxHashMap<KeyHash, OwnerEntry>,
 }
 
 impl ServiceRoutes {
     /// The owner of a key; `None` while nobody owns it.
     pub fn route(&self, key: KeyHash) -> Option<Route> {
         let shard = self.row.shards.shard_of(key);
-        let single = self.overrides.get(&key);
-        let (scope, slot) = match single {
-            Some(slot) => (Scope::Key(key), *slot),
-            None => (Scope::Shard(shard), self.slot(shard)?),
+        let key_override = self.overrides.get(&key);
+        let (scope, entry) = match key_override {
+            Some(entry) => (Scope::Key(key), *entry),
+            None => (Scope::Shard(shard), self.entry(shard)?),
         };
         Some(Route {
-            server: slot.server,
-            epoch: slot.epoch,
+            server: entry.server,
+            epoch: entry.epoch,
             scope,
-            open: slot.open,
+            is_open: entry.is_open,
         })
     }
 
@@ -76,23 +76,23 @@
     pub fn shards(&self) -> impl Iterator<Item = Option<Route>> {
         let shards = (0..self.row.shards.shards()).map(ShardId);
         shards.map(|shard| {
-            let slot = self.slot(shard)?;
+            let entry = self.entry(shard)?;
             Some(Route {
-                server: slot.server,
-                epoch: slot.epoch,
+                server: entry.server,
+                epoch: entry.epoch,
                 scope: Scope::Shard(shard),
-                open: slot.open,
+                is_open: entry.is_open,
             })
         })
     }
 
-    fn slot(&self, shard: ShardId) -> Option<Slot> {
-        self.slots.get(shard.0 as usize).copied().flatten()
+    fn entry(&self, shard: ShardId) -> Option<OwnerEntry> {
+        self.entries.get(shard.0 as usize).copied().flatten()
     }
 
     fn new(row: ServiceRow) -> Self {
         Self {
-            slots: vec![None; row.shards.shards() as usize],
+            entries: vec![None; row.shards.shards() as usize],
             overrides: FxHashMap::default(),
             row,
         }
@@ -102,21 +102,21 @@
         let first = block.block.first_shard().0 as usize;
         // Neighbours mostly have one owner, whose look-up then serves all.
         let mut last: Option<(&ServerName, Option<ServerIndex>)> = None;
-        for (slot, shard) in self.slots.iter_mut().skip(first).zip(&block.shards) {
+        for (entry, shard) in self.entries.iter_mut().skip(first).zip(&block.shards) {
             let server = match last {
                 Some((owner, server)) if *owner == shard.owner => server,
                 _ => index.get(&shard.owner).copied(),
             };
             last = Some((&shard.owner, server));
-            *slot = server.map(|server| Slot::new(server, shard));
+            *entry = server.map(|server| OwnerEntry::new(server, shard));
         }
     }
 
     fn clear_block(&mut self, block: BlockId) {
         let first = block.first_shard().0 as usize;
-        let slots = self.slots.iter_mut().skip(first);
-        for slot in slots.take(BLOCK_SHARDS as usize) {
-            *slot = None;
+        let entries = self.entries.iter_mut().skip(first);
+        for entry in entries.take(BLOCK_SHARDS as usize) {
+            *entry = None;
         }
     }
 
@@ -126,7 +126,9 @@
             return;
         };
         match index.get(&row.owner.owner) {
-            Some(server) => self.overrides.insert(key, Slot::new(*server, &row.owner)),
+            Some(server) => self
+                .overrides
+                .insert(key, OwnerEntry::new(*server, &row.owner)),
             None => self.overrides.remove(&key),
         };
     }
@@ -153,9 +155,9 @@
     ///
     /// What did not change is shared with this map: a move of one shard costs a
     /// copy of its service's slots, not a look at every assignment.
-    pub fn next(&self, table: &Table, changed: &[RowKey]) -> Self {
-        let patchable = changed.iter().all(|key| self.is_patchable(table, key));
-        if !patchable {
+    pub fn with_changes(&self, table: &Table, changed: &[RowKey]) -> Self {
+        let is_patchable = changed.iter().all(|key| self.is_patchable(table, key));
+        if !is_patchable {
             return Self::build(table);
         }
         let mut map = Self {
@@ -222,9 +224,9 @@
     pub fn service(&self, host: &str, path: &str) -> Option<&Arc<ServiceRoutes>> {
         self.services.iter().find(|service| {
             let row = &service.row;
-            let named =
+            let host_matches =
                 row.hosts.is_empty() || row.hosts.iter().any(|h| h.eq_ignore_ascii_case(host));
-            named && has_prefix(path, &row.prefix)
+            host_matches && has_prefix(path, &row.prefix)
         })
     }
 
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -12,14 +12,14 @@
 mod stage;
 
 pub use {
-    attempt::{Attempt, RequestBody, RequestKind, Retries, TRIES_MAX},
+    attempt::{ATTEMPTS_MAX, RequestBody, RequestKind, RetryPolicy, RetryState},
     backoff::Backoff,
     budget::{BudgetConfig, RetryBudget},
-    event::{Event, Link, Send, Step, Try},
+    event::{AttemptNo, ConnectionPolicy, Event, SendAttempt, Step},
     hedge::HedgeDelay,
-    local_response::{Reason, Verdict},
+    local_response::{FailureReason, LocalResponse},
     map::{Route, RouteMap, ServerIndex, ServiceRoutes},
     outcome::Outcome,
     snapshot::Snapshot,
-    stage::Point,
+    stage::ExchangeStage,
 };
--- a/crates/core/src/routing/stage.rs
+++ b/crates/core/src/routing/stage.rs
@@ -7,7 +7,7 @@
 /// Whoever reports a point takes the later one when in doubt: a write that was
 /// handed to the socket and failed may have arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Point {
+pub enum ExchangeStage {
     /// No connection was made.
     Unconnected,
     /// There was a connection, and nothing was handed to it.
@@ -22,7 +22,7 @@
     AnswerPart,
 }
 
-impl Point {
+impl ExchangeStage {
     /// All points in the order of an exchange.
     pub const ALL: [Self; 6] = [
         Self::Unconnected,
@@ -39,16 +39,16 @@
     /// which a part was written counts as one that may run.
     ///
     /// ```
-    /// use citron_core::routing::Point;
-    /// assert!(Point::Connected.is_clean());
-    /// assert!(!Point::HeadPart.is_clean());
+    /// use citron_core::routing::ExchangeStage;
+    /// assert!(ExchangeStage::Connected.is_unsent());
+    /// assert!(!ExchangeStage::HeadPart.is_unsent());
     /// ```
-    pub fn is_clean(self) -> bool {
+    pub fn is_unsent(self) -> bool {
         self <= Self::Connected
     }
 }
 
-impl fmt::Display for Point {
+impl fmt::Display for ExchangeStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
             Self::Unconnected => "before connect",
--- a/crates/core/src/slo/reach.rs
+++ b/crates/core/src/slo/reach.rs
@@ -56,7 +56,7 @@
     let mut shards = Shards::default();
     for route in service.shards() {
         shards.all += 1;
-        match route.filter(|route| route.open) {
+        match route.filter(|route| route.is_open) {
             Some(route) if map.server(route.server).domain == *domain => shards.own += 1,
             Some(_) => shards.other += 1,
             None => {}
--- a/crates/core/src/slowstart/group.rs
+++ b/crates/core/src/slowstart/group.rs
@@ -8,13 +8,13 @@
 
 /// Instances that may send without having a share, as not all have heard of those that
 /// have just joined.
-const STRANGERS: u32 = 2;
+const UNKNOWN_SENDERS: u32 = 2;
 /// Instances that send to a cold server which shares its work with others.
-const POOL_SHARERS: u32 = 2;
+const POOL_SENDERS: u32 = 2;
 
 /// All instances that one instance has ever heard of, by name, with their failure
 /// domains.
-pub type Members = BTreeMap<InstanceId, DomainName>;
+pub type GroupMembers = BTreeMap<InstanceId, DomainName>;
 
 /// Divides the requests that cold servers may get.
 ///
@@ -25,76 +25,76 @@
 /// cut off from the others must not take their shares over.
 ///
 /// ```
-/// use citron_core::slowstart::Group;
+/// use citron_core::slowstart::SlowStartGroup;
 /// let members = [("n-1".parse().unwrap(), "east".parse().unwrap())].into();
-/// let group = Group::new("n-1".parse().unwrap(), members, 1);
+/// let group = SlowStartGroup::new("n-1".parse().unwrap(), members, 1);
 /// let server = "s-1".parse().unwrap();
 /// assert_eq!(group.pool_share(&server, &"east".parse().unwrap(), 14), 4);
 /// ```
 #[derive(Debug)]
-pub struct Group {
-    me: InstanceId,
-    members: Members,
-    number: u64,
+pub struct SlowStartGroup {
+    own_id: InstanceId,
+    members: GroupMembers,
+    generation: u64,
 }
 
-impl Group {
-    /// The group of all members; `number` tells it from those that this instance had
+impl SlowStartGroup {
+    /// The group of all members; `generation` tells it from those that this instance had
     /// before.
-    pub fn new(me: InstanceId, members: Members, number: u64) -> Self {
+    pub fn new(own_id: InstanceId, members: GroupMembers, generation: u64) -> Self {
         Self {
-            me,
+            own_id,
             members,
-            number,
+            generation,
         }
     }
 
     /// Which of an instance's groups it is.
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// Its members, this instance included.
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &GroupMembers {
         &self.members
     }
 
     /// Requests that this instance may send in any second to a cold server, in a
-    /// `domain`, that shares its work with others and takes `most` in all.
-    pub fn pool_share(&self, server: &ServerName, domain: &DomainName, most: u32) -> u32 {
-        let near = |of: &DomainName| of == domain;
-        match self.members.values().any(near) {
-            true => self.share(server, near, POOL_SHARERS, most),
-            false => self.share(server, |_| true, POOL_SHARERS, most),
+    /// `domain`, that shares its work with others and takes `max_requests` in all.
+    pub fn pool_share(&self, server: &ServerName, domain: &DomainName, max_requests: u32) -> u32 {
+        let is_near = |of: &DomainName| of == domain;
+        match self.members.values().any(is_near) {
+            true => self.share(server, is_near, POOL_SENDERS, max_requests),
+            false => self.share(server, |_| true, POOL_SENDERS, max_requests),
         }
     }
 
     /// The same for a cold owner of keys.
-    pub fn owner_share(&self, server: &ServerName, most: u32) -> u32 {
-        let sharers = most.saturating_sub(STRANGERS).max(1);
-        self.share(server, |_| true, sharers, most)
+    pub fn owner_share(&self, server: &ServerName, max_requests: u32) -> u32 {
+        let senders = max_requests.saturating_sub(UNKNOWN_SENDERS).max(1);
+        self.share(server, |_| true, senders, max_requests)
     }
 
     fn share(
         &self,
         server: &ServerName,
-        takes_part: impl Fn(&DomainName) -> bool,
-        sharers: u32,
-        most: u32,
+        is_eligible: impl Fn(&DomainName) -> bool,
+        senders: u32,
+        max_requests: u32,
     ) -> u32 {
-        if !self.members.get(&self.me).is_some_and(&takes_part) {
+        if !self.members.get(&self.own_id).is_some_and(&is_eligible) {
             return 0;
         }
         let members = self.members.iter();
-        let members = members.filter(|(_, domain)| takes_part(domain));
-        let own = score(server, &self.me);
-        let (mut present, mut before) = (0, 0);
+        let members = members.filter(|(_, domain)| is_eligible(domain));
+        let own_score = score(server, &self.own_id);
+        let (mut eligible, mut higher) = (0, 0);
         for (name, _) in members {
-            present += 1;
-            before += u32::from(score(server, name) > own);
+            eligible += 1;
+            higher += u32::from(score(server, name) > own_score);
         }
-        match before < sharers {
-            true => most / (sharers.min(present) + STRANGERS),
+        match higher < senders {
+            true => max_requests / (senders.min(eligible) + UNKNOWN_SENDERS),
             false => 0,
         }
     }
--- a/crates/core/src/slowstart/limit.rs
+++ b/crates/core/src/slowstart/limit.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
     /// How long a server stays cold.
-    pub span: Duration,
+    pub duration: Duration,
     /// Requests a second that it takes meanwhile, over all instances.
     pub rate: Rate,
 }
@@ -26,10 +26,10 @@
     /// ```
     /// use citron_core::{admission::Rate, slowstart::{ColdBound, SlowStart}};
     /// let bound = ColdBound { factor: 1.5, extra: 8.0 };
-    /// let slow = SlowStart { span: std::time::Duration::from_secs(3), rate: Rate(4.0) };
-    /// assert_eq!(bound.most(&slow), 14);
+    /// let slow = SlowStart { duration: std::time::Duration::from_secs(3), rate: Rate(4.0) };
+    /// assert_eq!(bound.max_requests(&slow), 14);
     /// ```
-    pub fn most(&self, slow: &SlowStart) -> u32 {
+    pub fn max_requests(&self, slow: &SlowStart) -> u32 {
         // A float too large for the type saturates.
         (slow.rate.0 * self.factor + self.extra).floor() as u32
     }
--- a/crates/core/src/slowstart/limiter.rs
+++ b/crates/core/src/slowstart/limiter.rs
@@ -1,7 +1,7 @@
 //! Counts what one instance sends to cold servers.
 
 use {
-    super::Group,
+    super::SlowStartGroup,
     crate::{id::ServerName, time::Time},
     std::{
         collections::{BTreeMap, VecDeque},
@@ -16,31 +16,36 @@
 /// Keeps an instance within its share of the requests to cold servers.
 ///
 /// ```
-/// use {citron_core::{slowstart::SlowStartGate, time::Time}, std::time::Duration};
-/// let mut gate = SlowStartGate::default();
+/// use {citron_core::{slowstart::SlowStartLimiter, time::Time}, std::time::Duration};
+/// let mut limiter = SlowStartLimiter::default();
 /// let server = "s-1".parse().unwrap();
 /// let now = Time::ZERO;
-/// assert!(gate.admits(&server, 1, now));
-/// gate.note(&server, now);
-/// assert!(!gate.admits(&server, 1, now + Duration::from_secs(1)));
-/// assert!(gate.admits(&server, 1, now + Duration::from_secs(2)));
+/// assert!(limiter.admits(&server, 1, now));
+/// limiter.record(&server, now);
+/// assert!(!limiter.admits(&server, 1, now + Duration::from_secs(1)));
+/// assert!(limiter.admits(&server, 1, now + Duration::from_secs(2)));
 /// ```
 #[derive(Debug, Default)]
-pub struct SlowStartGate {
+pub struct SlowStartLimiter {
     sent: BTreeMap<ServerName, VecDeque<Time>>,
     /// Shares by the group of this number.
     shares: BTreeMap<ServerName, u32>,
     group: u64,
 }
 
-impl SlowStartGate {
+impl SlowStartLimiter {
     /// This instance's share in a server, worked out anew where the group has changed.
-    pub fn share(&mut self, group: &Group, server: &ServerName, f: impl FnOnce() -> u32) -> u32 {
-        if self.group != group.number() {
-            self.group = group.number();
+    pub fn share(
+        &mut self,
+        group: &SlowStartGroup,
+        server: &ServerName,
+        compute: impl FnOnce() -> u32,
+    ) -> u32 {
+        if self.group != group.generation() {
+            self.group = group.generation();
             self.shares.clear();
         }
-        *self.shares.entry(server.clone()).or_insert_with(f)
+        *self.shares.entry(server.clone()).or_insert_with(compute)
     }
 
     /// Whether a request may go to a cold server of which this instance has a share.
@@ -51,7 +56,7 @@
     }
 
     /// A request goes to a cold server.
-    pub fn note(&mut self, server: &ServerName, now: Time) {
+    pub fn record(&mut self, server: &ServerName, now: Time) {
         self.sent.retain(|_, sent| {
             sent.retain(|at| now - *at < COLD_WINDOW);
             !sent.is_empty()
--- a/crates/core/src/slowstart/mod.rs
+++ b/crates/core/src/slowstart/mod.rs
@@ -9,7 +9,7 @@
 mod limiter;
 
 pub use {
-    group::{Group, Members},
+    group::{GroupMembers, SlowStartGroup},
     limit::{ColdBound, SlowStart},
-    limiter::{COLD_WINDOW, SlowStartGate},
+    limiter::{COLD_WINDOW, SlowStartLimiter},
 };
