--- a/crates/core/tests/admission_chain.rs
+++ b/crates/core/tests/admission_chain.rs
@@ -2,10 +2,13 @@
 
 use {
     citron_core::{
-        admission::{Admission, Ask, Guards, Part, Rate, SlotShare, Ticket, TryEnd, Turn},
+        admission::{
+            Admission, AdmissionChain, AttemptEnd, AttemptRequest, QueueDecision, Rate,
+            ServerQuota, SlotShare, Ticket,
+        },
         crash::Fingerprint,
         id::{Revision, ServerName, ShardBits, Slots, Weight},
-        routing::{Point, Reason, RouteMap},
+        routing::{ExchangeStage, FailureReason, RouteMap},
         table::{
             Changes, Fencing, KeyRule, MoveBudget, Objectives, Row, ServerRow, ServerState,
             ServiceRow, Table,
@@ -16,7 +19,7 @@
 };
 
 const HELD: Duration = Duration::from_millis(20);
-const ANSWERED: TryEnd = TryEnd::Answered { head: HELD };
+const ANSWERED: AttemptEnd = AttemptEnd::Answered { head: HELD };
 
 fn at(millis: u64) -> Time {
     Time::ZERO + Duration::from_millis(millis)
@@ -65,7 +68,7 @@
 }
 
 /// A service of six servers with four slots each, and one instance.
-fn guards() -> Guards {
+fn chain() -> AdmissionChain {
     let servers = (0..6).map(|n| Row::Server(server_row(n)));
     let rows = servers.chain([Row::Service(service_row())]);
     let change = |row: Row| (row.key(), Revision(1), Some(row));
@@ -76,23 +79,23 @@
         rows: rows.map(change).collect(),
     };
     table.apply(changes).unwrap();
-    let mut guards = Guards::new(30);
-    guards.set_map(&RouteMap::build(&table), 1, Time::ZERO);
-    guards
+    let mut chain = AdmissionChain::new(30);
+    chain.set_map(&RouteMap::build(&table), 1, Time::ZERO);
+    chain
 }
 
-fn ask(ticket: u64, server_number: usize, millis: u64) -> Ask {
-    Ask {
+fn attempt(ticket: u64, server_number: usize, millis: u64) -> AttemptRequest {
+    AttemptRequest {
         service: "sets".parse().unwrap(),
         server: server(server_number),
         ticket: Ticket(ticket),
-        print: Fingerprint(ticket),
+        fingerprint: Fingerprint(ticket),
         idempotent: true,
         deadline: at(millis + 1_000),
     }
 }
 
-fn reason(admission: Admission) -> Option<Reason> {
+fn reason(admission: Admission) -> Option<FailureReason> {
     match admission {
         Admission::Shed { reason, .. } => Some(reason),
         _ => None,
@@ -103,17 +106,20 @@
 /// Another request to the same server goes through.
 #[test]
 fn a_request_that_crashes_servers_is_refused() {
-    let mut guards = guards();
+    let mut chain = chain();
     for millis in [0, 1_000, 2_000] {
-        let bad = ask(666, 0, millis);
-        assert_eq!(guards.ask(&bad, at(millis)), Admission::Start);
-        let end = TryEnd::Lost(Point::Written);
-        guards.end(&bad, "GET /sets/666", end, HELD, at(millis));
+        let bad = attempt(666, 0, millis);
+        assert_eq!(chain.admit(&bad, at(millis)), Admission::Start);
+        let end = AttemptEnd::Lost(ExchangeStage::Written);
+        chain.end(&bad, "GET /sets/666", end, HELD, at(millis));
     }
-    let refused = guards.ask(&ask(666, 1, 3_000), at(3_000));
-    assert_eq!(reason(refused), Some(Reason::Quarantined));
-    assert_eq!(guards.ask(&ask(7, 0, 3_000), at(3_000)), Admission::Start);
-    assert_eq!(guards.crashes.entries(at(3_000))[0].label, "GET /sets/666");
+    let refused = chain.admit(&attempt(666, 1, 3_000), at(3_000));
+    assert_eq!(reason(refused), Some(FailureReason::Quarantined));
+    assert_eq!(
+        chain.admit(&attempt(7, 0, 3_000), at(3_000)),
+        Admission::Start
+    );
+    assert_eq!(chain.crashes.entries(at(3_000))[0].label, "GET /sets/666");
 }
 
 /// What ends without a write to a live server is no crash, and what says nothing
@@ -121,24 +127,24 @@
 #[test]
 fn only_what_tells_against_server_or_request_counts() {
     let cases = [
-        (TryEnd::Lost(Point::Unconnected), false, true),
-        (TryEnd::Lost(Point::Connected), false, true),
-        (TryEnd::Lost(Point::HeadPart), true, true),
-        (TryEnd::Lost(Point::AnswerPart), true, true),
-        (TryEnd::TimedOut, false, true),
-        (TryEnd::Refused, false, false),
-        (TryEnd::Other, false, false),
+        (AttemptEnd::Lost(ExchangeStage::Unconnected), false, true),
+        (AttemptEnd::Lost(ExchangeStage::Connected), false, true),
+        (AttemptEnd::Lost(ExchangeStage::HeadPart), true, true),
+        (AttemptEnd::Lost(ExchangeStage::AnswerPart), true, true),
+        (AttemptEnd::TimedOut, false, true),
+        (AttemptEnd::Refused, false, false),
+        (AttemptEnd::Other, false, false),
         (ANSWERED, false, false),
     ];
     for (end, crash, failure) in cases {
-        let mut guards = guards();
+        let mut chain = chain();
         for ticket in 0..5 {
-            let ask = ask(ticket, 0, 0);
-            assert_eq!(guards.ask(&ask, at(0)), Admission::Start);
-            guards.end(&ask, "", end, HELD, at(0));
+            let attempt = attempt(ticket, 0, 0);
+            assert_eq!(chain.admit(&attempt, at(0)), Admission::Start);
+            chain.end(&attempt, "", end, HELD, at(0));
         }
-        assert_eq!(!guards.crashes.entries(at(0)).is_empty(), crash, "{end:?}");
-        assert_eq!(guards.ejected().count() == 1, failure, "{end:?}");
+        assert_eq!(!chain.crashes.entries(at(0)).is_empty(), crash, "{end:?}");
+        assert_eq!(chain.ejected().count() == 1, failure, "{end:?}");
     }
 }
 
@@ -147,46 +153,55 @@
 /// a part of its slots.
 #[test]
 fn an_ejected_server_is_asked_for_by_probes_only() {
-    let mut guards = guards();
+    let mut chain = chain();
     for ticket in 0..5 {
-        guards.ask(&ask(ticket, 0, 0), at(0));
-        guards.end(&ask(ticket, 0, 0), "", TryEnd::TimedOut, HELD, at(0));
+        chain.admit(&attempt(ticket, 0, 0), at(0));
+        chain.end(
+            &attempt(ticket, 0, 0),
+            "",
+            AttemptEnd::TimedOut,
+            HELD,
+            at(0),
+        );
     }
-    let refused = guards.ask(&ask(10, 0, 0), at(0));
+    let refused = chain.admit(&attempt(10, 0, 0), at(0));
     let wait = Duration::from_secs(1);
-    let reason = Reason::Ejected;
+    let reason = FailureReason::Ejected;
     assert_eq!(refused, Admission::Shed { reason, wait });
     for probe in 1..=3 {
         let now = 1_500 * probe;
-        let ask = ask(10 + probe, 0, now);
-        assert_eq!(guards.ask(&ask, at(now)), Admission::Start);
-        guards.end(&ask, "", ANSWERED, HELD, at(now));
+        let attempt = attempt(10 + probe, 0, now);
+        assert_eq!(chain.admit(&attempt, at(now)), Admission::Start);
+        chain.end(&attempt, "", ANSWERED, HELD, at(now));
     }
-    assert_eq!(guards.ejected().count(), 0);
+    assert_eq!(chain.ejected().count(), 0);
     let now = 4_600;
-    let asks = (20..30).map(|ticket| guards.ask(&ask(ticket, 0, now), at(now)));
-    assert_eq!(asks.filter(|a| *a == Admission::Start).count(), 1);
+    let admissions = (20..30).map(|ticket| chain.admit(&attempt(ticket, 0, now), at(now)));
+    assert_eq!(admissions.filter(|a| *a == Admission::Start).count(), 1);
 }
 
 /// A slot is freed and goes to the request that waits; the part and the cap come
 /// from the exchange with other instances.
 #[test]
 fn slots_and_caps_are_those_of_the_part() {
-    let mut guards = guards();
-    let part = Part {
+    let mut chain = chain();
+    let quota = ServerQuota {
         share: SlotShare::new(1.0),
         cap: Some(Rate(2.0)),
     };
-    guards.set_part(&server(0), part, at(0));
-    let [first, second, third] = [1, 2, 3].map(|ticket| ask(ticket, 0, 0));
-    assert_eq!(guards.ask(&first, at(0)), Admission::Start);
-    assert_eq!(guards.ask(&second, at(0)), Admission::Queued);
-    assert_eq!(reason(guards.ask(&third, at(0))), Some(Reason::Capped));
-    assert_eq!(guards.next(&server(0), at(20)), None);
-    guards.end(&first, "", ANSWERED, HELD, at(20));
-    let turn = guards.next(&server(0), at(20));
-    assert_eq!(turn, Some(Turn::Start(Ticket(2))));
-    let demand = guards.demands(at(200))[&server(0)];
+    chain.set_quota(&server(0), quota, at(0));
+    let [first, second, third] = [1, 2, 3].map(|ticket| attempt(ticket, 0, 0));
+    assert_eq!(chain.admit(&first, at(0)), Admission::Start);
+    assert_eq!(chain.admit(&second, at(0)), Admission::Queued);
+    assert_eq!(
+        reason(chain.admit(&third, at(0))),
+        Some(FailureReason::RateLimited)
+    );
+    assert_eq!(chain.next(&server(0), at(20)), None);
+    chain.end(&first, "", ANSWERED, HELD, at(20));
+    let decision = chain.next(&server(0), at(20));
+    assert_eq!(decision, Some(QueueDecision::Start(Ticket(2))));
+    let demand = chain.demands(at(200))[&server(0)];
     assert!(demand.arrivals > demand.answers && demand.answers > Rate(0.0));
 }
 
@@ -194,12 +209,15 @@
 /// find room, and those that are refused are told when to come back.
 #[test]
 fn an_operator_cannot_fill_the_instance() {
-    let mut guards = guards();
+    let mut chain = chain();
     let (shop, depot) = ("shop".parse().unwrap(), "depot".parse().unwrap());
-    while guards.enter(&shop) {}
-    assert!(guards.enter(&depot));
-    assert_eq!(reason(Guards::crowded()), Some(Reason::Crowded));
-    guards.leave(&shop);
-    guards.leave(&depot);
-    assert!(guards.enter(&shop));
+    while chain.begin_request(&shop) {}
+    assert!(chain.begin_request(&depot));
+    assert_eq!(
+        reason(AdmissionChain::operator_limit_shed()),
+        Some(FailureReason::OperatorLimit)
+    );
+    chain.end_request(&shop);
+    chain.end_request(&depot);
+    assert!(chain.begin_request(&shop));
 }
--- a/crates/core/tests/attempt.rs
+++ b/crates/core/tests/attempt.rs
@@ -3,8 +3,9 @@
 use {
     citron_core::{
         routing::{
-            Attempt, BudgetConfig, Event, Link, Outcome, Point, Reason, RequestBody, RequestKind,
-            Retries, Send, Step, TRIES_MAX, Try, Verdict,
+            ATTEMPTS_MAX, AttemptNo, BudgetConfig, ConnectionPolicy, Event, ExchangeStage,
+            FailureReason, LocalResponse, Outcome, RequestBody, RequestKind, RetryPolicy,
+            RetryState, SendAttempt, Step,
         },
         time::Time,
     },
@@ -15,10 +16,10 @@
 
 const SEED: u64 = 7;
 const DEADLINE: Time = Time::from_micros(2_000_000);
-const FIRST: Try = Try(1);
+const FIRST: AttemptNo = AttemptNo(1);
 
-fn retries() -> Retries {
-    Retries::new(BudgetConfig::STANDARD, SEED)
+fn policy() -> RetryPolicy {
+    RetryPolicy::new(BudgetConfig::STANDARD, SEED)
 }
 
 fn kind(idempotent: bool, body: RequestBody) -> RequestKind {
@@ -30,25 +31,27 @@
 }
 
 /// An attempt whose first exchange is open.
-fn sent(kind: RequestKind, retries: &mut Retries) -> Attempt {
-    let mut attempt = Attempt::new(kind, retries);
-    let step = attempt.step(Event::Admitted, Time::ZERO, retries);
-    assert!(matches!(step, Step::Send(Send { no: FIRST, .. })));
-    attempt
+fn sent_request(kind: RequestKind, policy: &mut RetryPolicy) -> RetryState {
+    let mut state = RetryState::new(kind, policy);
+    let step = state.step(Event::Admitted, Time::ZERO, policy);
+    assert!(matches!(step, Step::Send(SendAttempt { no: FIRST, .. })));
+    state
 }
 
-fn told(step: Step) -> String {
+fn describe_step(step: Step) -> String {
     match step {
         Step::Send(send) if send.reroute => "reroute".to_string(),
         Step::Send(_) => "retry".to_string(),
-        Step::Answer(verdict) => told_verdict(verdict),
+        Step::Answer(response) => describe_response(response),
         step => format!("{step:?}"),
     }
 }
 
-fn told_verdict(verdict: Verdict) -> String {
-    let retry = verdict.retry.map_or("-".to_string(), |s| format!("{s}s"));
-    format!("{} {} {retry}", verdict.status, verdict.outcome)
+fn describe_response(response: LocalResponse) -> String {
+    let retry = response
+        .retry_after
+        .map_or("-".to_string(), |s| format!("{s}s"));
+    format!("{} {} {retry}", response.status, response.outcome)
 }
 
 /// The caller sees an answer of ours or a retried request, depending on how far
@@ -57,31 +60,31 @@
 /// that was taken from the caller is never sent again.
 #[test]
 fn every_point_of_the_exchange() {
-    let mut ends: Vec<(String, Event)> = Vec::new();
-    for point in Point::ALL {
-        ends.push((format!("lost: {point}"), Event::Lost(FIRST, point)));
+    let mut endings: Vec<(String, Event)> = Vec::new();
+    for stage in ExchangeStage::ALL {
+        endings.push((format!("lost: {stage}"), Event::Lost(FIRST, stage)));
     }
-    for point in Point::ALL {
-        ends.push((format!("timeout: {point}"), Event::TimedOut(FIRST, point)));
+    for stage in ExchangeStage::ALL {
+        endings.push((format!("timeout: {stage}"), Event::TimedOut(FIRST, stage)));
     }
     let refused = Event::Refused {
         no: FIRST,
         wait: None,
     };
-    ends.push(("refused with promise".to_string(), refused));
-    ends.push(("fence refusal".to_string(), Event::Fenced(FIRST)));
-    ends.push(("leave ran out".to_string(), Event::Withheld(FIRST)));
-    ends.push(("answer head".to_string(), Event::Answered(FIRST)));
-    ends.push(("caller left".to_string(), Event::CallerLeft));
+    endings.push(("refused with promise".to_string(), refused));
+    endings.push(("fence refusal".to_string(), Event::Fenced(FIRST)));
+    endings.push(("leave ran out".to_string(), Event::Unconfirmed(FIRST)));
+    endings.push(("answer head".to_string(), Event::Answered(FIRST)));
+    endings.push(("caller left".to_string(), Event::CallerLeft));
 
     let mut table = format!(
         "{:<27}{:<22}{:<22}{:<22}{}\n",
         "end of the exchange", "idempotent", "idempotent, consumed", "other", "other, consumed"
     );
-    for (name, event) in ends {
+    for (name, event) in endings {
         let mut line = format!("{name:<27}");
         for (idempotent, consumed) in [(true, false), (true, true), (false, false), (false, true)] {
-            let cell = told(end_with(event, idempotent, consumed));
+            let cell = describe_step(end_with(event, idempotent, consumed));
             let _ = write!(line, "{cell:<22}");
         }
         table += line.trim_end();
@@ -91,12 +94,12 @@
 }
 
 fn end_with(event: Event, idempotent: bool, consumed: bool) -> Step {
-    let mut retries = retries();
-    let mut attempt = sent(kind(idempotent, RequestBody::Streamed), &mut retries);
+    let mut policy = policy();
+    let mut state = sent_request(kind(idempotent, RequestBody::Streamed), &mut policy);
     if consumed {
-        attempt.step(Event::BodyBegun, Time::ZERO, &mut retries);
+        state.step(Event::BodyStarted, Time::ZERO, &mut policy);
     }
-    attempt.step(event, Time::ZERO, &mut retries)
+    state.step(event, Time::ZERO, &mut policy)
 }
 
 /// A caller's resend is welcome exactly when it cannot double the request.
@@ -104,13 +107,13 @@
 fn every_reason_has_a_status_and_a_retry_after() {
     let mut table = String::new();
     let wait = Duration::from_millis(2_500);
-    for reason in Reason::ALL {
-        let verdicts = [
-            Verdict::not_run(reason, wait),
-            Verdict::unknown(reason, true, wait),
-            Verdict::unknown(reason, false, wait),
+    for reason in FailureReason::ALL {
+        let responses = [
+            LocalResponse::not_run(reason, wait),
+            LocalResponse::unknown(reason, true, wait),
+            LocalResponse::unknown(reason, false, wait),
         ];
-        let cells: Vec<String> = verdicts.into_iter().map(told_verdict).collect();
+        let cells: Vec<String> = responses.into_iter().map(describe_response).collect();
         let _ = writeln!(table, "{:<55}{}", reason.to_string(), cells.join(" | "));
     }
     assert_snapshot!(table);
@@ -120,12 +123,15 @@
 /// must see its connection break too, not an answer that looks whole.
 #[test]
 fn an_answer_cut_short_breaks_the_callers_connection() {
-    for event in [Event::Cut(FIRST), Event::Lost(FIRST, Point::AnswerPart)] {
-        let mut retries = retries();
-        let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
-        let head = attempt.step(Event::Answered(FIRST), Time::ZERO, &mut retries);
+    for event in [
+        Event::Truncated(FIRST),
+        Event::Lost(FIRST, ExchangeStage::AnswerPart),
+    ] {
+        let mut policy = policy();
+        let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
+        let head = state.step(Event::Answered(FIRST), Time::ZERO, &mut policy);
         assert_eq!(head, Step::Forward(FIRST));
-        let step = attempt.step(event, Time::ZERO, &mut retries);
+        let step = state.step(event, Time::ZERO, &mut policy);
         assert_eq!(step, Step::Abort);
     }
 }
@@ -134,23 +140,23 @@
 /// one must reach nobody.
 #[test]
 fn the_first_answer_wins_and_the_late_one_is_dropped() {
-    let mut retries = retries();
-    let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
-    let step = attempt.step(Event::HedgeDue, Time::ZERO, &mut retries);
+    let mut policy = policy();
+    let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
+    let step = state.step(Event::HedgeDue, Time::ZERO, &mut policy);
     assert!(matches!(
         step,
-        Step::Send(Send {
-            no: Try(2),
-            link: Link::New,
+        Step::Send(SendAttempt {
+            no: AttemptNo(2),
+            connection: ConnectionPolicy::New,
             ..
         })
     ));
-    let second = Event::Answered(Try(2));
-    let step = attempt.step(second, Time::ZERO, &mut retries);
-    assert_eq!(step, Step::Forward(Try(2)));
-    let late = attempt.step(Event::Answered(FIRST), Time::ZERO, &mut retries);
+    let second = Event::Answered(AttemptNo(2));
+    let step = state.step(second, Time::ZERO, &mut policy);
+    assert_eq!(step, Step::Forward(AttemptNo(2)));
+    let late = state.step(Event::Answered(FIRST), Time::ZERO, &mut policy);
     assert_eq!(late, Step::Wait);
-    let done = attempt.step(Event::Completed(Try(2)), Time::ZERO, &mut retries);
+    let done = state.step(Event::Completed(AttemptNo(2)), Time::ZERO, &mut policy);
     assert_eq!(done, Step::Done);
 }
 
@@ -162,12 +168,12 @@
         share: 0.0,
         burst: 0.5,
     };
-    let mut retries = Retries::new(config, SEED);
-    let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
-    let hedge = attempt.step(Event::HedgeDue, Time::ZERO, &mut retries);
+    let mut policy = RetryPolicy::new(config, SEED);
+    let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
+    let hedge = state.step(Event::HedgeDue, Time::ZERO, &mut policy);
     assert_eq!(hedge, Step::Wait);
-    let lost = Event::Lost(FIRST, Point::Written);
-    let step = attempt.step(lost, Time::ZERO, &mut retries);
+    let lost = Event::Lost(FIRST, ExchangeStage::Written);
+    let step = state.step(lost, Time::ZERO, &mut policy);
     assert!(matches!(step, Step::Answer(_)));
 }
 
@@ -175,23 +181,23 @@
 /// before its deadline.
 #[test]
 fn tries_are_counted_even_without_a_budget() {
-    let mut retries = Retries::new(BudgetConfig::UNLIMITED, SEED);
-    let mut attempt = sent(kind(false, RequestBody::Kept), &mut retries);
-    let fenced = |no| Event::Fenced(Try(no));
-    let steps: Vec<Step> = (1..=TRIES_MAX)
-        .map(|no| attempt.step(fenced(no), Time::ZERO, &mut retries))
+    let mut policy = RetryPolicy::new(BudgetConfig::UNLIMITED, SEED);
+    let mut state = sent_request(kind(false, RequestBody::Buffered), &mut policy);
+    let fenced = |no| Event::Fenced(AttemptNo(no));
+    let steps: Vec<Step> = (1..=ATTEMPTS_MAX)
+        .map(|no| state.step(fenced(no), Time::ZERO, &mut policy))
         .collect();
     let sends = steps.iter().filter(|step| matches!(step, Step::Send(_)));
-    assert_eq!(sends.count(), TRIES_MAX as usize - 1);
+    assert_eq!(sends.count(), ATTEMPTS_MAX as usize - 1);
     assert!(matches!(steps.last(), Some(Step::Answer(_))));
 }
 
 /// A hedge of a purchase would buy twice.
 #[test]
 fn requests_that_are_not_idempotent_are_never_hedged() {
-    let mut retries = retries();
-    let mut attempt = sent(kind(false, RequestBody::Kept), &mut retries);
-    let step = attempt.step(Event::HedgeDue, Time::ZERO, &mut retries);
+    let mut policy = policy();
+    let mut state = sent_request(kind(false, RequestBody::Buffered), &mut policy);
+    let step = state.step(Event::HedgeDue, Time::ZERO, &mut policy);
     assert_eq!(step, Step::Wait);
 }
 
@@ -199,25 +205,25 @@
 /// refused with a promise. The promise covers the second try only.
 #[test]
 fn a_promise_does_not_cover_an_earlier_try() {
-    let mut retries = Retries::new(
+    let mut policy = RetryPolicy::new(
         BudgetConfig {
             share: 0.0,
             burst: 1.0,
         },
         SEED,
     );
-    let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
-    let lost = Event::Lost(FIRST, Point::Written);
-    let step = attempt.step(lost, Time::ZERO, &mut retries);
+    let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
+    let lost = Event::Lost(FIRST, ExchangeStage::Written);
+    let step = state.step(lost, Time::ZERO, &mut policy);
     assert!(matches!(step, Step::Send(_)));
     let refused = Event::Refused {
-        no: Try(2),
+        no: AttemptNo(2),
         wait: None,
     };
-    let Step::Answer(verdict) = attempt.step(refused, Time::ZERO, &mut retries) else {
+    let Step::Answer(response) = state.step(refused, Time::ZERO, &mut policy) else {
         panic!("the budget is used up");
     };
-    assert_eq!(verdict.outcome, Outcome::Unknown);
+    assert_eq!(response.outcome, Outcome::Unknown);
 }
 
 /// A request waits to be sent again when the instance learns that requests like
@@ -225,36 +231,36 @@
 #[test]
 fn a_retry_that_is_refused_adds_no_doubt() {
     let cases = [
-        (Point::Unconnected, Outcome::NotRun),
-        (Point::Written, Outcome::Unknown),
+        (ExchangeStage::Unconnected, Outcome::NotRun),
+        (ExchangeStage::Written, Outcome::Unknown),
     ];
-    for (point, outcome) in cases {
-        let mut retries = retries();
-        let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
-        attempt.step(Event::Lost(FIRST, point), Time::ZERO, &mut retries);
+    for (stage, outcome) in cases {
+        let mut policy = policy();
+        let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
+        state.step(Event::Lost(FIRST, stage), Time::ZERO, &mut policy);
         let denied = Event::Denied {
-            reason: Reason::Quarantined,
+            reason: FailureReason::Quarantined,
             wait: Duration::from_secs(60),
         };
-        let Step::Answer(verdict) = attempt.step(denied, Time::ZERO, &mut retries) else {
+        let Step::Answer(response) = state.step(denied, Time::ZERO, &mut policy) else {
             panic!("nothing is open");
         };
-        assert_eq!((verdict.status, verdict.outcome), (422, outcome));
+        assert_eq!((response.status, response.outcome), (422, outcome));
     }
 }
 
 /// A hedge finds no free slot. The first exchange goes on.
 #[test]
 fn a_hedge_that_is_refused_ends_nothing() {
-    let mut retries = retries();
-    let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
-    attempt.step(Event::HedgeDue, Time::ZERO, &mut retries);
+    let mut policy = policy();
+    let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
+    state.step(Event::HedgeDue, Time::ZERO, &mut policy);
     let denied = Event::Denied {
-        reason: Reason::Overloaded,
+        reason: FailureReason::Overloaded,
         wait: Duration::ZERO,
     };
-    assert_eq!(attempt.step(denied, Time::ZERO, &mut retries), Step::Wait);
-    let step = attempt.step(Event::Answered(FIRST), Time::ZERO, &mut retries);
+    assert_eq!(state.step(denied, Time::ZERO, &mut policy), Step::Wait);
+    let step = state.step(Event::Answered(FIRST), Time::ZERO, &mut policy);
     assert_eq!(step, Step::Forward(FIRST));
 }
 
@@ -262,28 +268,28 @@
 /// the deadline.
 #[test]
 fn a_retry_that_would_come_too_late_is_answered_now() {
-    let mut retries = retries();
-    let mut attempt = sent(kind(true, RequestBody::Kept), &mut retries);
+    let mut policy = policy();
+    let mut state = sent_request(kind(true, RequestBody::Buffered), &mut policy);
     let late = Time::from_micros(DEADLINE.as_micros() - 1_000);
-    let event = Event::Lost(FIRST, Point::Written);
-    let step = attempt.step(event, late, &mut retries);
+    let event = Event::Lost(FIRST, ExchangeStage::Written);
+    let step = state.step(event, late, &mut policy);
     assert!(matches!(step, Step::Answer(_)));
 }
 
 fn any_event() -> impl Strategy<Value = Event> {
-    let no = (1..=TRIES_MAX).prop_map(Try);
-    let point = (0..Point::ALL.len()).prop_map(|i| Point::ALL[i]);
-    (0..11u8, no, point).prop_map(|(which, no, point)| match which {
-        0 => Event::Lost(no, point),
-        1 => Event::TimedOut(no, point),
+    let no = (1..=ATTEMPTS_MAX).prop_map(AttemptNo);
+    let stage = (0..ExchangeStage::ALL.len()).prop_map(|i| ExchangeStage::ALL[i]);
+    (0..11u8, no, stage).prop_map(|(which, no, stage)| match which {
+        0 => Event::Lost(no, stage),
+        1 => Event::TimedOut(no, stage),
         2 => Event::Refused { no, wait: None },
         3 => Event::Fenced(no),
-        4 => Event::Withheld(no),
+        4 => Event::Unconfirmed(no),
         5 => Event::Answered(no),
-        6 => Event::Cut(no),
+        6 => Event::Truncated(no),
         7 => Event::Completed(no),
         8 => Event::HedgeDue,
-        9 => Event::BodyBegun,
+        9 => Event::BodyStarted,
         _ => Event::CallerLeft,
     })
 }
@@ -297,31 +303,31 @@
         events in proptest::collection::vec(any_event(), 1..24),
         idempotent: bool,
     ) {
-        let mut retries = Retries::new(BudgetConfig::UNLIMITED, SEED);
-        let mut attempt = sent(kind(idempotent, RequestBody::Streamed), &mut retries);
-        let (mut last, mut doubt, mut over) = (FIRST, false, false);
+        let mut policy = RetryPolicy::new(BudgetConfig::UNLIMITED, SEED);
+        let mut state = sent_request(kind(idempotent, RequestBody::Streamed), &mut policy);
+        let (mut last, mut may_have_run, mut is_over) = (FIRST, false, false);
         let mut forwarded = 0;
-        let mut settled = std::collections::BTreeSet::new();
+        let mut ended_attempts = std::collections::BTreeSet::new();
         for event in events {
-            if let Event::Lost(no, point) | Event::TimedOut(no, point) = event {
-                doubt |= no <= last && !settled.contains(&no) && !point.is_clean();
+            if let Event::Lost(no, stage) | Event::TimedOut(no, stage) = event {
+                may_have_run |= no <= last && !ended_attempts.contains(&no) && !stage.is_unsent();
             }
             if let Event::Lost(no, _) | Event::TimedOut(no, _) | Event::Refused { no, .. }
-                | Event::Fenced(no) | Event::Withheld(no) = event
-                && no <= last { settled.insert(no); }
-            let step = attempt.step(event, Time::ZERO, &mut retries);
-            prop_assert!(!over || step == Step::Wait);
+                | Event::Fenced(no) | Event::Unconfirmed(no) = event
+                && no <= last { ended_attempts.insert(no); }
+            let step = state.step(event, Time::ZERO, &mut policy);
+            prop_assert!(!is_over || step == Step::Wait);
             match step {
                 Step::Send(send) => {
-                    prop_assert!(idempotent || !doubt);
-                    prop_assert_eq!(send.no, Try(last.0 + 1));
+                    prop_assert!(idempotent || !may_have_run);
+                    prop_assert_eq!(send.no, AttemptNo(last.0 + 1));
                     last = send.no;
                 }
-                Step::Answer(verdict) => {
-                    prop_assert!(!doubt || verdict.outcome == Outcome::Unknown);
-                    over = true;
+                Step::Answer(response) => {
+                    prop_assert!(!may_have_run || response.outcome == Outcome::Unknown);
+                    is_over = true;
                 }
-                Step::Abort | Step::Done | Step::Drop => over = true,
+                Step::Abort | Step::Done | Step::Drop => is_over = true,
                 Step::Forward(_) => forwarded += 1,
                 Step::Wait => {}
             }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -3,8 +3,8 @@
 use {
     citron_core::{
         dispatch::{
-            Candidate, Decision, Finish, IdleTrust, LoadBook, PeerLoad, RejectReason, TimeLimits,
-            choose, run_share,
+            AttemptOutcome, Candidate, Decision, IdleLimit, LoadTracker, PeerLoad, RejectReason,
+            TimeLimits, run_share, select_server,
         },
         id::{ServerName, Slots},
         registry::{AddressClaim, ServerEntry, ServerRecord, ServerState},
@@ -42,30 +42,30 @@
     }
 }
 
-fn pick(book: &LoadBook, servers: &[ServerRecord], limits: TimeLimits) -> Decision {
+fn pick(tracker: &LoadTracker, servers: &[ServerRecord], limits: TimeLimits) -> Decision {
     let candidates = servers.iter().map(|server| Candidate {
         server,
         same_domain: true,
-        kept: true,
+        has_connection: true,
         load_factor: 1.0,
     });
-    choose(book, candidates, limits, NOW, || 0.5)
+    select_server(tracker, candidates, limits, NOW, || 0.5)
 }
 
-fn ran(book: &mut LoadBook, server: &ServerName, span: u64) {
-    book.begin(server, NOW);
+fn run_request(tracker: &mut LoadTracker, server: &ServerName, span: u64) {
+    tracker.begin(server, NOW);
     let span = Duration::from_millis(span);
-    book.end(server, Finish::Ran, span, 1.0, NOW);
+    tracker.end(server, AttemptOutcome::Ran, span, 1.0, NOW);
 }
 
-fn peers(book: &mut LoadBook, server: &ServerName, busy: u32) {
+fn report_peer_load(tracker: &mut LoadTracker, server: &ServerName, in_flight: u32) {
     let server = server.clone();
     let load = PeerLoad {
         server,
-        busy,
-        run: None,
+        in_flight,
+        run_time: None,
     };
-    book.report("peer-1".parse().unwrap(), vec![load], NOW);
+    tracker.apply_report("peer-1".parse().unwrap(), vec![load], NOW);
 }
 
 /// A burst at one server of four slots, with 200 ms a request and an objective
@@ -76,42 +76,42 @@
 fn requests_of_other_instances_fill_a_server_too() {
     let servers = [known("s-1")];
     let name = &servers[0].entry.name;
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for _ in 0..10 {
-        ran(&mut book, name, 200);
+        run_request(&mut tracker, name, 200);
     }
-    book.begin(name, NOW);
-    book.begin(name, NOW);
+    tracker.begin(name, NOW);
+    tracker.begin(name, NOW);
     assert_eq!(
-        pick(&book, &servers, millis(600, 2_500)),
+        pick(&tracker, &servers, millis(600, 2_500)),
         Decision::Send(name.clone())
     );
-    peers(&mut book, name, 10);
+    report_peer_load(&mut tracker, name, 10);
     let Decision::Reject {
         retry_after,
         reason,
-    } = pick(&book, &servers, millis(600, 2_500))
+    } = pick(&tracker, &servers, millis(600, 2_500))
     else {
         panic!("it was sent");
     };
     assert!(retry_after >= Duration::from_millis(80) && retry_after <= Duration::from_millis(900));
-    assert_eq!(reason, RejectReason::Queue);
+    assert_eq!(reason, RejectReason::QueueTooLong);
 }
 
 /// Servers differ in speed. The fast one gets the request although it is busier.
 #[test]
 fn the_earliest_end_counts_and_not_the_shortest_queue() {
     let servers = [known("s-fast"), known("s-slow")];
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for _ in 0..40 {
-        ran(&mut book, &servers[0].entry.name, 100);
-        ran(&mut book, &servers[1].entry.name, 400);
+        run_request(&mut tracker, &servers[0].entry.name, 100);
+        run_request(&mut tracker, &servers[1].entry.name, 400);
     }
     for _ in 0..5 {
-        book.begin(&servers[0].entry.name, NOW);
+        tracker.begin(&servers[0].entry.name, NOW);
     }
-    let chosen = pick(&book, &servers, millis(800, 3_000));
-    assert_eq!(chosen, Decision::Send(servers[0].entry.name.clone()));
+    let decision = pick(&tracker, &servers, millis(800, 3_000));
+    assert_eq!(decision, Decision::Send(servers[0].entry.name.clone()));
 }
 
 /// A request that is late already gets a slot that is free, but no place in a
@@ -120,13 +120,13 @@
 fn what_is_late_anyway_does_not_queue() {
     let servers = [known("s-1")];
     let name = &servers[0].entry.name;
-    let mut book = LoadBook::default();
-    ran(&mut book, name, 200);
+    let mut tracker = LoadTracker::default();
+    run_request(&mut tracker, name, 200);
     let late = millis(0, 1_500);
-    assert_eq!(pick(&book, &servers, late), Decision::Send(name.clone()));
-    peers(&mut book, name, 4);
+    assert_eq!(pick(&tracker, &servers, late), Decision::Send(name.clone()));
+    report_peer_load(&mut tracker, name, 4);
     assert!(matches!(
-        pick(&book, &servers, late),
+        pick(&tracker, &servers, late),
         Decision::Reject { .. }
     ));
 }
@@ -136,15 +136,21 @@
 #[test]
 fn quick_failures_do_not_draw_requests() {
     let servers = [known("s-faulty"), known("s-sound")];
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for _ in 0..30 {
-        ran(&mut book, &servers[1].entry.name, 200);
+        run_request(&mut tracker, &servers[1].entry.name, 200);
         let faulty = &servers[0].entry.name;
-        book.begin(faulty, NOW);
-        book.end(faulty, Finish::Failed, Duration::from_millis(1), 1.0, NOW);
+        tracker.begin(faulty, NOW);
+        tracker.end(
+            faulty,
+            AttemptOutcome::Failed,
+            Duration::from_millis(1),
+            1.0,
+            NOW,
+        );
     }
-    let chosen = pick(&book, &servers, millis(800, 3_000));
-    assert_eq!(chosen, Decision::Send(servers[1].entry.name.clone()));
+    let decision = pick(&tracker, &servers, millis(800, 3_000));
+    assert_eq!(decision, Decision::Send(servers[1].entry.name.clone()));
 }
 
 /// A server that was slow for a while gets requests again although nobody has
@@ -153,10 +159,10 @@
 fn bad_times_are_forgotten_and_refused_connections_pause() {
     let servers = [known("s-1")];
     let name = &servers[0].entry.name;
-    let mut book = LoadBook::default();
-    ran(&mut book, name, 5_000);
+    let mut tracker = LoadTracker::default();
+    run_request(&mut tracker, name, 5_000);
     assert!(matches!(
-        pick(&book, &servers, millis(600, 2_500)),
+        pick(&tracker, &servers, millis(600, 2_500)),
         Decision::Reject { .. }
     ));
     let later = NOW + Duration::from_secs(5);
@@ -164,16 +170,16 @@
         servers.iter().map(|server| Candidate {
             server,
             same_domain: true,
-            kept: true,
+            has_connection: true,
             load_factor: 1.0,
         })
     };
-    let chosen = choose(&book, candidates(), millis(600, 2_500), later, || 0.5);
-    assert_eq!(chosen, Decision::Send(name.clone()));
-    book.begin(name, NOW);
-    book.end(name, Finish::Lost, Duration::ZERO, 1.0, later);
-    let chosen = choose(&book, candidates(), millis(600, 2_500), later, || 0.5);
-    assert!(matches!(chosen, Decision::Reject { .. }));
+    let decision = select_server(&tracker, candidates(), millis(600, 2_500), later, || 0.5);
+    assert_eq!(decision, Decision::Send(name.clone()));
+    tracker.begin(name, NOW);
+    tracker.end(name, AttemptOutcome::Lost, Duration::ZERO, 1.0, later);
+    let decision = select_server(&tracker, candidates(), millis(600, 2_500), later, || 0.5);
+    assert!(matches!(decision, Decision::Reject { .. }));
 }
 
 /// A server has joined, and callers get nothing of it: a connection to the other
@@ -182,46 +188,46 @@
 #[test]
 fn a_server_that_nobody_has_measured_is_tried() {
     let servers = [known("s-1"), known("s-joined")];
-    let mut book = LoadBook::default();
-    ran(&mut book, &servers[0].entry.name, 30);
-    let candidates = |book: &LoadBook| {
+    let mut tracker = LoadTracker::default();
+    run_request(&mut tracker, &servers[0].entry.name, 30);
+    let candidates = |tracker: &LoadTracker| {
         // Chance favours the one that has joined.
         let mut draws = [0.9, 0.1].into_iter().cycle();
         let candidates = servers.iter().map(|server| Candidate {
             server,
             same_domain: true,
-            kept: server.entry.name == servers[0].entry.name,
+            has_connection: server.entry.name == servers[0].entry.name,
             load_factor: 1.0,
         });
-        choose(book, candidates, millis(800, 3_000), NOW, || {
+        select_server(tracker, candidates, millis(800, 3_000), NOW, || {
             draws.next().unwrap()
         })
     };
     let joined = &servers[1].entry.name;
-    assert_eq!(candidates(&book), Decision::Send(joined.clone()));
-    ran(&mut book, joined, 30);
+    assert_eq!(candidates(&tracker), Decision::Send(joined.clone()));
+    run_request(&mut tracker, joined, 30);
     let first = Decision::Send(servers[0].entry.name.clone());
-    assert_eq!(candidates(&book), first);
+    assert_eq!(candidates(&tracker), first);
 }
 
 /// An instance that is gone leaves no requests behind in the others' counts.
 #[test]
 fn old_reports_count_for_nothing() {
     let name: ServerName = "s-1".parse().unwrap();
-    let mut book = LoadBook::default();
-    peers(&mut book, &name, 10);
-    assert_eq!(book.get(&name).busy(), 10);
+    let mut tracker = LoadTracker::default();
+    report_peer_load(&mut tracker, &name, 10);
+    assert_eq!(tracker.get(&name).in_flight(), 10);
     let later = NOW + Duration::from_secs(2);
-    book.report("peer-2".parse().unwrap(), Vec::new(), later);
+    tracker.apply_report("peer-2".parse().unwrap(), Vec::new(), later);
     // Reports replace one another, and never add up.
-    let load = |busy| PeerLoad {
+    let load = |in_flight| PeerLoad {
         server: name.clone(),
-        busy,
-        run: None,
+        in_flight,
+        run_time: None,
     };
-    book.report("peer-2".parse().unwrap(), vec![load(3)], later);
-    book.report("peer-2".parse().unwrap(), Vec::new(), later);
-    assert_eq!(book.get(&name).busy(), 0);
+    tracker.apply_report("peer-2".parse().unwrap(), vec![load(3)], later);
+    tracker.apply_report("peer-2".parse().unwrap(), Vec::new(), later);
+    assert_eq!(tracker.get(&name).in_flight(), 0);
 }
 
 /// Servers refuse part of their requests at random, with slots free, for a while.
@@ -232,26 +238,26 @@
 fn a_refusal_with_a_slot_free_closes_no_server() {
     let servers = [known("s-1")];
     let name = &servers[0].entry.name;
-    let mut book = LoadBook::default();
-    let refuse = |book: &mut LoadBook, busy| {
-        book.begin(name, NOW);
-        book.end(
+    let mut tracker = LoadTracker::default();
+    let refuse = |tracker: &mut LoadTracker, in_flight| {
+        tracker.begin(name, NOW);
+        tracker.end(
             name,
-            Finish::Full,
+            AttemptOutcome::Full,
             Duration::from_millis(2),
-            run_share(busy, Slots(4)),
+            run_share(in_flight, Slots(4)),
             NOW,
         );
     };
-    refuse(&mut book, 3);
+    refuse(&mut tracker, 3);
     assert_eq!(
-        pick(&book, &servers, millis(600, 2_500)),
+        pick(&tracker, &servers, millis(600, 2_500)),
         Decision::Send(name.clone())
     );
-    refuse(&mut book, 4);
-    let chosen = pick(&book, &servers, millis(600, 2_500));
+    refuse(&mut tracker, 4);
+    let decision = pick(&tracker, &servers, millis(600, 2_500));
     assert!(matches!(
-        chosen,
+        decision,
         Decision::Reject {
             reason: RejectReason::Refusing,
             ..
@@ -267,26 +273,32 @@
 fn a_server_that_closes_new_connections_is_full_and_not_gone() {
     let servers = [known("s-1")];
     let name = &servers[0].entry.name;
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     for _ in 0..5 {
-        book.begin(name, NOW);
-        book.end(name, Finish::Closed, Duration::from_millis(2), 1.0, NOW);
+        tracker.begin(name, NOW);
+        tracker.end(
+            name,
+            AttemptOutcome::Closed,
+            Duration::from_millis(2),
+            1.0,
+            NOW,
+        );
     }
-    let reason = |book: &LoadBook, now| {
+    let reason = |tracker: &LoadTracker, now| {
         let candidates = servers.iter().map(|server| Candidate {
             server,
             same_domain: true,
-            kept: false,
+            has_connection: false,
             load_factor: 1.0,
         });
-        match choose(book, candidates, millis(600, 2_500), now, || 0.5) {
+        match select_server(tracker, candidates, millis(600, 2_500), now, || 0.5) {
             Decision::Reject { reason, .. } => Some(reason),
             Decision::Send(_) => None,
         }
     };
-    assert_eq!(reason(&book, NOW), Some(RejectReason::Refusing));
-    assert!(book.get(name).is_doubted());
-    assert_eq!(reason(&book, NOW + Duration::from_millis(301)), None);
+    assert_eq!(reason(&tracker, NOW), Some(RejectReason::Refusing));
+    assert!(tracker.get(name).is_suspect());
+    assert_eq!(reason(&tracker, NOW + Duration::from_millis(301)), None);
 }
 
 /// A key draws many times what its owner can run, for seconds. Callers who were told
@@ -296,25 +308,25 @@
 fn callers_of_an_owner_that_lets_few_in_come_back_later() {
     let servers = [known("s-1")];
     let name = &servers[0].entry.name;
-    let mut book = LoadBook::default();
-    ran(&mut book, name, 200);
-    let again = |book: &LoadBook| match pick(book, &servers, millis(600, 8_000)) {
+    let mut tracker = LoadTracker::default();
+    run_request(&mut tracker, name, 200);
+    let retry_after = |tracker: &LoadTracker| match pick(tracker, &servers, millis(600, 8_000)) {
         Decision::Reject { retry_after, .. } => retry_after,
         Decision::Send(name) => panic!("sent to {name}"),
     };
-    peers(&mut book, name, 13);
-    let first = again(&book);
+    report_peer_load(&mut tracker, name, 13);
+    let first = retry_after(&tracker);
     assert!(first < Duration::from_secs(1), "{first:?}");
     for request in 0..60 {
         match request % 10 {
-            0 => ran(&mut book, name, 200),
-            _ => book.note_rejected(name),
+            0 => run_request(&mut tracker, name, 200),
+            _ => tracker.record_rejection(name),
         }
     }
-    let later = again(&book);
+    let later = retry_after(&tracker);
     assert!(later > Duration::from_secs(2), "{later:?}");
-    (0..40).for_each(|_| ran(&mut book, name, 200));
-    let calm = again(&book);
+    (0..40).for_each(|_| run_request(&mut tracker, name, 200));
+    let calm = retry_after(&tracker);
     assert!(calm < Duration::from_secs(1), "{calm:?}");
 }
 
@@ -324,17 +336,23 @@
 /// late, and its keys would stay.
 #[test]
 fn the_time_of_a_server_that_is_never_free_is_known() {
-    let mut book = LoadBook::default();
+    let mut tracker = LoadTracker::default();
     let name: ServerName = "s-slow".parse().unwrap();
     let run = 0.15;
     for _ in 0..60 {
-        let (busy, slots) = (5, Slots(2));
-        let waits = f64::from(busy + 1 - slots.0) * run / f64::from(slots.0);
+        let (in_flight, slots) = (5, Slots(2));
+        let waits = f64::from(in_flight + 1 - slots.0) * run / f64::from(slots.0);
         let span = Duration::from_secs_f64(waits + run);
-        book.begin(&name, NOW);
-        book.end(&name, Finish::Ran, span, run_share(busy, slots), NOW);
+        tracker.begin(&name, NOW);
+        tracker.end(
+            &name,
+            AttemptOutcome::Ran,
+            span,
+            run_share(in_flight, slots),
+            NOW,
+        );
     }
-    let known = book.get(&name).run(NOW).unwrap();
+    let known = tracker.get(&name).run_time(NOW).unwrap();
     assert!((known - run).abs() < 0.01, "{known}");
 }
 
@@ -344,20 +362,20 @@
 /// sent again. Where idle connections work, it need not open a new one each time.
 #[test]
 fn what_may_run_once_goes_on_connections_that_others_found_alive() {
-    let mut trust = IdleTrust::default();
+    let mut idle_limit = IdleLimit::default();
     let seconds = Duration::from_secs;
-    assert!(trust.bound() < seconds(2));
+    assert!(idle_limit.limit() < seconds(2));
     for _ in 0..7 {
-        trust.worked(seconds(4));
+        idle_limit.record_success(seconds(4));
     }
-    assert!(trust.bound() < seconds(2), "too few have told");
+    assert!(idle_limit.limit() < seconds(2), "too few have told");
     for _ in 0..40 {
-        trust.worked(seconds(1));
-        trust.worked(seconds(4));
+        idle_limit.record_success(seconds(1));
+        idle_limit.record_success(seconds(4));
     }
-    assert!(trust.bound() > seconds(3) && trust.bound() < seconds(5));
-    trust.was_dead();
-    assert!(trust.bound() < seconds(2));
+    assert!(idle_limit.limit() > seconds(3) && idle_limit.limit() < seconds(5));
+    idle_limit.record_dead_connection();
+    assert!(idle_limit.limit() < seconds(2));
 }
 
 /// Guards against a service that is left alone by everybody, as its servers refuse at
@@ -365,13 +383,16 @@
 #[test]
 fn a_server_that_sheds_with_room_is_asked_again_at_once() {
     let servers = [known("s-1")];
-    let chosen = |finish: Finish| {
-        let mut book = LoadBook::default();
+    let decision = |outcome: AttemptOutcome| {
+        let mut tracker = LoadTracker::default();
         let name = &servers[0].entry.name;
-        book.begin(name, NOW);
-        book.end(name, finish, Duration::from_millis(2), 0.5, NOW);
-        pick(&book, &servers, millis(1_000, 4_000))
+        tracker.begin(name, NOW);
+        tracker.end(name, outcome, Duration::from_millis(2), 0.5, NOW);
+        pick(&tracker, &servers, millis(1_000, 4_000))
     };
-    assert!(matches!(chosen(Finish::Full), Decision::Reject { .. }));
-    assert!(matches!(chosen(Finish::Shed), Decision::Send(_)));
+    assert!(matches!(
+        decision(AttemptOutcome::Full),
+        Decision::Reject { .. }
+    ));
+    assert!(matches!(decision(AttemptOutcome::Shed), Decision::Send(_)));
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -2,7 +2,9 @@
 
 use {
     citron_core::{
-        health::{Blame, Check, HealthConfig, Kept, Links, PoolHealth},
+        health::{
+            ConnectionAge, ConnectionHealth, HealthConfig, HealthDecision, PoolHealth, SilenceCause,
+        },
         id::ServerName,
         time::Time,
     },
@@ -28,7 +30,7 @@
 }
 
 fn fail(pool: &mut PoolHealth, name: &ServerName, times: u32) {
-    (0..times).for_each(|_| pool.failed(name, at(0)));
+    (0..times).for_each(|_| pool.record_failure(name, at(0)));
 }
 
 /// A server freezes. After some failures in a row, callers are told at once when
@@ -38,26 +40,29 @@
     let names = names(6);
     let mut pool = pool(&names);
     fail(&mut pool, &names[0], 4);
-    pool.succeeded(&names[0], FAST, at(0));
+    pool.record_success(&names[0], FAST, at(0));
     fail(&mut pool, &names[0], 4);
-    assert_eq!(pool.check(&names[0], true, at(0)), Check::Pass);
+    assert_eq!(pool.check(&names[0], true, at(0)), HealthDecision::Pass);
     fail(&mut pool, &names[0], 1);
     let wait = Duration::from_secs(1);
-    assert_eq!(pool.check(&names[0], true, at(0)), Check::Refuse { wait });
-    assert_eq!(pool.check(&names[1], true, at(0)), Check::Pass);
+    assert_eq!(
+        pool.check(&names[0], true, at(0)),
+        HealthDecision::Refuse { wait }
+    );
+    assert_eq!(pool.check(&names[1], true, at(0)), HealthDecision::Pass);
 }
 
 /// The instance's own network fails, and every server looks bad. Ejecting them
 /// all would turn a passing fault into an outage.
 #[test]
 fn no_more_than_the_stated_share_is_ejected() {
-    for (servers, most) in [(1, 0), (3, 0), (4, 1), (6, 1), (10, 3), (20, 6)] {
+    for (servers, max) in [(1, 0), (3, 0), (4, 1), (6, 1), (10, 3), (20, 6)] {
         let names = names(servers);
         let mut pool = pool(&names);
         for name in &names {
             fail(&mut pool, name, 50);
         }
-        assert_eq!(pool.ejected().count(), most, "{servers} servers");
+        assert_eq!(pool.ejected().count(), max, "{servers} servers");
     }
 }
 
@@ -67,9 +72,9 @@
     let names = names(6);
     let mut pool = pool(&names);
     for _ in 0..100 {
-        pool.succeeded(&names[0], SLOW, at(0));
+        pool.record_success(&names[0], SLOW, at(0));
         for name in &names[1..] {
-            pool.succeeded(name, FAST, at(0));
+            pool.record_success(name, FAST, at(0));
         }
     }
     assert_eq!(pool.ejected().collect::<Vec<_>>(), [&names[0]]);
@@ -82,7 +87,7 @@
     let mut pool = pool(&names);
     for _ in 0..100 {
         for name in &names {
-            pool.succeeded(name, SLOW, at(0));
+            pool.record_success(name, SLOW, at(0));
         }
     }
     assert_eq!(pool.ejected().count(), 0);
@@ -95,27 +100,33 @@
     let names = names(6);
     let mut pool = pool(&names);
     fail(&mut pool, &names[0], 5);
-    assert_eq!(pool.check(&names[0], true, at(1_000)), Check::Probe);
+    assert_eq!(
+        pool.check(&names[0], true, at(1_000)),
+        HealthDecision::Probe
+    );
     assert!(matches!(
         pool.check(&names[0], true, at(1_001)),
-        Check::Refuse { .. }
+        HealthDecision::Refuse { .. }
     ));
-    pool.failed(&names[0], at(1_500));
+    pool.record_failure(&names[0], at(1_500));
     let wait = Duration::from_secs(2);
     assert_eq!(
         pool.check(&names[0], true, at(1_500)),
-        Check::Refuse { wait }
+        HealthDecision::Refuse { wait }
     );
-    let mut back = Vec::new();
+    let mut restored = Vec::new();
     for round in 0..3 {
         assert_eq!(
             pool.check(&names[0], true, at(10_000 + 5_000 * round)),
-            Check::Probe
+            HealthDecision::Probe
         );
-        back.push(pool.succeeded(&names[0], FAST, at(10_100)));
+        restored.push(pool.record_success(&names[0], FAST, at(10_100)));
     }
-    assert_eq!(back, [false, false, true]);
-    assert_eq!(pool.check(&names[0], true, at(25_000)), Check::Pass);
+    assert_eq!(restored, [false, false, true]);
+    assert_eq!(
+        pool.check(&names[0], true, at(25_000)),
+        HealthDecision::Pass
+    );
 }
 
 /// The server of a service without idempotent requests is frozen. Its probes risk
@@ -128,9 +139,12 @@
     let wait = Duration::from_millis(500);
     assert_eq!(
         pool.check(&names[0], false, at(1_500)),
-        Check::Refuse { wait }
+        HealthDecision::Refuse { wait }
+    );
+    assert_eq!(
+        pool.check(&names[0], false, at(2_000)),
+        HealthDecision::Probe
     );
-    assert_eq!(pool.check(&names[0], false, at(2_000)), Check::Probe);
 }
 
 /// Open connections go silent for good while new ones work. One request finds
@@ -138,38 +152,44 @@
 /// has shown life since. The server is not blamed.
 #[test]
 fn suspicion_stays_with_old_connections() {
-    let mut links = Links::default();
-    let old = Kept {
+    let mut connections = ConnectionHealth::default();
+    let old = ConnectionAge {
         opened: at(0),
-        alive: at(900),
+        last_read: at(900),
     };
-    let lively = Kept {
+    let recently_read = ConnectionAge {
         opened: at(0),
-        alive: at(1_500),
+        last_read: at(1_500),
     };
-    let new = Kept {
+    let new = ConnectionAge {
         opened: at(2_100),
-        alive: at(2_100),
+        last_read: at(2_100),
     };
     assert!(
-        [old, lively]
+        [old, recently_read]
             .iter()
-            .all(|kept| links.allows(*kept, true, at(1_000)))
+            .all(|kept| connections.allows(*kept, true, at(1_000)))
+    );
+    assert_eq!(
+        connections.record_silence(at(0), at(1_000), at(2_000)),
+        SilenceCause::Connections
     );
-    assert_eq!(links.silent(at(0), at(1_000), at(2_000)), Blame::Links);
-    let allowed = [old, lively, new].map(|kept| links.allows(kept, true, at(2_200)));
+    let allowed = [old, recently_read, new].map(|kept| connections.allows(kept, true, at(2_200)));
     assert_eq!(allowed, [false, true, true]);
-    assert_eq!(links.silent(at(2_100), at(2_100), at(3_100)), Blame::Server);
+    assert_eq!(
+        connections.record_silence(at(2_100), at(2_100), at(3_100)),
+        SilenceCause::Server
+    );
 }
 
 /// A purchase on a connection that has silently died would end as `unknown`. It
 /// goes only where life was seen a short while ago.
 #[test]
 fn requests_that_are_not_idempotent_avoid_long_idle_connections() {
-    let links = Links::default();
-    let idle = Kept {
+    let connections = ConnectionHealth::default();
+    let idle = ConnectionAge {
         opened: at(0),
-        alive: at(0),
+        last_read: at(0),
     };
     let cases = [
         (4_000, true, true),
@@ -177,7 +197,7 @@
         (70_000, false, false),
     ];
     for (millis, idempotent, other) in cases {
-        assert_eq!(links.allows(idle, true, at(millis)), idempotent);
-        assert_eq!(links.allows(idle, false, at(millis)), other);
+        assert_eq!(connections.allows(idle, true, at(millis)), idempotent);
+        assert_eq!(connections.allows(idle, false, at(millis)), other);
     }
 }
--- a/crates/core/tests/overload/callers.rs
+++ b/crates/core/tests/overload/callers.rs
@@ -31,12 +31,12 @@
     }
 
     pub fn instance(&mut self, now: Time) -> usize {
-        let turn = now.as_micros() as usize / TURN.as_micros() as usize;
+        let rotation = now.as_micros() as usize / TURN.as_micros() as usize;
         let mut point = self.random.random_range(0.0..WEIGHTS.iter().sum());
         let found = WEIGHTS.iter().position(|weight| {
             point -= weight;
             point < 0.0
         });
-        (found.unwrap_or(0) + turn) % INSTANCES
+        (found.unwrap_or(0) + rotation) % INSTANCES
     }
 }
--- a/crates/core/tests/overload/limits.rs
+++ b/crates/core/tests/overload/limits.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        scenario::{Plan, Reports},
-        simulation::Bench,
+        scenario::{Reports, Scenario},
+        simulation::Simulation,
         stats::Stats,
     },
     citron_core::{
-        admission::{GateConfig, LimitConfig},
+        admission::{AdmissionConfig, LimitConfig},
         routing::BudgetConfig,
         time::Time,
     },
@@ -20,47 +20,47 @@
 const SLOTS: [u32; 2] = [3, 4];
 
 /// No anchor but the server's refusals, which have to find one's part alone.
-const ALONE: LimitConfig = LimitConfig {
-    least: 0.25,
-    most: 10.0,
-    rise: 0.05,
-    fall: 0.95,
+const REFUSALS_ONLY: LimitConfig = LimitConfig {
+    factor_min: 0.25,
+    factor_max: 10.0,
+    increase: 0.05,
+    decrease_factor: 0.95,
 };
 
 #[derive(Debug, Clone, Copy)]
-struct Way {
+struct Strategy {
     name: &'static str,
     share: Option<f64>,
     reports: Reports,
     limit: LimitConfig,
 }
 
-const WAYS: [Way; 6] = [
-    Way {
+const STRATEGIES: [Strategy; 6] = [
+    Strategy {
         name: "no limit",
         share: Some(1_000.0),
         reports: Reports::Unused,
         limit: LimitConfig::FIXED,
     },
-    Way {
+    Strategy {
         name: "static split",
         share: None,
         reports: Reports::Unused,
         limit: LimitConfig::FIXED,
     },
-    Way {
+    Strategy {
         name: "one each",
         share: Some(1.0),
         reports: Reports::Unused,
         limit: LimitConfig::FIXED,
     },
-    Way {
+    Strategy {
         name: "adaptive alone",
         share: None,
         reports: Reports::Unused,
-        limit: ALONE,
+        limit: REFUSALS_ONLY,
     },
-    Way {
+    Strategy {
         name: "same, none heard",
         reports: Reports::Lost,
         ..CHOSEN
@@ -68,28 +68,28 @@
     CHOSEN,
 ];
 
-const CHOSEN: Way = Way {
+const CHOSEN: Strategy = Strategy {
     name: "adaptive, exchanged",
     share: None,
-    reports: Reports::Heard,
+    reports: Reports::Delivered,
     limit: LimitConfig::STANDARD,
 };
 
-fn run(way: Way, slots: u32, load: f64, seed: u64) -> Stats {
-    run_before(way, slots, slots as usize, load, seed)
+fn run(strategy: Strategy, slots: u32, load: f64, seed: u64) -> Stats {
+    run_with_backlog(strategy, slots, slots as usize, load, seed)
 }
 
 /// The server refuses what exceeds its slots and its backlog.
-fn run_before(way: Way, slots: u32, backlog: usize, load: f64, seed: u64) -> Stats {
-    Bench::run(Plan {
+fn run_with_backlog(strategy: Strategy, slots: u32, backlog: usize, load: f64, seed: u64) -> Stats {
+    Simulation::run(Scenario {
         slots,
         load,
-        gate: GateConfig {
-            limit: way.limit,
-            ..GateConfig::STANDARD
+        controller: AdmissionConfig {
+            limit: strategy.limit,
+            ..AdmissionConfig::STANDARD
         },
-        share: way.share,
-        reports: way.reports,
+        share: strategy.share,
+        reports: strategy.reports,
         budget: BudgetConfig::STANDARD,
         backlog,
         progress: None,
@@ -114,15 +114,15 @@
         "way"
     );
     let mut best = 0.0_f64;
-    for way in WAYS {
+    for strategy in STRATEGIES {
         for slots in SLOTS {
             for load in LOADS {
-                let runs = SEEDS.map(|seed| run(way, slots, load, seed));
+                let runs = SEEDS.map(|seed| run(strategy, slots, load, seed));
                 best = best.max(mean(&runs, Stats::goodput));
                 let _ = writeln!(
                     table,
                     "{:<21}{slots:>5}  {load:>4}  {:>7.3}  {:>6.0}  {:>7.3}  {:>12.3}  {:>9.3}  {:>8.4}",
-                    way.name,
+                    strategy.name,
                     mean(&runs, Stats::goodput),
                     mean(&runs, |s| s.p99().as_secs_f64() * 1e3),
                     mean(&runs, Stats::refused_share),
@@ -151,7 +151,7 @@
     for backlog in [0, 2, 16] {
         for slots in SLOTS {
             for load in [0.9, 3.0] {
-                let runs = SEEDS.map(|seed| run_before(CHOSEN, slots, backlog, load, seed));
+                let runs = SEEDS.map(|seed| run_with_backlog(CHOSEN, slots, backlog, load, seed));
                 let _ = writeln!(
                     table,
                     "{backlog:>7}  {slots:>5}  {load:>4}  {:>7.3}  {:>12.3}  {:>9.3}  {:>8.4}",
--- a/crates/core/tests/overload/outage.rs
+++ b/crates/core/tests/overload/outage.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        scenario::{Plan, Reports},
-        simulation::Bench,
+        scenario::{Reports, Scenario},
+        simulation::Simulation,
         stats::Stats,
     },
     citron_core::{
-        admission::{GateConfig, LimitConfig},
+        admission::{AdmissionConfig, LimitConfig},
         routing::BudgetConfig,
         time::Time,
     },
@@ -17,10 +17,10 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 /// Seconds of the outage: its first and the one after its last.
-const DOWN: (u64, u64) = (20, 30);
-const END: u64 = 60;
+const OUTAGE_S: (u64, u64) = (20, 30);
+const END_S: u64 = 60;
 /// Part of new requests whose answer counts as being back.
-const BACK: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 
 /// What stands between the callers and the server, and how much they send.
 #[derive(Debug, Clone, Copy)]
@@ -28,43 +28,43 @@
     name: &'static str,
     load: f64,
     resends: u32,
-    limited: bool,
+    is_limited: bool,
     budget: BudgetConfig,
 }
 
 /// As in the product: callers send a failed request again up to five times.
-const WHOLE: Case = Case {
+const LIMIT_AND_BUDGET: Case = Case {
     name: "whole",
     load: 0.7,
     resends: 5,
-    limited: true,
+    is_limited: true,
     budget: BudgetConfig::STANDARD,
 };
 /// The budget alone, before a server that queues whatever it gets.
-const BUDGET_ALONE: Case = Case {
+const BUDGET_ONLY: Case = Case {
     name: "budget alone",
     load: 0.35,
     resends: 1,
-    limited: false,
+    is_limited: false,
     budget: BudgetConfig::STANDARD,
 };
 const CASES: [Case; 5] = [
-    WHOLE,
+    LIMIT_AND_BUDGET,
     Case {
         name: "whole, budget off",
         budget: BudgetConfig::UNLIMITED,
-        ..WHOLE
+        ..LIMIT_AND_BUDGET
     },
     Case {
         name: "whole, limit off",
-        limited: false,
-        ..WHOLE
+        is_limited: false,
+        ..LIMIT_AND_BUDGET
     },
-    BUDGET_ALONE,
+    BUDGET_ONLY,
     Case {
         name: "neither",
         budget: BudgetConfig::UNLIMITED,
-        ..BUDGET_ALONE
+        ..BUDGET_ONLY
     },
 ];
 
@@ -74,43 +74,43 @@
 
 /// The server does not notice who has left.
 fn run(case: Case, seed: u64) -> Stats {
-    let limit = match case.limited {
+    let limit = match case.is_limited {
         true => LimitConfig::STANDARD,
         false => LimitConfig::FIXED,
     };
-    let gate = GateConfig {
+    let controller = AdmissionConfig {
         limit,
-        ..GateConfig::STANDARD
+        ..AdmissionConfig::STANDARD
     };
-    Bench::run(Plan {
+    Simulation::run(Scenario {
         slots: 4,
         load: case.load,
-        gate,
-        share: (!case.limited).then_some(1_000.0),
-        reports: match case.limited {
-            true => Reports::Heard,
+        controller,
+        share: (!case.is_limited).then_some(1_000.0),
+        reports: match case.is_limited {
+            true => Reports::Delivered,
             false => Reports::Unused,
         },
         budget: case.budget,
         backlog: 10_000,
         progress: Some(Duration::from_millis(250)),
         resends: case.resends,
-        outage: Some((second(DOWN.0), second(DOWN.1))),
-        end: second(END),
+        outage: Some((second(OUTAGE_S.0), second(OUTAGE_S.1))),
+        end: second(END_S),
         seed,
     })
 }
 
 /// The lowest part of new requests answered in any five seconds, from five
 /// seconds after the outage on.
-fn lowest_after(stats: &Stats) -> f64 {
-    let windows = DOWN.1 + 5..END - 5;
+fn lowest_after_outage(stats: &Stats) -> f64 {
+    let windows = OUTAGE_S.1 + 5..END_S - 5;
     let parts = windows.map(|s| stats.answered_part(s..s + 5));
     parts.fold(f64::INFINITY, f64::min)
 }
 
-fn is_back(case: Case, seed: u64) -> bool {
-    lowest_after(&run(case, seed)) >= BACK
+fn has_recovered(case: Case, seed: u64) -> bool {
+    lowest_after_outage(&run(case, seed)) >= RECOVERED_SHARE
 }
 
 /// Callers see failures for 10 s and must not see them for longer. Tries time
@@ -132,15 +132,19 @@
                 case.name,
                 case.load,
                 case.resends,
-                stats.answered_part(10..DOWN.0),
-                stats.answered_part(DOWN.0 + 1..DOWN.1),
-                stats.answered_part(DOWN.1..DOWN.1 + 5),
-                lowest_after(&stats),
+                stats.answered_part(10..OUTAGE_S.0),
+                stats.answered_part(OUTAGE_S.0 + 1..OUTAGE_S.1),
+                stats.answered_part(OUTAGE_S.1..OUTAGE_S.1 + 5),
+                lowest_after_outage(&stats),
             );
         }
     }
     assert_snapshot!(table);
-    assert!(SEEDS.iter().all(|seed| is_back(WHOLE, *seed)));
+    assert!(
+        SEEDS
+            .iter()
+            .all(|seed| has_recovered(LIMIT_AND_BUDGET, *seed))
+    );
 }
 
 /// Before a server that queues whatever it gets, with callers that send a failed
@@ -148,7 +152,7 @@
 /// request is sent three times, which keeps the server busy for nobody.
 #[test]
 fn without_the_budget_it_stays_down() {
-    let [.., neither] = CASES;
-    assert!(SEEDS.iter().all(|seed| is_back(BUDGET_ALONE, *seed)));
-    assert!(SEEDS.iter().all(|seed| !is_back(neither, *seed)));
+    let [.., unprotected] = CASES;
+    assert!(SEEDS.iter().all(|seed| has_recovered(BUDGET_ONLY, *seed)));
+    assert!(SEEDS.iter().all(|seed| !has_recovered(unprotected, *seed)));
 }
--- a/crates/core/tests/overload/scenario.rs
+++ b/crates/core/tests/overload/scenario.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::server::{WORK_FIXED, WORK_RANDOM},
-    citron_core::{admission::GateConfig, routing::BudgetConfig, time::Time},
+    citron_core::{admission::AdmissionConfig, routing::BudgetConfig, time::Time},
     std::time::Duration,
 };
 
@@ -14,15 +14,15 @@
     /// Nobody hears of another.
     Lost,
     /// All hear of all.
-    Heard,
+    Delivered,
 }
 
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct Scenario {
     pub slots: u32,
     /// Offered load over capacity.
     pub load: f64,
-    pub gate: GateConfig,
+    pub controller: AdmissionConfig,
     /// The share before and without exchanges; `None` for the even part.
     pub share: Option<f64>,
     pub reports: Reports,
@@ -39,7 +39,7 @@
     pub seed: u64,
 }
 
-impl Plan {
+impl Scenario {
     pub fn capacity(&self) -> f64 {
         f64::from(self.slots) / (WORK_FIXED + WORK_RANDOM)
     }
--- a/crates/core/tests/overload/server.rs
+++ b/crates/core/tests/overload/server.rs
@@ -13,11 +13,11 @@
 const REFUSAL_WORK: Duration = Duration::from_micros(500);
 
 /// What becomes of a request that reached the server.
-pub enum Reached {
+pub enum Arrival {
     /// It works on it for so long.
-    Works(Duration),
+    Started(Duration),
     /// It keeps it for later.
-    Kept,
+    Queued,
     /// It refuses it.
     Refused,
 }
@@ -25,43 +25,43 @@
 /// Does not notice that a caller is gone: the worst case.
 pub struct Server<T> {
     slots: u32,
-    most: usize,
+    backlog_max: usize,
     running: u32,
     backlog: VecDeque<T>,
-    extra: Duration,
+    refusal_work: Duration,
     random: ChaCha8Rng,
 }
 
 impl<T> Server<T> {
-    pub fn new(slots: u32, most: usize, seed: u64) -> Self {
+    pub fn new(slots: u32, backlog_max: usize, seed: u64) -> Self {
         Self {
             slots,
-            most,
+            backlog_max,
             running: 0,
             backlog: VecDeque::new(),
-            extra: Duration::ZERO,
+            refusal_work: Duration::ZERO,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    pub fn idle(&self) -> u32 {
+    pub fn idle_slots(&self) -> u32 {
         self.slots - self.running
     }
 
-    pub fn reach(&mut self, request: T) -> Reached {
-        if self.idle() > 0 {
-            return Reached::Works(self.work());
+    pub fn accept(&mut self, request: T) -> Arrival {
+        if self.idle_slots() > 0 {
+            return Arrival::Started(self.work());
         }
-        if self.backlog.len() < self.most {
+        if self.backlog.len() < self.backlog_max {
             self.backlog.push_back(request);
-            return Reached::Kept;
+            return Arrival::Queued;
         }
-        self.extra += REFUSAL_WORK;
-        Reached::Refused
+        self.refusal_work += REFUSAL_WORK;
+        Arrival::Refused
     }
 
     /// A slot is free; the next kept request and its work.
-    pub fn worked(&mut self) -> Option<(T, Duration)> {
+    pub fn finish(&mut self) -> Option<(T, Duration)> {
         self.running -= 1;
         let next = self.backlog.pop_front()?;
         Some((next, self.work()))
@@ -71,6 +71,6 @@
         self.running += 1;
         let random = -self.random.random_range(f64::MIN_POSITIVE..1.0).ln();
         let work = Duration::from_secs_f64(WORK_FIXED + WORK_RANDOM * random);
-        work + take(&mut self.extra)
+        work + take(&mut self.refusal_work)
     }
 }
--- a/crates/core/tests/overload/simulation.rs
+++ b/crates/core/tests/overload/simulation.rs
@@ -3,112 +3,119 @@
 use {
     crate::{
         callers::{Callers, INSTANCES},
-        scenario::{Plan, Reports},
-        server::{Reached, Server},
+        scenario::{Reports, Scenario},
+        server::{Arrival, Server},
         stats::Stats,
     },
     citron_core::{
         admission::{
-            Admission, Demand, DemandBook, Gate, Release, SlotShare, Ticket, Turn, even_share,
+            Admission, AdmissionController, Demand, DemandTracker, QueueDecision, ReleaseReason,
+            SlotShare, Ticket, even_share,
         },
         id::{ServerName, Slots},
-        routing::{Attempt, Event, Point, Reason, RequestBody, RequestKind, Retries, Step, Try},
+        routing::{
+            AttemptNo, Event, ExchangeStage, FailureReason, RequestBody, RequestKind, RetryPolicy,
+            RetryState, Step,
+        },
         time::Time,
     },
     std::{cmp::Reverse, collections::BinaryHeap, time::Duration},
 };
 
 /// One way between an instance and the server.
-const WAY: Duration = Duration::from_micros(250);
-const EXCHANGE: Duration = Duration::from_millis(200);
+const NETWORK_DELAY: Duration = Duration::from_micros(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Added to the seed for the callers' own random numbers.
 const CALLERS_SEED: u64 = 1_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ev {
+enum SimEvent {
     Arrive,
-    Resend { instance: usize, left: u32 },
-    Reach(usize, Try),
-    Worked(usize, Try),
-    Reply(usize, Try, Ending),
-    Retry(usize, Try),
-    Progress(usize, Try),
+    Resend { instance: usize, resends_left: u32 },
+    Reach(usize, AttemptNo),
+    Worked(usize, AttemptNo),
+    Reply(usize, AttemptNo, Reply),
+    Retry(usize, AttemptNo),
+    Progress(usize, AttemptNo),
     Deadline(usize),
     Wake(usize),
     Exchange,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ending {
+enum Reply {
     Answered,
     Refused,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Place {
+enum RequestPlace {
     Queue,
-    Server { no: Try, since: Time },
+    Server { no: AttemptNo, since: Time },
     Backoff,
     Over,
 }
 
 struct Request {
     instance: usize,
-    born: Time,
+    created: Time,
     deadline: Time,
-    attempt: Attempt,
-    no: Try,
-    place: Place,
+    attempt: RetryState,
+    no: AttemptNo,
+    place: RequestPlace,
     resends: u32,
 }
 
-pub struct Bench {
-    plan: Plan,
+pub struct Simulation {
+    scenario: Scenario,
     now: Time,
-    events: BinaryHeap<Reverse<(Time, u64, Ev)>>,
+    events: BinaryHeap<Reverse<(Time, u64, SimEvent)>>,
     order: u64,
-    gates: Vec<Gate>,
-    retries: Vec<Retries>,
+    controllers: Vec<AdmissionController>,
+    retries: Vec<RetryPolicy>,
     requests: Vec<Request>,
-    server: Server<(usize, Try)>,
+    server: Server<(usize, AttemptNo)>,
     callers: Callers,
     /// Refused by the server and not back at a gate yet.
     backing_off: usize,
     pub stats: Stats,
 }
 
-impl Bench {
-    pub fn run(plan: Plan) -> Stats {
-        let share = plan.share.map(SlotShare::new);
-        let share = share.unwrap_or(even_share(Slots(plan.slots), INSTANCES));
-        let gate = |_| Gate::new(plan.gate, share, Time::ZERO);
-        let retries = |i| Retries::new(plan.budget, plan.seed + i as u64);
-        let mut bench = Self {
+impl Simulation {
+    pub fn run(scenario: Scenario) -> Stats {
+        let share = scenario.share.map(SlotShare::new);
+        let share = share.unwrap_or(even_share(Slots(scenario.slots), INSTANCES));
+        let controller = |_| AdmissionController::new(scenario.controller, share, Time::ZERO);
+        let retries = |i| RetryPolicy::new(scenario.budget, scenario.seed + i as u64);
+        let mut simulation = Self {
             now: Time::ZERO,
             events: BinaryHeap::new(),
             order: 0,
-            gates: (0..INSTANCES).map(gate).collect(),
+            controllers: (0..INSTANCES).map(controller).collect(),
             retries: (0..INSTANCES).map(retries).collect(),
             requests: Vec::new(),
-            server: Server::new(plan.slots, plan.backlog, plan.seed),
-            callers: Callers::new(plan.load * plan.capacity(), plan.seed + CALLERS_SEED),
+            server: Server::new(scenario.slots, scenario.backlog, scenario.seed),
+            callers: Callers::new(
+                scenario.load * scenario.capacity(),
+                scenario.seed + CALLERS_SEED,
+            ),
             backing_off: 0,
-            stats: Stats::new(INSTANCES, plan.slots, plan.capacity()),
-            plan,
+            stats: Stats::new(INSTANCES, scenario.slots, scenario.capacity()),
+            scenario,
         };
-        bench.at(Duration::ZERO, Ev::Arrive);
-        bench.at(EXCHANGE, Ev::Exchange);
-        while let Some(Reverse((time, _, event))) = bench.events.pop() {
-            if time > plan.end {
+        simulation.at(Duration::ZERO, SimEvent::Arrive);
+        simulation.at(REPORT_INTERVAL, SimEvent::Exchange);
+        while let Some(Reverse((time, _, event))) = simulation.events.pop() {
+            if time > scenario.end {
                 break;
             }
-            bench.advance(time);
-            bench.handle(event);
+            simulation.advance(time);
+            simulation.handle(event);
         }
-        bench.stats
+        simulation.stats
     }
 
-    fn at(&mut self, after: Duration, event: Ev) {
+    fn at(&mut self, after: Duration, event: SimEvent) {
         self.order += 1;
         self.events
             .push(Reverse((self.now + after, self.order, event)));
@@ -116,34 +123,41 @@
 
     /// Counts the slots that were idle while requests waited since the last event.
     fn advance(&mut self, time: Time) {
-        let waiting: usize = self.gates.iter().map(Gate::waiting).sum();
+        let waiting: usize = self
+            .controllers
+            .iter()
+            .map(AdmissionController::waiting)
+            .sum();
         let waiting = waiting + self.backing_off;
-        let idle = self.server.idle().min(waiting as u32);
+        let idle = self.server.idle_slots().min(waiting as u32);
         self.stats.idle(idle, time - self.now, time);
         self.now = time;
     }
 
-    fn handle(&mut self, event: Ev) {
+    fn handle(&mut self, event: SimEvent) {
         match event {
-            Ev::Arrive => self.arrive(),
-            Ev::Resend { instance, left } => self.request(instance, left),
-            Ev::Reach(id, no) => self.reach(id, no),
-            Ev::Worked(id, no) => self.worked(id, no),
-            Ev::Reply(id, no, ending) => self.reply(id, no, ending),
-            Ev::Retry(id, no) => self.retry(id, no),
-            Ev::Progress(id, no) => self.gave_up(id, no),
-            Ev::Deadline(id) => self.deadline(id),
-            Ev::Wake(instance) => self.drain(instance),
-            Ev::Exchange => self.exchange(),
+            SimEvent::Arrive => self.arrive(),
+            SimEvent::Resend {
+                instance,
+                resends_left,
+            } => self.request(instance, resends_left),
+            SimEvent::Reach(id, no) => self.reach(id, no),
+            SimEvent::Worked(id, no) => self.worked(id, no),
+            SimEvent::Reply(id, no, reply) => self.reply(id, no, reply),
+            SimEvent::Retry(id, no) => self.retry(id, no),
+            SimEvent::Progress(id, no) => self.attempt_timed_out(id, no),
+            SimEvent::Deadline(id) => self.deadline(id),
+            SimEvent::Wake(instance) => self.start_waiting(instance),
+            SimEvent::Exchange => self.exchange(),
         }
     }
 
     fn arrive(&mut self) {
         let gap = self.callers.gap();
-        self.at(gap, Ev::Arrive);
+        self.at(gap, SimEvent::Arrive);
         let instance = self.callers.instance(self.now);
         self.stats.offered(instance, self.now);
-        self.request(instance, self.plan.resends);
+        self.request(instance, self.scenario.resends);
     }
 
     fn request(&mut self, instance: usize, resends: u32) {
@@ -151,35 +165,35 @@
         let deadline = self.now + Duration::from_secs(1);
         let kind = RequestKind {
             idempotent: true,
-            body: RequestBody::Kept,
+            body: RequestBody::Buffered,
             deadline,
         };
         self.requests.push(Request {
             instance,
-            born: self.now,
+            created: self.now,
             deadline,
-            attempt: Attempt::new(kind, &mut self.retries[instance]),
-            no: Try(0),
-            place: Place::Over,
+            attempt: RetryState::new(kind, &mut self.retries[instance]),
+            no: AttemptNo(0),
+            place: RequestPlace::Over,
             resends,
         });
-        self.at(Duration::from_secs(1), Ev::Deadline(id));
+        self.at(Duration::from_secs(1), SimEvent::Deadline(id));
         self.enter(id);
     }
 
     fn enter(&mut self, id: usize) {
         let (instance, deadline) = (self.requests[id].instance, self.requests[id].deadline);
         let ticket = Ticket(id as u64);
-        match self.gates[instance].arrive(ticket, deadline, self.now) {
+        match self.controllers[instance].admit(ticket, deadline, self.now) {
             Admission::Start => self.start(id),
-            Admission::Queued => self.requests[id].place = Place::Queue,
+            Admission::Queued => self.requests[id].place = RequestPlace::Queue,
             Admission::Shed { reason, wait } => self.step(id, Event::Denied { reason, wait }),
         }
-        self.arm(instance);
+        self.schedule_wake(instance);
     }
 
     fn start(&mut self, id: usize) {
-        if self.requests[id].no == Try(0) {
+        if self.requests[id].no == AttemptNo(0) {
             self.step(id, Event::Admitted);
         } else {
             self.send(id, self.requests[id].no);
@@ -190,20 +204,20 @@
         let request = &mut self.requests[id];
         let retries = &mut self.retries[request.instance];
         match request.attempt.step(event, self.now, retries) {
-            Step::Send(send) if send.after.is_zero() => {
+            Step::Send(send) if send.delay.is_zero() => {
                 request.no = send.no;
                 self.send(id, send.no);
             }
             Step::Send(send) => {
                 request.no = send.no;
-                request.place = Place::Backoff;
+                request.place = RequestPlace::Backoff;
                 self.backing_off += 1;
-                self.at(send.after, Ev::Retry(id, send.no));
+                self.at(send.delay, SimEvent::Retry(id, send.no));
             }
             Step::Answer(_) => self.failed(id),
             Step::Forward(_) => {
-                request.place = Place::Over;
-                let latency = self.now - request.born;
+                request.place = RequestPlace::Over;
+                let latency = self.now - request.created;
                 self.stats.good(request.instance, latency, self.now);
             }
             _ => {}
@@ -212,163 +226,169 @@
 
     fn failed(&mut self, id: usize) {
         let request = &mut self.requests[id];
-        request.place = Place::Over;
+        request.place = RequestPlace::Over;
         self.stats.refused(self.now);
         if request.resends > 0 {
-            let (instance, left) = (request.instance, request.resends - 1);
-            self.at(Duration::from_secs(1), Ev::Resend { instance, left });
+            let (instance, resends_left) = (request.instance, request.resends - 1);
+            self.at(
+                Duration::from_secs(1),
+                SimEvent::Resend {
+                    instance,
+                    resends_left,
+                },
+            );
         }
     }
 
-    fn send(&mut self, id: usize, no: Try) {
-        self.requests[id].place = Place::Server {
+    fn send(&mut self, id: usize, no: AttemptNo) {
+        self.requests[id].place = RequestPlace::Server {
             no,
             since: self.now,
         };
-        self.at(WAY, Ev::Reach(id, no));
-        if let Some(progress) = self.plan.progress {
-            self.at(progress, Ev::Progress(id, no));
+        self.at(NETWORK_DELAY, SimEvent::Reach(id, no));
+        if let Some(progress) = self.scenario.progress {
+            self.at(progress, SimEvent::Progress(id, no));
         }
     }
 
     fn is_down(&self) -> bool {
-        let outage = self.plan.outage;
+        let outage = self.scenario.outage;
         outage.is_some_and(|(from, to)| (from..to).contains(&self.now))
     }
 
-    fn reach(&mut self, id: usize, no: Try) {
+    fn reach(&mut self, id: usize, no: AttemptNo) {
         if self.is_down() {
             return;
         }
-        match self.server.reach((id, no)) {
-            Reached::Works(work) => self.at(work, Ev::Worked(id, no)),
-            Reached::Kept => {}
-            Reached::Refused => {
+        match self.server.accept((id, no)) {
+            Arrival::Started(work) => self.at(work, SimEvent::Worked(id, no)),
+            Arrival::Queued => {}
+            Arrival::Refused => {
                 self.stats.server_refused(self.now);
-                self.at(WAY, Ev::Reply(id, no, Ending::Refused));
+                self.at(NETWORK_DELAY, SimEvent::Reply(id, no, Reply::Refused));
             }
         }
     }
 
-    fn worked(&mut self, id: usize, no: Try) {
+    fn worked(&mut self, id: usize, no: AttemptNo) {
         if !self.is_down() {
-            self.at(WAY, Ev::Reply(id, no, Ending::Answered));
+            self.at(NETWORK_DELAY, SimEvent::Reply(id, no, Reply::Answered));
         }
-        if let Some(((id, no), work)) = self.server.worked() {
-            self.at(work, Ev::Worked(id, no));
+        if let Some(((id, no), work)) = self.server.finish() {
+            self.at(work, SimEvent::Worked(id, no));
         }
     }
 
-    fn reply(&mut self, id: usize, no: Try, ending: Ending) {
-        let release = match ending {
-            Ending::Answered => Release::Answered,
-            Ending::Refused => Release::Refused,
+    fn reply(&mut self, id: usize, no: AttemptNo, reply: Reply) {
+        let release = match reply {
+            Reply::Answered => ReleaseReason::Answered,
+            Reply::Refused => ReleaseReason::Refused,
         };
         if !self.release(id, no, release) {
             return;
         }
-        self.requests[id].place = Place::Over;
+        self.requests[id].place = RequestPlace::Over;
         let wait = None;
-        match ending {
-            Ending::Answered => self.step(id, Event::Answered(no)),
-            Ending::Refused => self.step(id, Event::Refused { no, wait }),
+        match reply {
+            Reply::Answered => self.step(id, Event::Answered(no)),
+            Reply::Refused => self.step(id, Event::Refused { no, wait }),
         }
-        self.drain(self.requests[id].instance);
+        self.start_waiting(self.requests[id].instance);
     }
 
     /// Frees the slot that a try holds; `false` if it was freed before.
-    fn release(&mut self, id: usize, no: Try, release: Release) -> bool {
+    fn release(&mut self, id: usize, no: AttemptNo, release: ReleaseReason) -> bool {
         let request = &self.requests[id];
-        let Place::Server { no: open, since } = request.place else {
+        let RequestPlace::Server { no: open, since } = request.place else {
             return false;
         };
         if open != no {
             return false;
         }
-        self.gates[request.instance].end(release, self.now - since, self.now);
+        self.controllers[request.instance].end(release, self.now - since, self.now);
         true
     }
 
-    fn retry(&mut self, id: usize, no: Try) {
-        if self.requests[id].place == Place::Backoff && self.requests[id].no == no {
+    fn retry(&mut self, id: usize, no: AttemptNo) {
+        if self.requests[id].place == RequestPlace::Backoff && self.requests[id].no == no {
             self.backing_off -= 1;
             self.enter(id);
         }
     }
 
-    fn gave_up(&mut self, id: usize, no: Try) {
-        if !self.release(id, no, Release::TimedOut) {
+    fn attempt_timed_out(&mut self, id: usize, no: AttemptNo) {
+        if !self.release(id, no, ReleaseReason::TimedOut) {
             return;
         }
-        self.requests[id].place = Place::Over;
-        self.step(id, Event::TimedOut(no, Point::Written));
-        self.drain(self.requests[id].instance);
+        self.requests[id].place = RequestPlace::Over;
+        self.step(id, Event::TimedOut(no, ExchangeStage::Written));
+        self.start_waiting(self.requests[id].instance);
     }
 
     fn deadline(&mut self, id: usize) {
         let request = &self.requests[id];
         let (instance, deadline) = (request.instance, request.deadline);
         let mut event = Event::Denied {
-            reason: Reason::TimedOut,
+            reason: FailureReason::TimedOut,
             wait: Duration::from_secs(1),
         };
         match request.place {
-            Place::Over => return,
-            Place::Queue => self.gates[instance].leave(Ticket(id as u64), deadline),
-            Place::Server { no, .. } => {
-                self.release(id, no, Release::TimedOut);
-                event = Event::TimedOut(no, Point::Written);
+            RequestPlace::Over => return,
+            RequestPlace::Queue => self.controllers[instance].cancel(Ticket(id as u64), deadline),
+            RequestPlace::Server { no, .. } => {
+                self.release(id, no, ReleaseReason::TimedOut);
+                event = Event::TimedOut(no, ExchangeStage::Written);
             }
-            Place::Backoff => self.backing_off -= 1,
+            RequestPlace::Backoff => self.backing_off -= 1,
         }
         self.step(id, event);
-        self.drain(instance);
+        self.start_waiting(instance);
     }
 
-    fn drain(&mut self, instance: usize) {
-        while let Some(turn) = self.gates[instance].next(self.now) {
-            match turn {
-                Turn::Start(Ticket(id)) => self.start(id as usize),
-                Turn::Shed { ticket, wait } => {
-                    let reason = Reason::Overloaded;
+    fn start_waiting(&mut self, instance: usize) {
+        while let Some(decision) = self.controllers[instance].next(self.now) {
+            match decision {
+                QueueDecision::Start(Ticket(id)) => self.start(id as usize),
+                QueueDecision::Shed { ticket, wait } => {
+                    let reason = FailureReason::Overloaded;
                     self.step(ticket.0 as usize, Event::Denied { reason, wait });
                 }
             }
         }
-        self.arm(instance);
+        self.schedule_wake(instance);
     }
 
-    fn arm(&mut self, instance: usize) {
-        if let Some(time) = self.gates[instance].wake(self.now) {
-            self.at(time - self.now, Ev::Wake(instance));
+    fn schedule_wake(&mut self, instance: usize) {
+        if let Some(time) = self.controllers[instance].ready_at(self.now) {
+            self.at(time - self.now, SimEvent::Wake(instance));
         }
     }
 
     fn exchange(&mut self) {
-        self.at(EXCHANGE, Ev::Exchange);
-        if self.plan.reports == Reports::Unused {
+        self.at(REPORT_INTERVAL, SimEvent::Exchange);
+        if self.scenario.reports == Reports::Unused {
             return;
         }
         let now = self.now;
-        let demands: Vec<Demand> = self.gates.iter_mut().map(|g| g.demand(now)).collect();
+        let demands: Vec<Demand> = self.controllers.iter_mut().map(|g| g.demand(now)).collect();
         for instance in 0..INSTANCES {
             let share = self.share(instance, &demands);
-            self.gates[instance].set_share(share, now);
-            self.drain(instance);
+            self.controllers[instance].set_share(share, now);
+            self.start_waiting(instance);
         }
     }
 
     fn share(&self, instance: usize, demands: &[Demand]) -> SlotShare {
         let server: ServerName = "server-1".parse().expect("a valid name");
-        let mut book = DemandBook::default();
+        let mut tracker = DemandTracker::default();
         for (peer, demand) in demands.iter().enumerate() {
-            if peer != instance && self.plan.reports == Reports::Heard {
+            if peer != instance && self.scenario.reports == Reports::Delivered {
                 let from = format!("instance-{peer}").parse().expect("a valid name");
-                book.hear(from, [(server.clone(), *demand)].into(), self.now);
+                tracker.record(from, [(server.clone(), *demand)].into(), self.now);
             }
         }
-        let slots = Slots(self.plan.slots);
-        let part = book.part(&server, slots, None, demands[instance], INSTANCES, self.now);
-        part.share
+        let slots = Slots(self.scenario.slots);
+        let quota = tracker.quota(&server, slots, None, demands[instance], INSTANCES, self.now);
+        quota.share
     }
 }
--- a/crates/core/tests/overload/stats.rs
+++ b/crates/core/tests/overload/stats.rs
@@ -7,7 +7,7 @@
 };
 
 /// Nothing before this counts for the sums.
-const WARM: Time = Time::from_micros(5_000_000);
+const WARMUP_END: Time = Time::from_micros(5_000_000);
 
 pub struct Stats {
     slots: u32,
@@ -42,34 +42,34 @@
 
     pub fn idle(&mut self, slots: u32, span: Duration, now: Time) {
         self.last = now;
-        if now >= WARM {
+        if now >= WARMUP_END {
             self.idle += f64::from(slots) * span.as_secs_f64();
         }
     }
 
     pub fn offered(&mut self, instance: usize, now: Time) {
         *self.arrived.entry(second(now)).or_default() += 1;
-        self.offered[instance] += u64::from(now >= WARM);
+        self.offered[instance] += u64::from(now >= WARMUP_END);
     }
 
     pub fn good(&mut self, instance: usize, latency: Duration, now: Time) {
         *self.answered.entry(second(now)).or_default() += 1;
-        if now >= WARM {
+        if now >= WARMUP_END {
             self.good[instance] += 1;
             self.latency.saturating_record(latency.as_micros() as u64);
         }
     }
 
     pub fn refused(&mut self, now: Time) {
-        self.refused += u64::from(now >= WARM);
+        self.refused += u64::from(now >= WARMUP_END);
     }
 
     pub fn server_refused(&mut self, now: Time) {
-        self.server_refused += u64::from(now >= WARM);
+        self.server_refused += u64::from(now >= WARMUP_END);
     }
 
     fn span(&self) -> f64 {
-        (self.last - WARM).as_secs_f64()
+        (self.last - WARMUP_END).as_secs_f64()
     }
 
     /// Answers a second over the capacity.
--- a/crates/core/tests/reported_load.rs
+++ b/crates/core/tests/reported_load.rs
@@ -1,7 +1,7 @@
 //! What servers say of their load.
 
 use {
-    citron_core::{dispatch::ToldLoad, id::Slots},
+    citron_core::{dispatch::ReportedLoad, id::Slots},
     proptest::prelude::*,
 };
 
@@ -27,20 +27,20 @@
         "3;1;4",
     ];
     for text in broken {
-        assert!(text.parse::<ToldLoad>().is_err(), "'{text}'");
+        assert!(text.parse::<ReportedLoad>().is_err(), "'{text}'");
     }
-    let told: ToldLoad = " 3, 0 ,3,95".parse().unwrap();
-    assert_eq!((told.slots, told.has_room()), (Slots(3), false));
-    assert_eq!(told.to_string(), "3,0,3,95");
+    let load: ReportedLoad = " 3, 0 ,3,95".parse().unwrap();
+    assert_eq!((load.slots, load.has_room()), (Slots(3), false));
+    assert_eq!(load.to_string(), "3,0,3,95");
     // What further figures may say is not known yet.
-    assert!("3,1,4,100,5".parse::<ToldLoad>().is_ok());
+    assert!("3,1,4,100,5".parse::<ReportedLoad>().is_ok());
 }
 
 proptest! {
     #[test]
     fn no_text_stops_the_reader(text in "[0-9,. x-]{0,24}") {
-        if let Ok(told) = text.parse::<ToldLoad>() {
-            prop_assert_eq!(told.to_string().parse::<ToldLoad>().unwrap(), told);
+        if let Ok(load) = text.parse::<ReportedLoad>() {
+            prop_assert_eq!(load.to_string().parse::<ReportedLoad>().unwrap(), load);
         }
     }
 }
--- a/crates/core/tests/route_map.rs
+++ b/crates/core/tests/route_map.rs
@@ -121,7 +121,7 @@
                     server.weight,
                     route.epoch,
                     route.scope,
-                    route.open,
+                    route.is_open,
                 )
             });
             lines.push(format!("{number} {route:?}"));
@@ -137,7 +137,7 @@
         let mut map = RouteMap::build(&table);
         for (row, write) in changes {
             let key = apply(&mut table, &row, write);
-            map = map.next(&table, &[key]);
+            map = map.with_changes(&table, &[key]);
             prop_assert_eq!(say(&map), say(&RouteMap::build(&table)));
         }
     }
--- a/crates/core/tests/slowstart.rs
+++ b/crates/core/tests/slowstart.rs
@@ -4,7 +4,9 @@
     citron_core::{
         admission::Rate,
         id::{DomainName, InstanceId, ServerName},
-        slowstart::{COLD_WINDOW, ColdBound, Group, Members, SlowStart, SlowStartGate},
+        slowstart::{
+            COLD_WINDOW, ColdBound, GroupMembers, SlowStart, SlowStartGroup, SlowStartLimiter,
+        },
         time::Time,
     },
     rand::{Rng, SeedableRng, seq::IndexedRandom},
@@ -16,16 +18,16 @@
 const SERVERS: usize = 6;
 /// The bound counts requests in any span of this length.
 const SECOND: Duration = Duration::from_secs(1);
-const STEP: Duration = Duration::from_millis(20);
-const PLAYED: Duration = Duration::from_secs(5);
+const TIME_STEP: Duration = Duration::from_millis(20);
+const SIMULATED_TIME: Duration = Duration::from_secs(5);
 
 /// One instance, whose callers ask for each cold server all the time.
 struct Instance {
     /// Its shares in the servers.
     shares: Vec<u32>,
-    gate: SlowStartGate,
+    limiter: SlowStartLimiter,
     /// From when on it sends.
-    from: Time,
+    starts_at: Time,
 }
 
 fn domain(number: usize) -> DomainName {
@@ -40,7 +42,7 @@
     format!("s-{number}").parse().unwrap()
 }
 
-fn members(numbers: impl Iterator<Item = usize>) -> Members {
+fn members(numbers: impl Iterator<Item = usize>) -> GroupMembers {
     numbers
         .map(|number| (name(number), domain(number)))
         .collect()
@@ -48,43 +50,51 @@
 
 /// Plays greedy instances with these views of the members, some of which are started
 /// anew while they send; the most requests that a server got in any second.
-fn busiest_second(views: Vec<Members>, most: u32, keyed: bool, seed: u64) -> usize {
+fn max_requests_per_second(
+    views: Vec<GroupMembers>,
+    max_requests: u32,
+    is_keyed: bool,
+    seed: u64,
+) -> usize {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let views = views.into_iter().enumerate();
     let instance = |(number, view)| {
-        let group = Group::new(name(number), view, 1);
-        let share = |at: usize| match keyed {
-            true => group.owner_share(&server(at), most),
-            false => group.pool_share(&server(at), &domain(at), most),
+        let group = SlowStartGroup::new(name(number), view, 1);
+        let share = |at: usize| match is_keyed {
+            true => group.owner_share(&server(at), max_requests),
+            false => group.pool_share(&server(at), &domain(at), max_requests),
         };
         Instance {
             shares: (0..SERVERS).map(share).collect(),
-            gate: SlowStartGate::default(),
-            from: Time::ZERO,
+            limiter: SlowStartLimiter::default(),
+            starts_at: Time::ZERO,
         }
     };
     let mut instances: Vec<Instance> = views.map(instance).collect();
     let mut sent: BTreeMap<ServerName, Vec<Time>> = BTreeMap::new();
     let mut now = Time::ZERO + COLD_WINDOW;
-    while now - Time::ZERO < PLAYED {
+    while now - Time::ZERO < SIMULATED_TIME {
         if rng.random_bool(0.02) {
             let share = rng.random_range(0.1..1.0);
             for instance in instances.iter_mut().filter(|_| rng.random_bool(share)) {
-                instance.gate = SlowStartGate::default();
-                instance.from = now + COLD_WINDOW;
+                instance.limiter = SlowStartLimiter::default();
+                instance.starts_at = now + COLD_WINDOW;
             }
         }
-        for instance in instances.iter_mut().filter(|instance| instance.from <= now) {
+        for instance in instances
+            .iter_mut()
+            .filter(|instance| instance.starts_at <= now)
+        {
             let shares = instance.shares.iter().enumerate();
             for (number, share) in shares.filter(|(_, share)| **share > 0) {
                 let server = server(number);
-                while instance.gate.admits(&server, *share, now) {
-                    instance.gate.note(&server, now);
+                while instance.limiter.admits(&server, *share, now) {
+                    instance.limiter.record(&server, now);
                     sent.entry(server.clone()).or_default().push(now);
                 }
             }
         }
-        now = now + STEP;
+        now = now + TIME_STEP;
     }
     let in_second = |times: &[Time], at: usize| {
         let later = times[at..].iter();
@@ -96,30 +106,30 @@
 
 /// What each of `count` instances knows of the others: all, but for two that have just
 /// joined, of which only some have heard.
-fn views(count: usize, rng: &mut ChaCha8Rng) -> Vec<Members> {
+fn views(count: usize, rng: &mut ChaCha8Rng) -> Vec<GroupMembers> {
     let all: Vec<usize> = (0..count).collect();
-    let joined: Vec<usize> = all.choose_multiple(rng, 2).copied().collect();
+    let joining: Vec<usize> = all.choose_multiple(rng, 2).copied().collect();
     let view = |me: usize| {
-        let hears = [rng.random_bool(0.5), rng.random_bool(0.5)];
-        let unheard = |number: &usize| {
-            let at = joined.iter().position(|new| new == number);
-            at.is_none_or(|at| *number == me || joined.contains(&me) || hears[at])
+        let is_known = [rng.random_bool(0.5), rng.random_bool(0.5)];
+        let is_listed = |number: &usize| {
+            let at = joining.iter().position(|new| new == number);
+            at.is_none_or(|at| *number == me || joining.contains(&me) || is_known[at])
         };
-        members(all.iter().copied().filter(unheard))
+        members(all.iter().copied().filter(is_listed))
     };
     (0..count).map(view).collect()
 }
 
-fn bound(rate: f64) -> u32 {
+fn cold_limit(rate: f64) -> u32 {
     let slow = SlowStart {
-        span: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         rate: Rate(rate),
     };
-    let bound = ColdBound {
+    let cold_limit = ColdBound {
         factor: 1.5,
         extra: 8.0,
     };
-    bound.most(&slow)
+    cold_limit.max_requests(&slow)
 }
 
 /// Guards against cold servers that crash, as each of hundreds of instances sends them
@@ -130,13 +140,13 @@
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = *[2, 3, 5, 9, 12, 27, 86, 195].choose(&mut rng).unwrap();
-        let most = bound(rng.random_range(0.5..12.0));
-        for keyed in [false, true] {
+        let max_requests = cold_limit(rng.random_range(0.5..12.0));
+        for is_keyed in [false, true] {
             let views = views(count, &mut rng);
-            let busiest = busiest_second(views, most, keyed, seed);
+            let busiest = max_requests_per_second(views, max_requests, is_keyed, seed);
             assert!(
-                busiest <= most as usize,
-                "seed {seed}, {count} instances, keyed {keyed}: {busiest} of {most}"
+                busiest <= max_requests as usize,
+                "seed {seed}, {count} instances, keyed {is_keyed}: {busiest} of {max_requests}"
             );
         }
     }
@@ -146,14 +156,17 @@
 /// cut off from one another: the pattern that membership by names answers.
 #[test]
 fn members_by_who_is_heard_would_overload_a_cold_server() {
-    let most = bound(4.0);
+    let max_requests = cold_limit(4.0);
     let views = (0..27).map(|me| match me % 3 {
         0 => members([me].into_iter()),
         _ => members((0..27).filter(|other| other % 3 > 0)),
     });
-    for keyed in [false, true] {
-        let busiest = busiest_second(views.clone().collect(), most, keyed, 1);
-        assert!(busiest > most as usize, "the pattern is gone: {busiest}");
+    for is_keyed in [false, true] {
+        let busiest = max_requests_per_second(views.clone().collect(), max_requests, is_keyed, 1);
+        assert!(
+            busiest > max_requests as usize,
+            "the pattern is gone: {busiest}"
+        );
     }
 }
 
@@ -161,13 +174,13 @@
 /// owners of keys nearly all that they may.
 #[test]
 fn cold_servers_get_most_of_what_they_may() {
-    let most = bound(4.0);
+    let max_requests = cold_limit(4.0);
     for count in [1, 3, 9, 27, 86, 195] {
         let views = || (0..count).map(|_| members(0..count)).collect();
-        let pool = busiest_second(views(), most, false, 1);
+        let pool = max_requests_per_second(views(), max_requests, false, 1);
         assert!(pool >= 4, "{count} instances: {pool}");
-        let owner = busiest_second(views(), most, true, 1);
-        let several = most as usize - 2;
+        let owner = max_requests_per_second(views(), max_requests, true, 1);
+        let several = max_requests as usize - 2;
         assert!(owner >= several.min(count), "{count} instances: {owner}");
     }
 }
--- a/crates/core/tests/stale/world.rs
+++ b/crates/core/tests/stale/world.rs
@@ -3,8 +3,8 @@
 use {
     citron_core::{
         dispatch::{
-            Candidate, Decision, Finish, LoadBook, PROMPT, Pace, Speed, TimeLimits, choose,
-            run_share,
+            AttemptOutcome, Candidate, ConcurrencyLimit, Decision, LoadTracker, ON_TIME_SHARE,
+            TimeLimits, Timeliness, run_share, select_server,
         },
         id::{InstanceId, Slots},
         registry::{AddressClaim, ServerEntry, ServerRecord, ServerState},
@@ -143,10 +143,10 @@
 struct Instance {
     name: InstanceId,
     domain: usize,
-    book: LoadBook,
+    book: LoadTracker,
     /// When the free connections to each server were last used.
     idle: Vec<Vec<Time>>,
-    pace: Pace,
+    pace: ConcurrencyLimit,
 }
 
 struct Server {
@@ -175,9 +175,9 @@
         let instances = (0..shape.domains * shape.instances).map(|number| Instance {
             name: format!("n-{number}").parse().unwrap(),
             domain: number % shape.domains,
-            book: LoadBook::default(),
+            book: LoadTracker::default(),
             idle: vec![Vec::new(); shape.domains * shape.servers],
-            pace: Pace::default(),
+            pace: ConcurrencyLimit::default(),
         });
         let servers = (0..shape.domains * shape.servers).map(|number| Server {
             known: known(number, number % shape.domains, shape.slots),
@@ -261,7 +261,7 @@
             .filter(|(at, _)| owner.is_none_or(|owner| owner == *at))
             .map(|(at, server)| Candidate {
                 server: &server.known,
-                kept: from.idle[at].iter().any(fresh),
+                has_connection: from.idle[at].iter().any(fresh),
                 same_domain: server.domain == from.domain,
                 load_factor: match server.domain == from.domain && !shape.keyed {
                     true => 1.0,
@@ -280,7 +280,7 @@
             self.figures.refused += u32::from(counts);
             return;
         }
-        let choice = choose(&from.book, candidates, limits, now, || rng.random());
+        let choice = select_server(&from.book, candidates, limits, now, || rng.random());
         let Decision::Send(name) = choice else {
             self.figures.refused += u32::from(counts);
             return;
@@ -291,7 +291,7 @@
             .position(|server| server.known.entry.name == name)
             .unwrap();
         let from = &mut self.instances[instance];
-        let share = run_share(from.book.get(&name).busy(), Slots(shape.slots));
+        let share = run_share(from.book.get(&name).in_flight(), Slots(shape.slots));
         from.book.begin(&name, now);
         let idle = &mut from.idle[server];
         idle.retain(fresh);
@@ -352,9 +352,9 @@
         let request = &self.requests[request];
         let name = &self.servers[request.server].known.entry.name;
         let finish = match (request.refused, request.room) {
-            (true, true) => Finish::Shed,
-            (true, false) => Finish::Full,
-            (false, _) => Finish::Ran,
+            (true, true) => AttemptOutcome::Shed,
+            (true, false) => AttemptOutcome::Full,
+            (false, _) => AttemptOutcome::Ran,
         };
         let instance = &mut self.instances[request.instance];
         let span = now - request.sent;
@@ -362,10 +362,10 @@
             instance.idle[request.server].push(now);
         }
         instance.pace.end(
-            match (finish, span > self.shape.objective.mul_f64(PROMPT)) {
-                (Finish::Shed, _) => Speed::Unknown,
-                (Finish::Full, _) | (_, true) => Speed::Late,
-                (_, false) => Speed::InTime,
+            match (finish, span > self.shape.objective.mul_f64(ON_TIME_SHARE)) {
+                (AttemptOutcome::Shed, _) => Timeliness::Unknown,
+                (AttemptOutcome::Full, _) | (_, true) => Timeliness::Late,
+                (_, false) => Timeliness::OnTime,
             },
         );
         instance.book.end(name, finish, span, request.share, now);
@@ -387,10 +387,10 @@
             let from = &self.instances[instance];
             (from.name.clone(), from.domain)
         };
-        let loads = self.instances[instance].book.own(now);
+        let loads = self.instances[instance].book.local_loads(now);
         for (number, to) in self.instances.iter_mut().enumerate() {
             if number != instance && to.domain == domain {
-                to.book.report(name.clone(), loads.clone(), now);
+                to.book.apply_report(name.clone(), loads.clone(), now);
             }
         }
     }
--- a/crates/ports/src/adapter.rs
+++ b/crates/ports/src/adapter.rs
@@ -29,9 +29,9 @@
     pub not_run: HeaderName,
     /// The key, as a number.
     pub key: HeaderName,
-    /// A server's load at the moment of its answer, as [`ToldLoad`] is written.
+    /// A server's load at the moment of its answer, as [`ReportedLoad`] is written.
     ///
-    /// [`ToldLoad`]: citron_core::dispatch::ToldLoad
+    /// [`ReportedLoad`]: citron_core::dispatch::ReportedLoad
     pub load: HeaderName,
 }
 
--- a/crates/wire/src/heartbeat/load.rs
+++ b/crates/wire/src/heartbeat/load.rs
@@ -16,10 +16,10 @@
 
 impl From<PeerLoad> for LoadWire {
     fn from(load: PeerLoad) -> Self {
-        let millis = load.run.map_or(0.0, |run| (run * 1_000.0).max(1.0));
+        let millis = load.run_time.map_or(0.0, |run| (run * 1_000.0).max(1.0));
         Self {
             server: load.server.to_string(),
-            busy: load.busy,
+            busy: load.in_flight,
             run: millis as u32,
         }
     }
@@ -31,8 +31,8 @@
     fn try_from(wire: LoadWire) -> Result<Self, ParseIdError> {
         Ok(Self {
             server: wire.server.parse()?,
-            busy: wire.busy,
-            run: (wire.run > 0).then(|| f64::from(wire.run) / 1_000.0),
+            in_flight: wire.busy,
+            run_time: (wire.run > 0).then(|| f64::from(wire.run) / 1_000.0),
         })
     }
 }
--- a/crates/wire/tests/heartbeat.rs
+++ b/crates/wire/tests/heartbeat.rs
@@ -2,8 +2,8 @@
 
 use {
     citron_core::{
-        crash::{CrashConfig, CrashLog, CrashReport, Fingerprint},
-        dispatch::{Finish, LoadBook, PeerLoad},
+        crash::{CrashConfig, CrashReport, CrashTracker, Fingerprint},
+        dispatch::{AttemptOutcome, LoadTracker, PeerLoad},
         id::ServerName,
         time::Time,
     },
@@ -36,16 +36,22 @@
 /// What an instance says of servers of which it has lately used `used`, and has a request
 /// at every tenth.
 fn loads(used: usize) -> Vec<PeerLoad> {
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     for number in 0..used {
         let server: ServerName = format!("i-{number:08x}").parse().unwrap();
         book.begin(&server, NOW);
-        book.end(&server, Finish::Ran, Duration::from_millis(200), 1.0, NOW);
+        book.end(
+            &server,
+            AttemptOutcome::Ran,
+            Duration::from_millis(200),
+            1.0,
+            NOW,
+        );
         if number % 10 == 0 {
             book.begin(&server, NOW);
         }
     }
-    book.own(NOW)
+    book.local_loads(NOW)
 }
 
 /// Guards against loads that nobody hears of: an instance that has lately used a hundred
@@ -60,7 +66,7 @@
         };
         let told = heard.loads.into_iter().map(PeerLoad::try_from);
         let told: Vec<PeerLoad> = told.map(Result::unwrap).collect();
-        let busy = told.iter().filter(|load| load.busy > 0).count();
+        let busy = told.iter().filter(|load| load.in_flight > 0).count();
         assert_eq!(busy, used.div_ceil(10).min(told.len()), "{used} servers");
         assert!(told.len() >= used.min(60), "{used} servers: {}", told.len());
     }
@@ -71,17 +77,17 @@
 /// of it was sent.
 #[test]
 fn an_instance_is_heard_whatever_it_knows_of_crashes() {
-    let mut log = CrashLog::new(CrashConfig::STARTS);
+    let mut log = CrashTracker::new(CrashConfig::PER_START);
     let server: ServerName = "i-1".parse().unwrap();
     for number in 0..200_u32 {
-        let print = Fingerprint::of(&[b"POST", &number.to_be_bytes()]);
-        log.crashed(print, "POST /pickups/mi14/2f", &server, NOW);
+        let print = Fingerprint::from_parts(&[b"POST", &number.to_be_bytes()]);
+        log.record_crash(print, "POST /pickups/mi14/2f", &server, NOW);
         if number % 2 == 0 {
-            log.answered(print, NOW);
+            log.record_answer(print, NOW);
         }
     }
-    let worst = Fingerprint::of(&[b"POST", &199_u32.to_be_bytes()]);
-    log.crashed(worst, "POST /pickups/mi14/2f", &"i-2".parse().unwrap(), NOW);
+    let worst = Fingerprint::from_parts(&[b"POST", &199_u32.to_be_bytes()]);
+    log.record_crash(worst, "POST /pickups/mi14/2f", &"i-2".parse().unwrap(), NOW);
     let told = Heartbeat {
         crashes: Some(log.report(NOW).into()),
         ..heartbeat(loads(200))
