--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,23 +1,23 @@
 //! How much work goes to a backend server, and whose.
 
-mod book;
-mod fair;
-mod gate;
-mod guards;
+mod chain;
+mod controller;
+mod demand_tracker;
 mod limit;
+mod operator_limiter;
 mod queue;
 mod rate;
 mod share;
 mod warmup;
 
 pub use {
-    book::{DemandBook, Part},
-    fair::OperatorRoom,
-    gate::{Admission, Gate, GateConfig, Turn},
-    guards::{Ask, Guards, TryEnd},
-    limit::{LimitConfig, Release, ServerLimit},
+    chain::{AdmissionChain, AttemptEnd, AttemptRequest},
+    controller::{Admission, AdmissionConfig, AdmissionController, QueueDecision},
+    demand_tracker::{DemandTracker, ServerQuota},
+    limit::{LimitConfig, ReleaseReason, ServerLimit},
+    operator_limiter::OperatorLimiter,
     queue::{Ticket, WaitQueue},
-    rate::{Rate, RateCap},
+    rate::{Rate, RateLimiter},
     share::{Demand, SlotShare, even_share, shares},
     warmup::Warmup,
 };
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,18 +1,18 @@
 //! Which backend server a request goes to now, and when it is better told to
 //! come back.
 
-mod book;
-mod choice;
-mod idle;
+mod concurrency;
+mod idle_limit;
 mod load;
-mod pace;
-mod told;
+mod load_tracker;
+mod reported_load;
+mod select;
 
 pub use {
-    book::{LoadBook, PeerLoad},
-    choice::{Candidate, Decision, RejectReason, TimeLimits, choose, sample_size},
-    idle::IdleTrust,
-    load::{Finish, ServerLoad, run_share},
-    pace::{PROMPT, Pace, Speed},
-    told::{ToldLoad, ToldLoadError},
+    concurrency::{ConcurrencyLimit, ON_TIME_SHARE, Timeliness},
+    idle_limit::IdleLimit,
+    load::{AttemptOutcome, ServerLoad, run_share},
+    load_tracker::{LoadTracker, PeerLoad},
+    reported_load::{ReportedLoad, ReportedLoadError},
+    select::{Candidate, Decision, RejectReason, TimeLimits, sample_size, select_server},
 };
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,15 +1,15 @@
 //! Servers and connections that do not behave, found by own measurements.
 
 mod config;
-mod links;
+mod connections;
 mod load;
 mod pool;
 mod server;
 
 pub use {
     config::HealthConfig,
-    links::{Blame, Kept, Links, silence_after},
-    load::ServerLoad,
+    connections::{ConnectionAge, ConnectionHealth, SilenceCause, silence_timeout},
+    load::MeasuredLoad,
     pool::PoolHealth,
-    server::{Check, ServerHealth},
+    server::{HealthDecision, ServerHealth},
 };
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -5,21 +5,21 @@
 mod budget;
 mod event;
 mod hedge;
+mod local_response;
 mod map;
 mod outcome;
-mod point;
 mod snapshot;
-mod verdict;
+mod stage;
 
 pub use {
-    attempt::{Attempt, RequestBody, RequestKind, Retries, TRIES_MAX},
+    attempt::{ATTEMPTS_MAX, RequestBody, RequestKind, RetryPolicy, RetryState},
     backoff::Backoff,
     budget::{BudgetConfig, RetryBudget},
-    event::{Event, Link, Send, Step, Try},
+    event::{AttemptNo, ConnectionPolicy, Event, SendAttempt, Step},
     hedge::HedgeDelay,
+    local_response::{FailureReason, LocalResponse},
     map::{Route, RouteMap, ServerIndex, ServiceRoutes},
     outcome::Outcome,
-    point::Point,
     snapshot::Snapshot,
-    verdict::{Reason, Verdict},
+    stage::ExchangeStage,
 };
--- a/crates/core/src/slo/reachability.rs
+++ b/crates/core/src/slo/reachability.rs
@@ -65,7 +65,7 @@
     let mut shards = ShardCounts::default();
     for route in service.shards() {
         shards.total += 1;
-        match route.filter(|route| route.open) {
+        match route.filter(|route| route.is_open) {
             Some(route) if map.server(route.server).domain == *domain => shards.same_domain += 1,
             Some(_) => shards.other_domains += 1,
             None => {}
