--- a/crates/core/src/ranges/balance/limits.rs
+++ b/crates/core/src/ranges/balance/limits.rs
@@ -1,33 +1,32 @@
-//! When keys move, and between whom.
+//! Thresholds of load balancing, and its inputs and results.
 
 use crate::{id::ServerName, ranges::KeyRange};
 
-/// When keys move for the sake of balance.
+/// Thresholds and limits for moving keys between servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BalanceLimits {
-    /// Load over the fair share above which a busy server gives keys away.
-    /// Below it the difference is mostly chance: a server with 50 requests in
-    /// the window varies by a seventh.
+    /// Load relative to the fair load above which a busy server gives up keys. Below it
+    /// the difference is mostly random: with 50 requests in the window, the load varies
+    /// by a seventh.
     pub busy_ratio: f64,
-    /// The part of its slots in use from which a server counts as busy. Under
-    /// it requests hardly wait for one another.
+    /// Utilization above which a server counts as busy. Below it requests rarely wait for
+    /// one another.
     pub busy_utilization: f64,
-    /// Load over the fair share above which even a server that is not busy
-    /// gives keys away, as a rise of traffic would hit it first.
+    /// Load relative to the fair load above which even a server that is not busy gives up
+    /// keys, because a rise in traffic would overload it first.
     pub idle_ratio: f64,
-    /// Moves of a service under way at a time. Each stops a few keys for as long
-    /// as the requests on them last.
+    /// Maximum number of concurrent moves of a service. Each move blocks its keys until
+    /// the requests in progress on them have ended.
     pub max_moves: usize,
-    /// The part of its slots that a server is asked for from which it is
-    /// overloaded: what it cannot run stops more callers than moves do.
+    /// Utilization above which a server is overloaded. Requests beyond its capacity hold
+    /// up more callers than moves do.
     pub overload_utilization: f64,
-    /// Moves under way at a time while servers are overloaded, for each server
-    /// that can take keys.
+    /// Maximum number of concurrent moves per server while servers are overloaded.
     pub surge_per_server: f64,
 }
 
 impl BalanceLimits {
-    /// The defaults; see the fields.
+    /// Default thresholds; the fields give the reasons.
     pub const STANDARD: Self = Self {
         busy_ratio: 1.2,
         busy_utilization: 0.5,
@@ -37,7 +36,8 @@
         surge_per_server: 0.75,
     };
 
-    /// Moves at a time from overloaded servers, where `servers` can take keys.
+    /// Maximum number of concurrent moves away from overloaded servers, given the number
+    /// of `servers`.
     ///
     /// ```
     /// use citron_core::ranges::BalanceLimits;
@@ -50,24 +50,24 @@
     }
 }
 
-/// What a server can do.
+/// Capacity of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Capacity {
     /// The server.
     pub server: ServerName,
-    /// Requests a second that it can run.
+    /// Requests per second that it can run.
     pub rate: f64,
-    /// Whether it may be given more keys.
+    /// Whether it may be assigned more keys.
     pub accepts_keys: bool,
 }
 
-/// Keys that should go to another server.
+/// Planned move of keys to another server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reassignment {
     /// The keys.
     pub range: KeyRange,
-    /// Their owner so far, if any.
+    /// The current owner, if any.
     pub from: Option<ServerName>,
-    /// Their next owner.
+    /// The new owner.
     pub to: ServerName,
 }
--- a/crates/core/src/ranges/balance/merge.rs
+++ b/crates/core/src/ranges/balance/merge.rs
@@ -1,22 +1,22 @@
-//! Moves that join slices again.
+//! Moves that merge small slices with their neighbours.
 
 use {
     super::{Balancer, Reassignment},
     crate::{id::ServerName, ranges::KeyRange},
 };
 
-/// Part of its next owner's fair load up to which a slice is given to the owner of a
-/// neighbour: the balance stays as it is.
+/// Share of the recipient's fair load below which a slice may be merged into a neighbour
+/// without affecting the balance.
 const SMALL_FRACTION: f64 = 0.1;
 
 impl Balancer<'_> {
-    /// Moves that join slices which hardly anybody asks for with a neighbour, where
-    /// `open_moves` moves are under way; `slices` are slices in the order of their keys
-    /// that are not on their way.
+    /// Plans moves of slices with little demand to the owner of an adjacent slice, while
+    /// `open_moves` moves are in progress. `slices` are the slices that are not moving,
+    /// in key order.
     ///
-    /// A range that is hot for some seconds is cut into as many slices as servers
-    /// share it. Left alone they cost the planner an order each every other second,
-    /// and after a few such ranges there would be no room for the cuts of the next.
+    /// A range that is hot for some seconds is split into as many slices as servers share
+    /// it. If they stayed, each would cost the planner a renewal every 2.5 s, and after a
+    /// few such ranges the limit on slices would leave no room to split the next one.
     pub fn merges(
         &self,
         open_moves: usize,
@@ -29,7 +29,7 @@
             match self.merge(&slices[index - 1], &slices[index]) {
                 Some(merge) => {
                     merges.push(merge);
-                    // Neither of the two is joined with another one meanwhile.
+                    // Neither of the two slices takes part in another merge of this plan.
                     index += 2;
                 }
                 None => index += 1,
--- a/crates/core/src/ranges/balance/mod.rs
+++ b/crates/core/src/ranges/balance/mod.rs
@@ -1,4 +1,4 @@
-//! Which keys should go from one server to another.
+//! Load balancing: which keys to move, and to which server.
 
 mod limits;
 mod merge;
--- a/crates/core/src/ranges/balance/plan.rs
+++ b/crates/core/src/ranges/balance/plan.rs
@@ -1,4 +1,4 @@
-//! Servers' loads, and owners for keys that need one.
+//! Projected server loads, and placement of keys that need an owner.
 
 use {
     super::{BalanceLimits, Capacity},
@@ -9,42 +9,46 @@
     std::collections::BTreeMap,
 };
 
-/// Requests a second that a key counts without any, when keys are shared out: a
-/// thousandth of a server's usual load over the whole space.
+/// Requests per second added for each key when keys are distributed, so that keys without
+/// demand count as well. Over the whole key space this is a thousandth of a server's
+/// usual load.
 const IDLE_KEY_RATE: f64 = 1e-6;
-/// Stripes that keys are first dealt out in, over all servers: each is renewed
-/// on its own, at some 60 orders a second in all.
+/// Number of stripes for the first assignment of a service's keys. Each is renewed
+/// separately, which adds up to about 60 orders per second.
 const TOTAL_STRIPES: usize = 120;
-/// Stripes of one server at most.
+/// Maximum number of stripes per server.
 const MAX_STRIPES_PER_SERVER: usize = 6;
-/// Part of a server's mean load up to which keys find a new owner undivided.
+/// Share of the mean server load up to which a range is reassigned without being split.
 const UNSPLIT_FRACTION: f64 = 0.5;
 
-/// What a server has, and can do.
+/// Load and capacity of a server.
 #[derive(Debug)]
 pub(super) struct ServerLoad {
+    /// Requests per second that the server can run.
     pub rate: f64,
+    /// Whether it may be assigned more keys.
     pub accepts_keys: bool,
+    /// Requests per second for its keys.
     pub load: f64,
-    /// The demand of its busiest key.
+    /// Requests per second of its busiest hot key.
     pub hottest_key_rate: f64,
 }
 
-/// The plan of one moment: servers' loads as they will be after the moves under
-/// way, and where more keys should go.
+/// Load balancing at one moment: projected loads after all moves in progress, and the
+/// placement of further keys.
 #[derive(Debug)]
 pub struct Balancer<'a> {
     pub(super) limits: BalanceLimits,
     pub(super) demand: &'a Demand,
     pub(super) by_server: BTreeMap<ServerName, ServerLoad>,
-    /// Load for each unit of rate, if it lay evenly.
+    /// Load divided by capacity if the load were spread evenly.
     pub(super) fair_utilization: f64,
 }
 
 impl<'a> Balancer<'a> {
-    /// A plan for servers that may take keys.
+    /// Creates a balancer without load for servers of the given capacities.
     pub fn new(limits: BalanceLimits, capacities: &[Capacity], demand: &'a Demand) -> Self {
-        // Keys without an owner are worse off than those of a cold one.
+        // If no server accepts keys, all do: a cold owner is better than none.
         let no_recipient = !capacities.iter().any(|capacity| capacity.accepts_keys);
         let entry = |capacity: &Capacity| {
             let entry = ServerLoad {
@@ -63,30 +67,30 @@
         }
     }
 
-    /// Requests a second for a range.
+    /// Requests per second for `range`.
     pub fn demand(&self, range: KeyRange) -> f64 {
         self.demand.rate(range)
     }
 
-    /// How many servers there are.
+    /// Number of servers.
     pub fn server_count(&self) -> usize {
         self.by_server.len()
     }
 
-    /// The servers that may be given keys.
+    /// Servers that may be assigned keys.
     pub(super) fn recipients(&self) -> impl Iterator<Item = (&ServerName, &ServerLoad)> {
         self.by_server
             .iter()
             .filter(|(_, entry)| entry.accepts_keys)
     }
 
-    /// The limits in force.
+    /// The thresholds in use.
     pub fn limits(&self) -> &BalanceLimits {
         &self.limits
     }
 
-    /// Adds the load of keys to the server that owns them, or will.
-    /// [`Self::update_fair_utilization`] follows.
+    /// Adds the load of `range` to its current or future owner. Call
+    /// [`Self::update_fair_utilization`] after the last call.
     pub fn add_load(&mut self, server: &ServerName, range: KeyRange) {
         let demand = self.weight(range);
         let hottest_key_rate = self
@@ -99,9 +103,9 @@
         }
     }
 
-    /// Works out the fair share, once all loads are known. A server with a key
-    /// that alone is more than that has its share already: the others divide
-    /// the rest.
+    /// Computes the fair utilization from the loads. A server whose single hottest key
+    /// exceeds its fair load is left out with that key, and the other servers share the
+    /// rest.
     pub fn update_fair_utilization(&mut self) {
         let (mut load, mut rate) = self.totals();
         let mut busiest: Vec<&ServerLoad> = self.by_server.values().collect();
@@ -119,16 +123,16 @@
         self.fair_utilization = load.max(0.0) / rate;
     }
 
-    /// Load over the fair share of the server where it is highest.
+    /// Highest load of any server relative to its fair load.
     pub fn max_relative_load(&self) -> f64 {
         let relative = |entry: &ServerLoad| entry.load / (self.fair_utilization * entry.rate);
         let all = self.by_server.values().map(relative);
         all.filter(|value| value.is_finite()).fold(0.0, f64::max)
     }
 
-    /// Finds new owners for keys, the least loaded servers first; none if there
-    /// is no server. Only a range with much demand is divided: each part is an
-    /// order of its own, and a renewal every other second from then on.
+    /// Splits `range` among the least loaded servers; empty if there are no servers. Only
+    /// a range with high demand is split, because each part costs one order now and a
+    /// renewal every 2.5 s.
     pub fn distribute(&mut self, range: KeyRange) -> Vec<(KeyRange, ServerName)> {
         let (load, _) = self.totals();
         let demand = self.weight(range);
@@ -151,16 +155,16 @@
             parts.push((part, to));
             rest = above;
         }
-        // What rounding left over goes with the last part.
+        // Keys left over by rounding go to the last part.
         if let (Some(left), Some((part, _))) = (rest, parts.last_mut()) {
             part.last = left.last;
         }
         parts
     }
 
-    /// Deals keys that never had an owner out in stripes. Busy keys lie close to
-    /// one another, so that equal parts of the space would give all of them to
-    /// one server until the demand is known; of stripes several servers get a part.
+    /// Divides keys that never had an owner into stripes over all servers. Busy keys lie
+    /// close together: with one contiguous range per server, a single server would own
+    /// all of them until demand is known.
     pub fn assign_stripes(&mut self, range: KeyRange) -> Vec<(KeyRange, ServerName)> {
         let servers: Vec<ServerName> = self
             .recipients()
@@ -189,9 +193,9 @@
         parts
     }
 
-    /// Cuts `left`, the upper end of `range`, where the part `entry` of the
-    /// whole demand ends. Keys without demand count a little, so that a range
-    /// nobody asks for is still cut evenly.
+    /// Splits `left`, the upper end of `range`, at the key below which lies `fraction` of
+    /// the weight of `range`. Keys without demand have a small weight, so that an idle
+    /// range is split evenly.
     fn split(
         &self,
         range: KeyRange,
@@ -226,10 +230,12 @@
         )
     }
 
+    /// Requests per second for `range`, with a small addition for each key.
     fn weight(&self, range: KeyRange) -> f64 {
         self.demand.rate(range) + f64::from(range.len()) * IDLE_KEY_RATE
     }
 
+    /// Load and capacity of all servers together.
     fn totals(&self) -> (f64, f64) {
         let load: f64 = self.by_server.values().map(|entry| entry.load).sum();
         let rate: f64 = self.by_server.values().map(|entry| entry.rate).sum();
--- a/crates/core/src/ranges/balance/rebalance.rs
+++ b/crates/core/src/ranges/balance/rebalance.rs
@@ -1,4 +1,4 @@
-//! Moves that make loads more even.
+//! Moves that even out server loads.
 
 use {
     super::{Balancer, Reassignment, plan::ServerLoad},
@@ -9,22 +9,24 @@
     std::collections::BTreeMap,
 };
 
-/// Requests in the demand without which nothing is known of where keys should
-/// be: ten cuts made of two requests each would all be wrong.
+/// Requests in the window below which nothing is moved: ten cuts based on two requests
+/// each would all be wrong.
 const MIN_REQUESTS: f64 = 40.0;
-/// Load after the move of a hot key, as a part of the load before, from which
-/// the move is worth its pause.
+/// A hot key is moved only if the utilization of its new owner is below this fraction of
+/// its current owner's; otherwise the gain is not worth the interruption.
 const HOT_KEY_GAIN: f64 = 0.7;
-/// How far, in standard deviations, a load must lie over its fair share before
-/// it is taken for more than chance.
+/// Number of standard deviations by which a load must exceed the fair load to count as
+/// more than random variation.
 const EXCESS_SIGMAS: f64 = 2.0;
-/// How much of the wished amount a move must carry at least.
+/// Fraction of the requested load that a move must carry at least.
 const MIN_FRACTION: f64 = 0.6;
-/// How much of it a move may carry at most; more would swap the roles.
+/// Fraction of the requested load that a move may carry at most. More would make the
+/// recipient the overloaded one.
 const MAX_FRACTION: f64 = 1.25;
 
-/// Keys of servers that are not on their way, asked for once a server: a hot
-/// range is divided among hundreds of servers, all from the same one.
+/// Cache of each server's ranges that are not moving. A hot range is divided among
+/// hundreds of servers, all of it from the same owner, so the lookup runs once per
+/// server.
 struct MovableRanges<F> {
     lookup: F,
     cache: BTreeMap<ServerName, Vec<KeyRange>>,
@@ -46,9 +48,9 @@
 }
 
 impl Balancer<'_> {
-    /// Moves that make the loads more even, the most needed first, where `open_moves` of
-    /// them are under way. `ranges` are the keys of a server that are not on their
-    /// way; they are only cut if `may_split` says so.
+    /// Plans moves that even out the loads, most urgent first, while `open_moves` moves
+    /// are in progress. `lookup` returns the ranges of a server that are not moving; they
+    /// are split only if `may_split` is set.
     pub fn reassignments(
         &mut self,
         open_moves: usize,
@@ -96,7 +98,7 @@
         Some(reassignment)
     }
 
-    /// Keys of a server that together make it as loaded as the others.
+    /// Moves keys whose load brings the donor down to its fair load.
     fn move_excess(
         &self,
         from: &ServerName,
@@ -123,7 +125,7 @@
             .or_else(|| fallback().and_then(try_recipient))
     }
 
-    /// The part that carries about `amount` in the fewest keys.
+    /// The range with about `amount` of load in the fewest keys.
     fn best_range(
         &self,
         ranges: &[KeyRange],
@@ -137,9 +139,9 @@
         found.max_by(|a, b| score(*a, amount).total_cmp(&score(*b, amount)))
     }
 
-    /// A key that alone is more than a server's share, to a server that is much
-    /// faster or has much less beside it. It cannot be divided; each move stops
-    /// it for a while, so that a small gain is not worth one.
+    /// Moves a single key that exceeds a server's fair load to a server that is much
+    /// faster or much less loaded. The key cannot be split, and each move interrupts it,
+    /// so a small gain is not worth a move.
     fn move_hot_key(&self, from: &ServerName, ranges: &[KeyRange]) -> Option<(Reassignment, f64)> {
         let donor = self.by_server.get(from)?;
         let hottest = ranges
@@ -159,8 +161,8 @@
             .then(|| (reassign(range, from, to), moved_rate))
     }
 
-    /// Servers that should give keys away while so many moves are under way, the
-    /// most loaded first.
+    /// Servers that should give up keys while `open_moves` moves are in progress, most
+    /// loaded first.
     fn donors(&self, open_moves: usize) -> Vec<ServerName> {
         if open_moves >= self.limits.max_surge_moves(self.server_count()) {
             return Vec::new();
@@ -181,7 +183,7 @@
             .collect()
     }
 
-    /// Whether a server is asked for more than it can run.
+    /// Whether any server receives more requests than it can run.
     pub fn has_overload(&self) -> bool {
         self.by_server
             .values()
@@ -205,14 +207,14 @@
         is_busy || relative > self.limits.idle_ratio
     }
 
-    /// The whole range, if it does not carry too much.
+    /// The whole range, if it does not carry too much load.
     fn whole_range(&self, range: KeyRange, amount: f64) -> Option<(KeyRange, f64)> {
         let whole = self.demand.rate(range);
         (whole > 0.0 && whole <= amount * MAX_FRACTION).then_some((range, whole))
     }
 
-    /// The shortest run of keys with about `amount` of demand: what moves is
-    /// paid by the key, and cold keys gain nothing. Less, if the range has less.
+    /// The shortest run of keys with about `amount` of load: a move costs by the key, and
+    /// idle keys gain nothing. If the range has less load, the whole range.
     fn densest_run(&self, range: KeyRange, amount: f64) -> Option<(KeyRange, f64)> {
         let sum = |key: usize| self.demand.rate_below(key);
         let whole = self.demand.rate(range);
@@ -244,7 +246,7 @@
         best
     }
 
-    /// The least loaded server, and what it lacks of its fair share.
+    /// The least loaded server, and how far it is below its fair load.
     fn least_loaded(&self) -> Option<(&ServerName, f64)> {
         let least = self
             .recipients()
@@ -252,9 +254,9 @@
         least.map(|(server, entry)| (server, self.fair_utilization * entry.rate - entry.load))
     }
 
-    /// The server that can run the most besides what it has, and how much that is.
-    /// Keys of an overloaded server may be busier each than what others lack of their
-    /// fair share, and would stay where their callers are refused.
+    /// The server with the most spare capacity, and how much that is. Each key of an
+    /// overloaded server can exceed what any other server lacks to its fair load; limited
+    /// to the fair load, such keys would stay on a server that rejects their requests.
     fn most_headroom(&self) -> Option<(&ServerName, f64)> {
         let headroom =
             |entry: &ServerLoad| entry.rate * self.limits.overload_utilization - entry.load;
@@ -273,8 +275,8 @@
     }
 }
 
-/// Prefers what carries the wished amount in few keys; what carries less, by how
-/// much it carries.
+/// Ranks ranges that carry enough load by load per key, above all others, which are
+/// ranked by load.
 fn score((range, moved_rate): (KeyRange, f64), amount: f64) -> f64 {
     match moved_rate >= amount * MIN_FRACTION {
         true => 1.0 + moved_rate / f64::from(range.len()),
--- a/crates/core/src/ranges/balance_timer.rs
+++ b/crates/core/src/ranges/balance_timer.rs
@@ -1,12 +1,12 @@
-//! When moves for balance are planned.
+//! Timing of rebalancing.
 
 use {crate::time::Time, std::time::Duration};
 
-/// Time between two plans for balance: the demand seen is some seconds old, and
-/// a move must show in it before the next one is planned.
+/// Interval between two rebalancing plans. Observed demand lags, so the effect of a move
+/// must show in it before the next plan.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Tells when the next plan for balance is due.
+/// Timer that tells when the next rebalancing plan is due.
 ///
 /// ```
 /// use {citron_core::{ranges::BalanceTimer, time::Time}, std::time::Duration};
@@ -23,17 +23,17 @@
 }
 
 impl BalanceTimer {
-    /// Counts from now.
+    /// Starts the interval at `now`.
     pub fn new(now: Time) -> Self {
         Self { last_due: now }
     }
 
-    /// Whether a plan is due now, if it `is_allowed` be made at all; at once if other keys are
-    /// asked for all of a `has_changed`.
+    /// Whether a plan is due, and if so restarts the interval. A plan is due at once if
+    /// demand `has_changed` suddenly, and never unless it `is_allowed`.
     ///
-    /// It may not while the store does not answer: keys that were released for a move
-    /// would have no owner until it takes the commit, and their callers would be refused
-    /// for as long as it is away.
+    /// Callers disallow it while the store does not answer: keys released for a move
+    /// would have no owner until the store accepts the commit, and requests for them
+    /// would be rejected for the whole outage.
     pub fn is_due(&mut self, has_changed: bool, is_allowed: bool, now: Time) -> bool {
         let is_due = is_allowed && (has_changed || now - self.last_due > BALANCE_INTERVAL);
         if is_due {
--- a/crates/core/src/ranges/demand.rs
+++ b/crates/core/src/ranges/demand.rs
@@ -1,4 +1,4 @@
-//! How often keys are asked for.
+//! Request rates by key.
 
 use {
     super::{KeyRange, RangeKey},
@@ -6,21 +6,22 @@
     std::time::Duration,
 };
 
-/// Keys of the space.
+/// Number of keys in the key space.
 const KEY_COUNT: usize = 65_536;
-/// Parts of the key space in which one demand is compared with another.
+/// Number of equal buckets of the key space in which two demands are compared.
 pub const BUCKETS: usize = 16;
-/// Keys of a part.
+/// Keys in a bucket.
 const BUCKET_KEYS: usize = KEY_COUNT / BUCKETS;
-/// Bounds of the factor by which demand outside of what has changed is scaled: the
-/// few requests left there tell little.
+/// Bounds of the factor that scales the demand of unchanged buckets: the few requests
+/// left there are a weak estimate.
 const SCALE_BOUNDS: [f64; 2] = [0.25, 4.0];
-/// A window counts as at least so old.
+/// Lower bound of a window's age when rates are computed.
 const MIN_AGE: Duration = Duration::from_millis(100);
-/// Half-lives after which the weights are scaled back, well within `f32`.
+/// Age of the weights' origin, in half-lives, at which they are scaled back. Well within
+/// the range of `f32`.
 const RESCALE_HALF_LIVES: f64 = 40.0;
 
-/// How much keys are asked for at one moment.
+/// Request rates of all keys at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     cumulative: Vec<f32>,
@@ -29,29 +30,30 @@
 }
 
 impl Demand {
-    /// Requests a second for a range.
+    /// Requests per second for `range`.
     pub fn rate(&self, range: KeyRange) -> f64 {
         self.rate_below(usize::from(range.last.0) + 1) - self.rate_below(usize::from(range.first.0))
     }
 
-    /// Requests a second for the keys below one, as a number up to 65,536.
+    /// Requests per second for all keys below `key`, which is at most 65,536.
     pub fn rate_below(&self, key: usize) -> f64 {
         self.cumulative.get(key).copied().map_or(0.0, f64::from)
     }
 
-    /// The busiest of the keys of a range that are hot by themselves.
+    /// The busiest of the hot keys in `range`, with its requests per second.
     pub fn hottest_key(&self, range: KeyRange) -> Option<(RangeKey, f64)> {
         let within = self.hot_keys.iter().filter(|(key, _)| range.contains(*key));
         within.copied().max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// Seconds of requests that this stands for.
+    /// Effective length of the window in seconds: the count of requests is the rate times
+    /// this.
     pub fn window_secs(&self) -> f64 {
         self.window_secs
     }
 
-    /// This demand with what a newer one says of the parts of the key space that
-    /// have `changed`. The other parts are scaled to what is left of the newer one.
+    /// Replaces the demand of the `changed` buckets by that of `newer`, and scales the
+    /// other buckets to the rate that `newer` shows for them.
     pub fn with_changes(&self, newer: &Self, changed: &[bool; BUCKETS]) -> Self {
         let rest = |demand: &Self| -> f64 {
             let kept = (0..BUCKETS).filter(|bucket| !changed[*bucket]);
@@ -83,10 +85,10 @@
     }
 }
 
-/// Requests by key, each counting half after every half-life.
+/// Exponentially decayed request counts by key.
 ///
-/// Newer requests weigh more instead of older ones weighing less, so that a
-/// request costs one addition, whatever the number of keys.
+/// The weight of new requests grows instead of old weights shrinking, so that a request
+/// costs one addition regardless of the number of keys.
 ///
 /// ```
 /// use {citron_core::{ranges::*, time::Time}, std::time::Duration};
@@ -100,16 +102,16 @@
 #[derive(Debug)]
 pub struct KeyDemand {
     half_life: Duration,
-    /// When the first request was counted.
+    /// Time of the first request.
     started: Option<Time>,
     origin: Time,
     weights: Vec<f32>,
-    /// Sums of the weights, by part of the key space.
+    /// Sum of the weights in each bucket.
     bucket_weights: [f64; BUCKETS],
 }
 
 impl KeyDemand {
-    /// No request yet.
+    /// Creates a counter without requests.
     pub fn new(half_life: Duration) -> Self {
         Self {
             half_life,
@@ -131,12 +133,12 @@
         self.bucket_weights[usize::from(key.0) / BUCKET_KEYS] += weight;
     }
 
-    /// How many requests this stands for.
+    /// Decayed number of requests.
     pub fn count(&self, now: Time) -> f64 {
         self.bucket_weights.iter().sum::<f64>() * (-self.elapsed_half_lives(now)).exp2()
     }
 
-    /// The part of all requests that goes to each part of the key space.
+    /// Share of all requests in each bucket.
     pub fn distribution(&self) -> [f64; BUCKETS] {
         let total = self
             .bucket_weights
@@ -146,17 +148,17 @@
         self.bucket_weights.map(|weight| weight / total)
     }
 
-    /// The demand now. That of keys that are not hot by themselves is spread over
-    /// their neighbours: busy keys lie close to one another, and single requests
-    /// say more of the neighbourhood than of their key.
+    /// Estimates the current demand. The demand of keys that are not hot is smoothed over
+    /// neighbouring keys: busy keys lie close together, so a single request says more
+    /// about its neighbourhood than about its own key.
     pub fn snapshot(&self, now: Time) -> Demand {
         let window_secs = self.window_secs(now);
         let scale = (-self.elapsed_half_lives(now)).exp2() / window_secs;
         let total: f64 = self.weights.iter().map(|weight| f64::from(*weight)).sum();
         let hot_min = (total * HOT_FRACTION).max(HOT_MIN_REQUESTS / (scale * window_secs));
         let radius = smoothing_radius(total * (-self.elapsed_half_lives(now)).exp2());
-        // Sums of the cooler keys' weights, and sums of those sums: the mean of
-        // any window of sums is then one subtraction.
+        // Cumulative weights of the keys that are not hot, and their running sums: the
+        // mean over any window is then one subtraction.
         let (mut cool_weight, mut cool_sum, mut hot_weight) = (0.0_f64, 0.0_f64, 0.0_f64);
         let mut cool_sums = Vec::with_capacity(KEY_COUNT + 2);
         let mut cumulative = Vec::with_capacity(KEY_COUNT + 1);
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Seconds of requests: a steady rate r adds up to r * half-life / ln 2 decayed
-    /// requests in the end, and to fewer while the window is young.
+    /// Effective length of the window in seconds. A steady rate r converges to r *
+    /// half-life / ln 2 decayed requests, and to fewer while the window is young.
     fn window_secs(&self, now: Time) -> f64 {
         let age = self
             .started
@@ -210,15 +212,14 @@
     }
 }
 
-/// Part of all requests from which a key is hot by itself.
+/// Share of all requests above which a key is hot.
 const HOT_FRACTION: f64 = 0.01;
-/// Requests, after decay, that a hot key must have had at least.
+/// Decayed requests that a hot key must have at least.
 const HOT_MIN_REQUESTS: f64 = 4.0;
-/// Requests for which the keys on each side over which demand is spread are
-/// enough to tell one neighbourhood from the next; more of them are needed the
-/// fewer requests there are.
+/// The smoothing radius is this divided by the number of requests: with fewer requests,
+/// more keys are needed to tell one neighbourhood from the next.
 const SMOOTHING_REQUESTS: f64 = 8_000.0;
-/// Keys on each side at least and at most.
+/// Lower and upper bound of the smoothing radius, in keys on each side.
 const RADIUS_BOUNDS: [f64; 2] = [12.0, 400.0];
 
 fn bucket_range(bucket: usize) -> KeyRange {
@@ -233,9 +234,9 @@
     (SMOOTHING_REQUESTS / requests.max(1.0)).clamp(RADIUS_BOUNDS[0], RADIUS_BOUNDS[1]) as usize
 }
 
-/// The mean of the sums around a key, which spreads the demand evenly; `sums`
-/// are sums of sums. At the ends of the space the window shrinks, so that nothing
-/// is lost.
+/// Mean of the cumulative weights around `key`, which spreads demand evenly over the
+/// radius; `sums` are their running sums. At the ends of the key space the radius
+/// shrinks, so that no demand is lost.
 fn smooth(sums: &[f64], key: usize, radius: usize) -> f64 {
     let radius = radius.min(key).min(KEY_COUNT - key);
     (sums[key + radius + 1] - sums[key - radius]) / (2 * radius + 1) as f64
--- a/crates/core/src/ranges/error.rs
+++ b/crates/core/src/ranges/error.rs
@@ -1,41 +1,42 @@
-//! What is refused of keys, ranges and maps.
+//! Errors of keys, ranges and maps.
 
 use {
     super::{KeyRange, RangeKey},
     thiserror::Error,
 };
 
-/// Why a key, a range or a map of them is refused.
+/// Why a key, a range or a map was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RangeError {
-    /// Not a key.
-    #[error("'{input}' is no key from 0 to 65535")]
+    /// The text is not a key.
+    #[error("'{input}' is not a key from 0 to 65535")]
     InvalidKey {
-        /// What was found.
+        /// The rejected text.
         input: String,
     },
-    /// The ends are in the wrong order.
-    #[error("{first} to {last} is no range: its first key is above its last")]
+    /// The first key is above the last one.
+    #[error("invalid range {first}-{last}: the first key is above the last")]
     InvalidOrder {
         /// The first key.
         first: RangeKey,
         /// The last key.
         last: RangeKey,
     },
-    /// Slices leave a key out, or hold it twice.
-    #[error("slice {range} does not begin where the one before it ends")]
+    /// The slices leave a gap or overlap.
+    #[error("slices leave a gap or overlap at {range}")]
     NotContiguous {
-        /// The slice that begins elsewhere.
+        /// The slice that does not start right after the one before it, or the whole key
+        /// space if the last slice ends too early.
         range: KeyRange,
     },
-    /// An epoch that is not above all former ones of a key.
-    #[error("epoch {epoch} of {range} is not above {highest}")]
+    /// The epoch is not above every earlier epoch of the keys.
+    #[error("epoch {epoch} of {range} is not above the earlier epoch {highest}")]
     StaleEpoch {
         /// The keys.
         range: KeyRange,
-        /// What was to be set.
+        /// The rejected epoch.
         epoch: u64,
-        /// The highest former epoch.
+        /// The highest earlier epoch.
         highest: u64,
     },
 }
--- a/crates/core/src/ranges/key.rs
+++ b/crates/core/src/ranges/key.rs
@@ -1,11 +1,11 @@
-//! Keys of an ordered space, and runs of them.
+//! Keys of an ordered space, and ranges of them.
 
 use {
     super::RangeError,
     std::{fmt, str::FromStr},
 };
 
-/// A key of an ordered space: 0 to 65,535.
+/// Key of an ordered space, from 0 to 65,535.
 ///
 /// ```
 /// use citron_core::ranges::RangeKey;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Keys from `first` to `last`, both included.
+/// Inclusive range of keys.
 ///
 /// ```
 /// use citron_core::ranges::{KeyRange, RangeKey};
@@ -43,23 +43,24 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyRange {
-    /// The lowest key.
+    /// Lowest key of the range.
     pub first: RangeKey,
-    /// The highest key.
+    /// Highest key of the range.
     pub last: RangeKey,
 }
 
 impl KeyRange {
-    /// Every key.
+    /// The whole key space.
     pub const ALL: Self = Self {
         first: RangeKey(0),
         last: RangeKey(u16::MAX),
     };
 
-    /// Checks the order of the ends.
+    /// Creates a range after checking the order of its ends.
     ///
     /// # Errors
-    /// If `first` is above `last`.
+    ///
+    /// Returns [`RangeError::InvalidOrder`] if `first` is above `last`.
     pub fn new(first: RangeKey, last: RangeKey) -> Result<Self, RangeError> {
         if first > last {
             return Err(RangeError::InvalidOrder { first, last });
@@ -67,35 +68,35 @@
         Ok(Self { first, last })
     }
 
-    /// How many keys it holds, at least 1.
+    /// Number of keys in the range, at least 1.
     #[allow(clippy::len_without_is_empty)]
     pub fn len(self) -> u32 {
         u32::from(self.last.0) - u32::from(self.first.0) + 1
     }
 
-    /// Whether it holds a key.
+    /// Whether the range contains `key`.
     pub fn contains(self, key: RangeKey) -> bool {
         self.first <= key && key <= self.last
     }
 
-    /// Whether it holds all keys of another.
+    /// Whether the range contains all keys of `other`.
     pub fn covers(self, other: Self) -> bool {
         self.first <= other.first && other.last <= self.last
     }
 
-    /// The keys that both hold.
+    /// Keys that both ranges contain; `None` if they are disjoint.
     pub fn intersection(self, other: Self) -> Option<Self> {
         let first = self.first.max(other.first);
         let last = self.last.min(other.last);
         (first <= last).then_some(Self { first, last })
     }
 
-    /// The key above the last one; `None` at the end of the space.
+    /// The key after `last`; `None` at the end of the key space.
     pub fn next_key(self) -> Option<RangeKey> {
         self.last.0.checked_add(1).map(RangeKey)
     }
 
-    /// What lies below and above `excluded` within this range.
+    /// The parts of this range below and above `excluded`, which lies within the range.
     pub fn difference(self, excluded: Self) -> [Option<Self>; 2] {
         let below = (self.first < excluded.first).then(|| Self {
             first: self.first,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Ranges without the keys of another.
+/// Removes the keys of `excluded` from `ranges`.
 pub fn subtract(ranges: Vec<KeyRange>, excluded: KeyRange) -> Vec<KeyRange> {
     let remainder = |range: KeyRange| match range.intersection(excluded) {
         Some(intersection) => range
--- a/crates/core/src/ranges/leases.rs
+++ b/crates/core/src/ranges/leases.rs
@@ -1,4 +1,4 @@
-//! Until when a server may hold keys whatever becomes of the orders to it.
+//! Tracking of how long a server may still hold keys, whether or not it answers.
 
 use {
     crate::{
@@ -8,26 +8,27 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Spans of leases and orders.
+/// Lease durations and order timeouts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTimes {
-    /// How long a grant lets a server hold keys, from its arrival there.
+    /// Duration of a lease, from the arrival of the grant at the server.
     pub lease: Duration,
-    /// How often a grant is renewed.
+    /// Interval between renewals of a grant.
     pub renewal_interval: Duration,
-    /// How long an order may wait to be begun; then it is not sent any more.
+    /// Longest delay between deciding on an order and sending it; after that it is not
+    /// sent.
     pub start_timeout: Duration,
-    /// How long an order may be under way. After it the connection is reset, so
-    /// that the order cannot arrive later.
+    /// Longest time an order may take. After it the connection is reset, so that the
+    /// order cannot arrive later.
     pub order_timeout: Duration,
-    /// How long an instance that cannot reach the store goes on renewing.
+    /// How long an instance keeps renewing leases while it cannot reach the store.
     pub outage_limit: Duration,
 }
 
 impl LeaseTimes {
-    /// Nine seconds of hold ride out a cut between failure domains of six, as
-    /// renewals are at most 2.5 s old when it begins; 15 s without the store are
-    /// beyond the outages seen so far.
+    /// Default durations. A lease of 9 s survives a network partition of 6 s between
+    /// failure domains, as the last renewal is at most 2.5 s old when the partition
+    /// begins. 15 s without the store exceed every outage observed so far.
     pub const STANDARD: Self = Self {
         lease: Duration::from_secs(9),
         renewal_interval: Duration::from_millis(2_500),
@@ -36,8 +37,8 @@
         outage_limit: Duration::from_secs(15),
     };
 
-    /// The defaults for servers that take leases of at most `max_transit`; renewals are
-    /// as often within a lease.
+    /// Defaults for servers that accept leases of at most `max_lease`. The renewal
+    /// interval shrinks in proportion to the lease.
     ///
     /// ```
     /// use {citron_core::ranges::LeaseTimes, std::time::Duration};
@@ -55,8 +56,8 @@
         }
     }
 
-    /// The longest time from the sending of a grant to its end. A server's clock
-    /// may run 2% slow, and a tenth of a second covers what the network held.
+    /// Longest time between the decision to send a grant and the end of its lease. Allows
+    /// for a server clock that runs 2% slow and 100 ms of network delay.
     pub fn max_validity(&self) -> Duration {
         self.start_timeout
             + self.order_timeout
@@ -65,20 +66,20 @@
     }
 }
 
-/// Grants that a server was sent.
+/// Times of the grants sent to one server.
 #[derive(Debug, Default)]
 struct SentGrants {
-    /// The last one that may have arrived.
+    /// The last grant that may have arrived and can no longer turn out to be unsent.
     last: Time,
-    /// Those of which it may still turn out that they surely did not.
+    /// Grants that can still turn out to be unsent.
     unsettled: Vec<Time>,
 }
 
-/// When each server was last sent a grant, by this planner and by former ones.
+/// Time of the last grant to each server, sent by this planner or by earlier ones.
 ///
-/// A release that is not answered proves nothing: the server may hold the keys
-/// until its last lease has run out. A planner that took over knows only until
-/// when the former one could still send renewals.
+/// A release without an answer proves nothing: the server may hold the keys until its
+/// last lease ends. Of an earlier planner, the new one knows only until when it can have
+/// sent renewals.
 ///
 /// ```
 /// use citron_core::{ranges::{LeaseTracker, LeaseTimes}, time::Time};
@@ -97,7 +98,8 @@
 }
 
 impl LeaseTracker {
-    /// A book of a planner before which others may have sent until `previous_until`.
+    /// Creates a tracker for a planner whose predecessors may have sent grants until
+    /// `previous_until`.
     pub fn new(times: LeaseTimes, previous_until: Time) -> Self {
         Self {
             times,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Notes that a grant goes out now.
+    /// Records that a grant is sent now.
     pub fn record_sent(&mut self, server: &ServerName, now: Time) {
         let max_transit = self.times.start_timeout + self.times.order_timeout;
         let sent = self.grants.entry(server.clone()).or_default();
@@ -117,9 +119,9 @@
         sent.unsettled.push(now);
     }
 
-    /// Learns that a grant noted at a time has surely not left. A server that
-    /// crashed takes no connection: without this each vain renewal would count as
-    /// one more lease, and its keys would wait 3 s longer than they have to.
+    /// Removes the record of a grant that was certainly not sent. A crashed server
+    /// accepts no connection: if each failed renewal counted as a lease, its keys would
+    /// stay without an owner 3 s longer than necessary.
     pub fn record_unsent(&mut self, server: &ServerName, at: Time) {
         if let Some(sent) = self.grants.get_mut(server)
             && let Some(index) = sent.unsettled.iter().position(|unsettled| *unsettled == at)
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Learns that no former planner sends from `until` on.
+    /// Records that no earlier planner sends grants after `until`.
     pub fn bound_previous(&mut self, until: Time) {
         self.previous_until = self.previous_until.min(until);
     }
 
-    /// When a server was last sent a grant by this planner that may have arrived.
+    /// Time of the last grant from this planner that may have reached the server.
     pub fn last_sent(&self, server: &ServerName) -> Time {
         let Some(sent) = self.grants.get(server) else {
             return Time::ZERO;
@@ -142,25 +144,26 @@
         sent.last.max(unsettled.unwrap_or_default())
     }
 
-    /// When a lease has surely run out whose last grant this planner sent at
-    /// `sent`, whatever former planners sent.
+    /// End of the lease if this planner sent the last grant at `sent`, including grants
+    /// that earlier planners may have sent.
     pub fn lease_end(&self, sent: Time) -> Time {
         sent.max(self.previous_until) + self.times.max_validity()
     }
 
-    /// The same on the store's clock, so that it holds for later planners, too;
-    /// `None` until the store has answered after the last grant that counts.
+    /// Like [`Self::lease_end`] on the store's clock, so that it is valid for later
+    /// planners too. `None` until the store has answered a call begun after the last
+    /// grant.
     pub fn store_expiry(&self, sent: Time, clock: &StoreClock) -> Option<StoreTime> {
         let last = clock.at_or_after(sent.max(self.previous_until));
         last.map(|last| last + self.times.max_validity())
     }
 
-    /// Forgets servers that hold nothing.
+    /// Drops the records of servers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ServerName) -> bool) {
         self.grants.retain(|server, _| keep(server));
     }
 
-    /// The spans in force.
+    /// The durations in use.
     pub fn times(&self) -> &LeaseTimes {
         &self.times
     }
--- a/crates/core/src/ranges/map.rs
+++ b/crates/core/src/ranges/map.rs
@@ -1,4 +1,4 @@
-//! Who owns which keys of a service.
+//! Map from keys of a service to the servers that own them.
 
 use {
     super::{KeyRange, RangeError, RangeKey},
@@ -8,24 +8,26 @@
     },
 };
 
-/// Keys in a row with one owner.
+/// Contiguous range of keys with one owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slice {
     /// The keys.
     pub range: KeyRange,
-    /// The start of a backend server that owns them; `None` before the first.
+    /// The backend server process that owns the keys; `None` until the first assignment.
     pub owner: Option<ServerName>,
-    /// Fencing token, above all those with which other servers had a key of it.
+    /// Fencing token: higher than every epoch under which another server held one of the
+    /// keys.
     pub epoch: Epoch,
-    /// What the last owner left for this one, so that it need not start cold.
+    /// State handed over by the previous owner on release, so that this owner starts
+    /// warm.
     pub handover: Option<String>,
-    /// When the owner's lease has run out at the latest. With it nobody grants the
-    /// keys to the owner any more, whoever plans, and they wait for that time.
+    /// Latest end of the owner's lease, on the store's clock. While it is set, no planner
+    /// grants the keys to this owner again, and the keys are reassigned after that time.
     pub expiry: Option<StoreTime>,
 }
 
 impl Slice {
-    /// The part of it within a range.
+    /// The part of the slice within `range`; `None` if they are disjoint.
     pub(super) fn clipped_to(&self, range: KeyRange) -> Option<Self> {
         let range = self.range.intersection(range)?;
         Some(Self {
@@ -35,7 +37,7 @@
     }
 }
 
-/// The slices of a service, without gaps, in the order of their keys.
+/// Slices of a service: contiguous, covering the whole key space, in key order.
 ///
 /// ```
 /// use citron_core::ranges::{KeyRange, RangeKey, RangeMap};
@@ -57,7 +59,7 @@
 }
 
 impl RangeMap {
-    /// A map in which no key has an owner.
+    /// Creates a map in which no key has an owner.
     pub fn new() -> Self {
         let unowned = Slice {
             range: KeyRange::ALL,
@@ -71,10 +73,11 @@
         }
     }
 
-    /// A map of slices that were kept elsewhere.
+    /// Creates a map from stored slices.
     ///
     /// # Errors
-    /// If they leave a key out or hold one twice.
+    ///
+    /// Returns [`RangeError::NotContiguous`] if the slices leave a gap or overlap.
     pub fn from_slices(slices: Vec<Slice>) -> Result<Self, RangeError> {
         let mut next = Some(RangeKey(0));
         for slice in &slices {
@@ -95,24 +98,24 @@
         }
     }
 
-    /// All slices in order.
+    /// All slices in key order.
     pub fn slices(&self) -> &[Slice] {
         &self.slices
     }
 
-    /// The slice that holds a key.
+    /// The slice that contains `key`.
     pub fn slice(&self, key: RangeKey) -> &Slice {
         let index = self.slices.partition_point(|slice| slice.range.last < key);
         &self.slices[index]
     }
 
-    /// Slices of one server.
+    /// Slices that `server` owns.
     pub fn owned_by<'a>(&'a self, server: &'a ServerName) -> impl Iterator<Item = &'a Slice> {
         let is_owner = move |slice: &&Slice| slice.owner.as_ref() == Some(server);
         self.slices.iter().filter(is_owner)
     }
 
-    /// Slices that hold keys of a range.
+    /// Slices that share at least one key with `range`.
     pub fn overlapping(&self, range: KeyRange) -> impl Iterator<Item = &Slice> {
         let first = self
             .slices
@@ -121,24 +124,25 @@
         slices.take_while(move |slice| slice.range.first <= range.last)
     }
 
-    /// The slices of a range, cut at its ends.
+    /// Slices within `range`, clipped to it.
     pub fn slices_in(&self, range: KeyRange) -> Vec<Slice> {
         let slices = self.overlapping(range);
         slices.filter_map(|slice| slice.clipped_to(range)).collect()
     }
 
-    /// The highest epoch of any key of a range.
+    /// Highest epoch of any key in `range`.
     pub fn max_epoch(&self, range: KeyRange) -> Epoch {
         let epochs = self.overlapping(range).map(|slice| slice.epoch);
         epochs.max().unwrap_or(Epoch(0))
     }
 
-    /// Gives keys to a server, under an epoch above all former ones of theirs.
+    /// Assigns `range` to `owner` under a new epoch, one above the highest epoch of its
+    /// keys.
     pub fn assign(&mut self, range: KeyRange, owner: &ServerName, handover: Option<String>) {
         self.assign_all([(range, owner.clone(), handover)]);
     }
 
-    /// The same for many ranges that have no key in common, in one pass.
+    /// Like [`Self::assign`] for many disjoint ranges in one pass.
     pub fn assign_all(
         &mut self,
         owners: impl IntoIterator<Item = (KeyRange, ServerName, Option<String>)>,
@@ -154,12 +158,13 @@
         self.replace_all(assigned);
     }
 
-    /// Notes when the lease of keys has run out: they are not granted any more.
+    /// Sets the time at which the lease on `range` ends, after which its owner gets no
+    /// further grant.
     pub fn set_expiry(&mut self, range: KeyRange, expiry: StoreTime) {
         self.set_expiries([(range, expiry)]);
     }
 
-    /// The same for many ranges that have no key in common, in one pass.
+    /// Like [`Self::set_expiry`] for many disjoint ranges in one pass.
     pub fn set_expiries(&mut self, expiries: impl IntoIterator<Item = (KeyRange, StoreTime)>) {
         let expired = expiries.into_iter().map(|(range, expiry)| Slice {
             range,
@@ -170,10 +175,12 @@
         self.replace_all(expired);
     }
 
-    /// Sets the slice of a range.
+    /// Replaces the slices within the range of `slice`.
     ///
     /// # Errors
-    /// If the epoch is not above all former ones of the keys.
+    ///
+    /// Returns [`RangeError::StaleEpoch`] if the epoch is not above every earlier epoch
+    /// of the keys.
     pub fn set(&mut self, slice: Slice) -> Result<(), RangeError> {
         let highest = self.max_epoch(slice.range);
         if slice.epoch <= highest {
@@ -187,7 +194,7 @@
         Ok(())
     }
 
-    /// Takes out the handovers of slices that need them no more.
+    /// Removes the handover from slices for which `is_used` returns true.
     pub fn clear_handovers(&mut self, is_used: impl Fn(&Slice) -> bool) {
         for slice in &mut self.slices {
             if slice.handover.is_some() && is_used(slice) {
@@ -197,7 +204,7 @@
         self.merge_adjacent();
     }
 
-    /// Sets slices that have no key in common.
+    /// Overwrites the map with `slices`, which must be disjoint.
     pub(super) fn replace_all(&mut self, mut slices: Vec<Slice>) {
         slices.sort_by_key(|slice| slice.range);
         let mut next = Vec::with_capacity(self.slices.len() + 2 * slices.len());
@@ -227,10 +234,10 @@
         self.merge_adjacent();
     }
 
-    /// Joins neighbours of one owner under the higher epoch: fewer slices are
-    /// fewer renewals, and for its own keys a server takes any higher epoch.
-    /// Slices that still carry a handover stay apart, as it belongs to their
-    /// keys alone.
+    /// Merges adjacent slices of one owner under the higher epoch: fewer slices need
+    /// fewer renewals, and a server accepts any higher epoch for keys it already holds.
+    /// Slices with a handover are merged only if epoch and handover are equal, because a
+    /// handover belongs to its own keys only.
     fn merge_adjacent(&mut self) {
         let mut merged: Vec<Slice> = Vec::with_capacity(self.slices.len());
         for slice in self.slices.drain(..) {
--- a/crates/core/src/ranges/mod.rs
+++ b/crates/core/src/ranges/mod.rs
@@ -1,9 +1,9 @@
-//! Keys as an ordered space that is cut into slices, each owned by one backend
-//! server under a lease.
+//! Assignment of an ordered key space to backend servers: the space is divided into
+//! slices, each owned by one server under a lease.
 //!
-//! Servers that check grants refuse what they do not hold, so no instance needs
-//! leave to route by this map: a stale one costs a refused try. Only the
-//! planner, one instance at a time, orders grants and releases.
+//! Servers check grants themselves and reject requests for keys they do not hold, so
+//! instances route by this map without coordination: a stale map costs one rejected
+//! attempt. Only the planner, a single elected instance, orders grants and releases.
 
 mod balance;
 mod balance_timer;
--- a/crates/core/src/ranges/move_log.rs
+++ b/crates/core/src/ranges/move_log.rs
@@ -1,4 +1,4 @@
-//! What is known of keys on their way, ahead of the map.
+//! Recent moves of keys, known before the updated map arrives.
 
 use {
     super::{KeyRange, RangeKey, Slice},
@@ -9,37 +9,37 @@
     std::time::Duration,
 };
 
-/// How long callers of keys that are being released wait for their next owner: a release
-/// that takes longer may never end.
+/// How long requests wait for the next owner of keys that are being released. A release
+/// that takes longer may never complete.
 const RELEASED_TTL: Duration = Duration::from_millis(1_000);
-/// How long a new owner counts: by then the map has come.
+/// How long the announcement of a new owner is used; the updated map has arrived by then.
 const OWNED_TTL: Duration = Duration::from_secs(3);
-/// How long news is remembered, so that a release that is told again for as long as a
-/// lease lasts is known.
+/// How long notices are kept, so that a release repeated until the lease ends is
+/// recognized as a duplicate.
 const RETENTION: Duration = Duration::from_secs(15);
 
-/// Where keys are that have left their owner.
+/// State of keys that have left, or are leaving, the owner in the map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerHint {
-    /// Their owner was told to give them up.
+    /// The owner was ordered to release the keys.
     Released,
-    /// Another server holds them.
+    /// The server that now holds the keys.
     Owned(ServerName),
 }
 
-/// One piece of news from the planner.
+/// Announcement of a move by the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MoveNotice {
     /// The keys.
     pub range: KeyRange,
-    /// The epoch of their next owner.
+    /// Epoch of the next owner.
     pub epoch: Epoch,
-    /// Where they are.
+    /// State of the keys.
     pub hint: OwnerHint,
 }
 
-/// News of one service's keys. Each server checks what it holds, so that news may be late,
-/// lost or wrong at the price of a rejected try.
+/// Move notices of one service. Servers verify ownership themselves, so a late, lost or
+/// wrong notice costs at most a rejected attempt.
 ///
 /// ```
 /// use citron_core::{id::Epoch, ranges::*, time::Time};
@@ -59,14 +59,16 @@
     entries: Vec<Entry>,
 }
 
+/// Notice with the time of its arrival.
 #[derive(Debug)]
 struct Entry {
     notice: MoveNotice,
-    /// When it was first heard.
+    /// Arrival of the first notice of this content.
     received: Time,
 }
 
 impl Entry {
+    /// Whether the notice is recent enough to be used.
     fn is_current(&self, now: Time) -> bool {
         let ttl = match self.notice.hint {
             OwnerHint::Released => RELEASED_TTL,
@@ -75,7 +77,7 @@
         now - self.received < ttl
     }
 
-    /// Whether news says nothing more than this.
+    /// Whether `notice` adds nothing to this entry.
     fn supersedes(&self, notice: &MoveNotice) -> bool {
         let known = self.notice.range == notice.range && self.notice.epoch >= notice.epoch;
         let owned = matches!(self.notice.hint, OwnerHint::Owned(_));
@@ -84,7 +86,7 @@
 }
 
 impl MoveLog {
-    /// Takes in a piece of news. A release that is told again ends no later.
+    /// Records a notice. A repeated release does not extend the time of the first one.
     pub fn insert(&mut self, notice: MoveNotice, now: Time) {
         self.entries
             .retain(|entry| now - entry.received < RETENTION);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// All news that is remembered, the oldest first.
+    /// Notices still retained, oldest first.
     pub fn recent(&self, now: Time) -> impl Iterator<Item = &MoveNotice> {
         let recent = self
             .entries
@@ -105,14 +107,16 @@
         recent.map(|entry| &entry.notice)
     }
 
-    /// What is newer about a key than its slice of the map tells. A map may come before
-    /// the owner that it names has been granted the keys.
+    /// State of `key` if a notice is newer than `slice`, its entry in the map. An equal
+    /// epoch counts as newer, because the map can arrive before the owner that it names
+    /// holds its grant.
     pub fn find(&self, key: RangeKey, slice: &Slice, now: Time) -> Option<&OwnerHint> {
         let newer = |entry: &&Entry| {
             let notice = &entry.notice;
             notice.epoch >= slice.epoch && notice.range.contains(key) && entry.is_current(now)
         };
-        // Of a release and the owner that follows, both of one epoch, the later one counts.
+        // A release and the grant that follows it share an epoch; the grant is the later
+        // one.
         let rank = |entry: &&Entry| {
             let owned = matches!(entry.notice.hint, OwnerHint::Owned(_));
             (entry.notice.epoch, owned)
--- a/crates/core/src/ranges/partitions.rs
+++ b/crates/core/src/ranges/partitions.rs
@@ -1,23 +1,23 @@
-//! Maps that are stored in parts.
+//! Maps stored as several rows.
 
 use {
     super::{KeyRange, RangeKey, RangeMap, Slice},
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The slices of some keys, as of a version of the row that holds them.
+/// Slices of a key range, as read from one version of a stored row.
 #[derive(Debug, PartialEq, Eq)]
 pub struct MapPartition {
     /// The keys.
     pub range: KeyRange,
     /// Version of the row.
     pub version: u64,
-    /// The slices, without gaps.
+    /// The slices, contiguous over `range`.
     pub slices: Vec<Slice>,
 }
 
-/// A map that is read part by part: of two parts with keys in common, the one with the
-/// higher version counts for them. Parts are shared with copies of the map.
+/// Map assembled from partitions. Where partitions overlap, the one with the highest row
+/// version applies. Clones of the map share the partitions.
 ///
 /// ```
 /// use citron_core::ranges::{KeyRange, MapPartition, PartitionedMap, RangeKey, RangeMap};
@@ -35,14 +35,16 @@
 #[derive(Debug, Clone, Default)]
 pub struct PartitionedMap {
     partitions: BTreeMap<KeyRange, Arc<MapPartition>>,
-    /// The highest version of all rows.
+    /// Highest version of any row seen.
     max_version: u64,
-    /// By the first of its keys, each run of keys for which one part counts.
+    /// Ranges in which a single partition applies: from the first key to the last key and
+    /// the partition.
     segments: BTreeMap<RangeKey, (RangeKey, Arc<MapPartition>)>,
 }
 
 impl PartitionedMap {
-    /// Takes in a part; whether it is newer than the one known of these keys.
+    /// Adds a partition. Returns whether it is newer than the known partition of the same
+    /// range.
     pub fn insert(&mut self, partition: MapPartition) -> bool {
         if partition.version <= self.version(partition.range) {
             return false;
@@ -60,7 +62,8 @@
         true
     }
 
-    /// Forgets a part whose row is gone as of a version.
+    /// Removes the partition of `range` if its row was deleted at a version above the
+    /// known one.
     pub fn remove(&mut self, range: KeyRange, version: u64) {
         if self.partitions.contains_key(&range) && version > self.version(range) {
             self.partitions.remove(&range);
@@ -68,41 +71,42 @@
         }
     }
 
-    /// The part of exactly these keys.
+    /// The partition stored for exactly this range.
     pub fn partition(&self, range: KeyRange) -> Option<&MapPartition> {
         self.partitions.get(&range).map(|partition| &**partition)
     }
 
-    /// Whether a part's keys are stored in a row of their own, with the same slices.
+    /// Whether a stored partition has the same range and the same slices.
     pub fn matches(&self, partition: &MapPartition) -> bool {
         let known = self.partition(partition.range);
         known.is_some_and(|known| known.slices == partition.slices)
     }
 
-    /// Version of the row of exactly these keys; 0 if there is none.
+    /// Version of the row for exactly this range; 0 if there is none.
     pub fn version(&self, range: KeyRange) -> u64 {
         self.partition(range)
             .map_or(0, |partition| partition.version)
     }
 
-    /// The highest version of all rows.
+    /// Highest version of any row seen.
     pub fn max_version(&self) -> u64 {
         self.max_version
     }
 
-    /// The keys of each part.
+    /// Ranges of all partitions.
     pub fn ranges(&self) -> impl Iterator<Item = KeyRange> {
         self.partitions.keys().copied()
     }
 
-    /// Whether some keys of a range are stored in a part of their own.
+    /// Whether a proper part of `range` is stored as a partition of its own.
     fn is_split(&self, range: KeyRange) -> bool {
         let mut within = self.partitions.range(range..);
         let first = within.find(|(partition, _)| **partition != range);
         first.is_some_and(|(partition, _)| range.covers(*partition))
     }
 
-    /// The slice that holds a key, cut at the ends of its part; `None` if no part holds it.
+    /// The slice that contains `key`, not extending beyond its partition; `None` if no
+    /// partition contains the key.
     pub fn slice(&self, key: RangeKey) -> Option<&Slice> {
         let (_, (last, partition)) = self.segments.range(..=key).next_back()?;
         let slices = &partition.slices;
@@ -110,7 +114,7 @@
         slices.get(index).filter(|_| key <= *last)
     }
 
-    /// All parts as one map; `None` if some keys are in no part.
+    /// Combines the partitions into one map; `None` if some keys are in no partition.
     pub fn to_map(&self) -> Option<RangeMap> {
         let clip = |(first, (last, partition)): (&RangeKey, &(RangeKey, Arc<MapPartition>))| {
             let covered = KeyRange {
@@ -126,6 +130,7 @@
         RangeMap::from_slices(slices).ok()
     }
 
+    /// Computes `segments` from all partitions, lowest version first.
     fn rebuild_segments(&mut self) {
         let mut partitions: Vec<&Arc<MapPartition>> = self.partitions.values().collect();
         partitions.sort_by_key(|partition| partition.version);
@@ -136,7 +141,7 @@
     }
 }
 
-/// Makes a part count for all of its keys.
+/// Makes `partition` apply to all keys of its range.
 fn overlay(
     segments: &mut BTreeMap<RangeKey, (RangeKey, Arc<MapPartition>)>,
     partition: &Arc<MapPartition>,
@@ -157,9 +162,10 @@
     segments.insert(range.first, (range.last, Arc::clone(partition)));
 }
 
-/// Divides the key space into parts of which none holds more than `max_slices` slices, by halving
-/// those that do. Halves that `stored` has stay apart until they hold a quarter of that
-/// together: a part that is joined and divided again is written and read whole each time.
+/// Divides the key space into ranges of at most `max_slices` slices each, by repeated
+/// halving. Halves that `stored` already keeps apart are joined only once together they
+/// hold at most a quarter of `max_slices`: each join or split writes the whole partition,
+/// and every instance reads it.
 ///
 /// ```
 /// use citron_core::ranges::{KeyRange, PartitionedMap, RangeMap, partition_ranges};
@@ -190,9 +196,10 @@
     partitions
 }
 
-/// Parts are joined when they hold less than this fraction of what one may hold.
+/// Stored halves are joined once together they hold at most `max_slices` divided by this.
 const MERGE_DIVISOR: usize = 4;
 
+/// Halves of a range; `None` if it has a single key.
 fn bisect(range: KeyRange) -> Option<[KeyRange; 2]> {
     let half = (range.len() / 2) as u16;
     let middle = range.first.0.checked_add(half).filter(|_| half > 0)?;
--- a/crates/core/src/ranges/reconciler/commits.rs
+++ b/crates/core/src/ranges/reconciler/commits.rs
@@ -13,16 +13,17 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// How long a release to a lost server may be unanswered before the end of its
-/// lease is written to the map: servers that only leave answer by then, and each
-/// write is read by every instance.
+/// How long a release to a lost server stays unanswered before the end of its lease is
+/// written to the map. Servers that are merely leaving answer within this time, and every
+/// instance reads each write.
 const EXPIRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// A commit without an answer for so long may wait for the end of an outage.
+/// Age from which a commit without an answer may be waiting for the end of a store
+/// outage.
 const OVERDUE_AFTER: Duration = Duration::from_millis(300);
 
-/// How long keys that are free wait for others of the same round: each commit
-/// is read by every instance, and most releases of a round end close together.
+/// How long free keys wait to be committed together. Every instance reads each commit,
+/// and most releases of a plan complete close together.
 const BATCH_WINDOW: Duration = Duration::from_millis(100);
 
 impl Reconciler {
@@ -62,10 +63,10 @@
         }
     }
 
-    /// Keys that wait for the end of a lost owner's lease, and when that is. Written
-    /// to the map it holds for every planner after this one: each of them knows of
-    /// no grant but its own, and would count the wait from its own begin, so that
-    /// keys stayed without an owner for as long as planners changed.
+    /// Lease ends of lost owners that are not yet in the map. Written to the map, they
+    /// apply to every later planner. A planner knows only the grants that it sent itself;
+    /// without the written time, each new planner would restart the wait, and the keys
+    /// would have no owner for as long as planners change.
     fn expiries(
         &self,
         now: Time,
@@ -94,13 +95,13 @@
         waiting.filter_map(expiry).collect()
     }
 
-    /// Whether the outcome of a commit has been unknown for long.
+    /// Whether the commit in progress is overdue.
     pub(super) fn is_commit_overdue(&self, now: Time) -> bool {
         self.commit_started
             .is_some_and(|started| now - started > OVERDUE_AFTER)
     }
 
-    /// Whether more keys are expected to be free shortly.
+    /// Whether more keys are expected to become free within the batch window.
     fn is_batching(&self, now: Time) -> bool {
         let is_releasing = |pending: &Move| matches!(pending.phase, MovePhase::Releasing { .. });
         let free_since = |pending: &Move| match pending.phase {
@@ -111,7 +112,8 @@
         self.moves.iter().any(is_releasing) && first.is_some_and(|first| now - first < BATCH_WINDOW)
     }
 
-    /// Takes out the handovers that their owners have, so that slices join.
+    /// Removes handovers that their new owners have received, so that the slices can be
+    /// merged.
     fn clear_used_handovers(&self, updated: &mut RangeMap) {
         let is_held = |range| {
             self.renewals
@@ -154,7 +156,7 @@
     }
 }
 
-/// Gives keys to their owners anew, under an epoch above one that those have seen.
+/// Assigns keys to their current owners again, under an epoch above `seen`.
 fn raise_epochs(map: &mut RangeMap, range: KeyRange, seen: Epoch) {
     let raised = |slice: &Slice| {
         let part = slice
@@ -177,7 +179,7 @@
     slices.any(|slice| is_outdated(slice, seen))
 }
 
-/// Whether a slice's owner would refuse a grant of it, having seen an epoch.
+/// Whether the owner of `slice` would reject a grant for it after seeing epoch `seen`.
 fn is_outdated(slice: &Slice, seen: Epoch) -> bool {
     slice.owner.is_some() && slice.expiry.is_none() && slice.epoch < seen
 }
--- a/crates/core/src/ranges/reconciler/mod.rs
+++ b/crates/core/src/ranges/reconciler/mod.rs
@@ -1,4 +1,4 @@
-//! Drives grants, releases and moves of one service's keys.
+//! State machine that moves the keys of one service by grants, releases and commits.
 
 mod commits;
 mod moves;
@@ -19,33 +19,33 @@
 
 pub use order::{Order, OrderOutcome, OwnerState, Owners, PlanScope};
 
-/// First pause before an order is sent again.
+/// Delay before a failed order is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The planner's work on one service.
+/// Reconciler for one service's keys, run by the planner.
 ///
-/// Keys change hands in this order: release at the old owner, commit of the
-/// new one, grant. A planner that is lost in between leaves nothing dangerous
-/// behind: before the commit the old owner refuses renewals under its old epoch
-/// and gets a higher one from the next planner; after it the new owner does.
-/// Where the release stays unanswered, the keys wait until the old owner's
-/// last lease has run out, unless its start has surely ended.
+/// A move is a release by the old owner, a commit of the new owner, and a grant to it. A
+/// planner failure at any point is safe: before the commit the old owner rejects renewals
+/// under its old epoch and gets a higher epoch from the next planner; after the commit
+/// the new owner gets the grant from the next planner. If a release is not answered, the
+/// keys wait until the old owner's last lease ends, unless the process of the old owner
+/// has certainly ended.
 #[derive(Debug)]
 pub struct Reconciler {
     map: RangeMap,
     leases: LeaseTracker,
     moves: Vec<Move>,
     renewals: Renewals,
-    /// Keys that were released for a move and are not granted to their next owner yet.
+    /// Keys released for a move and not yet granted to their next owner.
     awaiting_grant: BTreeSet<KeyRange>,
-    /// Keys whose owner has seen this epoch, which is above that of their slice.
+    /// Epochs that owners have seen and that are above the epoch of their slice.
     seen_epochs: Vec<(KeyRange, Epoch)>,
-    /// When the commit under way was ordered.
+    /// When the commit in progress was ordered.
     commit_started: Option<Time>,
 }
 
 impl Reconciler {
-    /// Takes over the map as it lies in the store.
+    /// Starts from the map in the store.
     pub fn new(map: RangeMap, leases: LeaseTracker) -> Self {
         Self {
             map,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Takes in what a former planner told of a move that it may not have finished: the
-    /// owner has seen the epoch of the release and refuses any grant below it.
+    /// Restores a release ordered by an earlier planner whose move may be incomplete: the
+    /// owner has seen the epoch of the release and rejects grants below it.
     pub fn restore_release(&mut self, notice: &MoveNotice) {
         let newer = notice.epoch > self.map.max_epoch(notice.range);
         if newer && notice.hint == OwnerHint::Released {
@@ -68,13 +68,12 @@
         }
     }
 
-    /// Moves under way.
+    /// Number of moves in progress.
     pub fn move_count(&self) -> usize {
         self.moves.len()
     }
 
-    /// Starts anew with the map as it lies in the store. What was sent to whom
-    /// stays known.
+    /// Restarts from the map in the store. The record of sent grants is kept.
     pub fn reload(&mut self, map: RangeMap) {
         self.map = map;
         self.moves.clear();
@@ -89,12 +88,12 @@
         &self.map
     }
 
-    /// The book of leases.
+    /// The record of sent grants.
     pub fn leases_mut(&mut self) -> &mut LeaseTracker {
         &mut self.leases
     }
 
-    /// What is to be done now: a plan, and the orders that follow.
+    /// Plans moves and returns the orders that are due.
     pub fn tick(
         &mut self,
         now: Time,
@@ -107,7 +106,7 @@
         self.orders(now, clock, owners)
     }
 
-    /// Decides which keys move. Looks at every slice.
+    /// Decides which keys to move. Scans every slice.
     pub fn plan(
         &mut self,
         now: Time,
@@ -125,11 +124,12 @@
         }
     }
 
-    /// The orders that are due. Looks at moves and at what is due only.
+    /// Returns the orders that are due. Scans only the moves and the orders due, not
+    /// every slice.
     pub fn orders(&mut self, now: Time, clock: &StoreClock, owners: &impl Owners) -> Vec<Order> {
         let mut orders = Vec::new();
         self.free_expired(now, clock, owners);
-        // Keys that are released during an outage of the store have no owner until its end.
+        // Keys released during a store outage would have no owner until it ends.
         if !self.is_commit_overdue(now) {
             self.send_releases(now, &mut orders);
         }
@@ -153,8 +153,8 @@
         balancer.update_fair_utilization();
     }
 
-    /// Takes in what became of an order; whether a server holds keys that it did not
-    /// hold before.
+    /// Applies the outcome of an order. Returns whether a server now holds keys that were
+    /// released for a move.
     pub fn complete(&mut self, order: &Order, outcome: OrderOutcome, now: Time) -> bool {
         match order {
             Order::Grant(slice) => return self.complete_grant(slice, outcome, now),
--- a/crates/core/src/ranges/reconciler/moves.rs
+++ b/crates/core/src/ranges/reconciler/moves.rs
@@ -1,4 +1,4 @@
-//! Moves: which are begun, and how far they have got.
+//! Moves of keys: planning and progress.
 
 use {
     super::{Order, OrderOutcome, OwnerState, Owners, RETRY_DELAY, Reconciler},
@@ -13,46 +13,52 @@
     },
 };
 
-/// Grants that stay unanswered for so long make their server suspect. A server
-/// that was lost is listed for about as long after its last heartbeat, so that
-/// an earlier guess gains nothing.
+/// How long grants to a server fail before the server is suspected to be lost. A lost
+/// server stays listed for about as long after its last heartbeat, so that earlier
+/// suspicion gains nothing.
 const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
-/// Slices of a service for each of its servers from which none is cut for the
-/// sake of balance: each costs the planner an order every other second, which is most
-/// of what a small processor can do.
+/// Slices per server above which no slice is split for rebalancing. Each slice costs the
+/// planner one renewal every 2.5 s, which is most of what a small processor can do.
 const SLICES_PER_SERVER: usize = 3;
-/// The same where servers are overloaded: a map with so many slices still fits into
-/// a row of the store.
+/// The same limit while servers are overloaded. A map with this many slices still fits
+/// into a row of the store.
 const SURGE_SLICES_PER_SERVER: usize = 4;
-/// Slices of a service up to which they may be cut in any case.
-const UNLIMITED_SLICES: usize = 240;
-/// Slices for each server above which small ones are joined with a neighbour.
+/// Lower bound of the limits on slices of a service.
+const MIN_SLICE_LIMIT: usize = 240;
+/// Slices per server above which small slices are merged with a neighbour.
 const MERGE_SLICES_PER_SERVER: f64 = 1.5;
-/// Moves that one plan begins for servers that leave: each looks at all servers for the one
-/// with the most room.
+/// Maximum number of moves that one plan starts for keys without a serving owner. Each of
+/// them scans all servers for the one with the most spare capacity.
 const MAX_REASSIGNMENTS: usize = 200;
 
+/// Progress of a move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MovePhase {
-    /// The release is under way, or is sent next at the given time.
+    /// The release is in progress, or is sent at `send_at`.
     Releasing { send_at: Option<Time> },
-    /// The keys are free, with what was handed over.
+    /// The keys have been released, with the state handed over, and wait for the commit.
     Free {
         since: Time,
         handover: Option<String>,
     },
 }
 
-/// Keys on their way from one server to another.
+/// Move of keys from one server to another.
 #[derive(Debug, Clone)]
 pub struct Move {
+    /// The keys.
     pub range: KeyRange,
+    /// The old owner; `None` if the keys never had one.
     pub from: Option<ServerName>,
+    /// The new owner.
     pub to: ServerName,
+    /// Epoch of the new owner.
     pub epoch: Epoch,
-    /// When the old owner was last sent a grant that covers the keys.
+    /// Time of the last grant to the old owner.
     pub last_granted: Time,
+    /// When the move was planned.
     pub started: Time,
+    /// Progress of the move.
     pub phase: MovePhase,
 }
 
@@ -64,7 +70,7 @@
 }
 
 impl Reconciler {
-    /// Frees keys whose owner's start has ended, or whose lease has run out.
+    /// Frees keys whose owner's process has ended or whose lease has run out.
     pub(super) fn free_expired(&mut self, now: Time, clock: &StoreClock, owners: &impl Owners) {
         for pending in &mut self.moves {
             let MovePhase::Releasing { .. } = pending.phase else {
@@ -90,7 +96,7 @@
         }
     }
 
-    /// Finds another taker for keys whose taker has gone meanwhile.
+    /// Picks another recipient for moves whose recipient no longer serves.
     pub(super) fn retarget(&mut self, owners: &impl Owners, balancer: &mut Balancer<'_>) {
         for pending in &mut self.moves {
             if owners.state(&pending.to) == OwnerState::Serving {
@@ -103,7 +109,8 @@
         }
     }
 
-    /// Moves keys away from servers that leave, are lost, or do not answer.
+    /// Starts moves of keys whose owner is leaving, lost or not answering, and of keys
+    /// without an owner if `may_assign` is set.
     pub(super) fn reassign_unserved(
         &mut self,
         now: Time,
@@ -127,7 +134,7 @@
                 parts.into_iter().map(|range| (range, slice.owner.clone()))
             })
             .collect();
-        // The busiest first: orders beyond these wait for the next tick.
+        // Busiest keys first: moves beyond the limit wait for the next plan.
         unserved.sort_by(|a, b| balancer.demand(b.0).total_cmp(&balancer.demand(a.0)));
         let before = self.moves.len();
         for (range, from) in unserved {
@@ -146,8 +153,8 @@
         }
     }
 
-    /// Servers whose grants have long been unanswered. If those are most of
-    /// them, the planner itself is cut off, and moves would help nobody.
+    /// Servers whose grants have failed for too long. None if they outnumber a third of
+    /// the others: then the planner itself is probably cut off, and moves would not help.
     fn suspects(&self, now: Time) -> BTreeSet<ServerName> {
         let owner = |range: KeyRange| self.map.slice(range.first).owner.clone();
         let failing = self.renewals.failing_for(SUSPECT_AFTER, now);
@@ -164,7 +171,7 @@
         suspects
     }
 
-    /// Keys that are on their way, in order.
+    /// Ranges of all moves, in key order.
     pub(super) fn moving_ranges(&self) -> Vec<KeyRange> {
         let mut moving: Vec<KeyRange> = self.moves.iter().map(|pending| pending.range).collect();
         moving.sort();
@@ -190,11 +197,10 @@
             true => SURGE_SLICES_PER_SERVER,
             false => SLICES_PER_SERVER,
         };
-        let may_split = slices < UNLIMITED_SLICES.max(balancer.server_count() * max_per_server);
+        let may_split = slices < MIN_SLICE_LIMIT.max(balancer.server_count() * max_per_server);
         let mut reassignments = balancer.reassignments(self.moves.len(), may_split, movable);
         if slices as f64
-            > (balancer.server_count() as f64 * MERGE_SLICES_PER_SERVER)
-                .max(UNLIMITED_SLICES as f64)
+            > (balancer.server_count() as f64 * MERGE_SLICES_PER_SERVER).max(MIN_SLICE_LIMIT as f64)
         {
             let open_moves = self.moves.len() + reassignments.len();
             reassignments.extend(balancer.merges(open_moves, &self.movable_slices(&reassignments)));
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Slices in order that are not on their way, and are not about to be.
+    /// Slices, in key order, that are neither moving nor about to move.
     fn movable_slices(&self, reassignments: &[Reassignment]) -> Vec<(KeyRange, ServerName)> {
         let mut moving = self.moving_ranges();
         moving.extend(reassignments.iter().map(|reassignment| reassignment.range));
@@ -285,8 +291,7 @@
     }
 }
 
-/// The parts of a range that are not on their way; `moving` are the keys that are, in order
-/// and without a key in common.
+/// The parts of `range` that are not moving; `moving` are disjoint ranges in key order.
 pub fn not_moving(range: KeyRange, moving: &[KeyRange]) -> Vec<KeyRange> {
     let first = moving.partition_point(|moving| moving.last < range.first);
     let within = moving[first..].iter();
--- a/crates/core/src/ranges/reconciler/order.rs
+++ b/crates/core/src/ranges/reconciler/order.rs
@@ -1,68 +1,69 @@
-//! What the planner is told, and what it asks for.
+//! Inputs and orders of the reconciler.
 
 use crate::{
     id::{Epoch, ServerName},
     ranges::{KeyRange, RangeMap, Slice},
 };
 
-/// What may be begun at a tick.
+/// Which moves a plan may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlanScope {
-    /// Whether keys that never had an owner are dealt out: not before the
-    /// servers have all shown up, or the first one would get everything.
+    /// Whether keys that never had an owner may be assigned. Not before all servers have
+    /// registered, or the first one would get every key.
     pub may_assign: bool,
-    /// Whether keys may move for balancer.
+    /// Whether keys may be moved to even out load.
     pub may_rebalance: bool,
 }
 
-/// What is known of the owner of keys.
+/// State of the process that owns keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerState {
-    /// It is listed as ready.
+    /// Listed as ready.
     Serving,
-    /// It is listed as leaving, or listed no more; it may still run requests.
+    /// Listed as leaving, or no longer listed; it may still run requests.
     Leaving,
-    /// This start of it has surely ended: a later one is known, by the moments
-    /// that both tell, under its id or at its address.
+    /// This process has certainly ended: a later one with the same id or address is
+    /// known, by the start times that both report.
     Ended,
 }
 
-/// What the planner knows of servers.
+/// Source of the servers' states.
 pub trait Owners {
-    /// The state of a server; one that was never listed is leaving.
+    /// State of a server; `Leaving` if it was never listed.
     fn state(&self, server: &ServerName) -> OwnerState;
 }
 
-/// Something to be done outside; each is answered with [`super::Reconciler::complete`].
+/// Action for the caller to carry out. Its outcome is passed to
+/// [`super::Reconciler::complete`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Let a server hold keys for the span of a lease.
+    /// Grant a slice to its owner for the duration of a lease.
     Grant(Slice),
-    /// Make a server give keys up, under an epoch above that of its grant.
+    /// Have a server release keys, under an epoch above that of its grant.
     Release {
         /// The server.
         server: ServerName,
         /// The keys.
         range: KeyRange,
-        /// The epoch under which the next owner will have them.
+        /// Epoch of the next owner.
         epoch: Epoch,
     },
-    /// Write the map to the store, unless somebody else has changed it.
+    /// Write the map to the store, unless another writer has changed it.
     Commit(RangeMap),
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It took effect; a release may hand over what the server has in memory.
+    /// It took effect. A release may return state that the server held in memory.
     Done {
-        /// For the next owner.
+        /// State for the next owner.
         handover: Option<String>,
     },
-    /// A grant was refused because the server has seen a higher epoch.
+    /// The grant was rejected because the server has seen a higher epoch.
     Outdated,
-    /// It is not known whether it took effect, or ever will.
+    /// It is unknown whether it took effect or still will.
     Unknown,
-    /// It has surely not left.
+    /// It was certainly not sent.
     NotSent,
 }
--- a/crates/core/src/ranges/reconciler/renewals.rs
+++ b/crates/core/src/ranges/reconciler/renewals.rs
@@ -1,4 +1,4 @@
-//! Grants and their renewals.
+//! Grants of slices, and their renewal.
 
 use {
     super::{
@@ -15,29 +15,30 @@
     },
 };
 
-/// How far the grant of a slice has got.
+/// State of the grant for a range.
 #[derive(Debug, Clone, Copy)]
 pub struct Renewal {
+    /// Epoch of the slice.
     pub epoch: Epoch,
-    /// Since when an order is under way.
+    /// When the grant in progress was sent.
     pub sent_at: Option<Time>,
-    /// When the next one is due.
+    /// When the next grant is due.
     pub due: Time,
-    /// Since when all of them have failed.
+    /// Since when every grant has failed.
     pub failing_since: Option<Time>,
-    /// Whether the server has taken this grant once.
+    /// Whether the server has accepted the grant at least once.
     pub is_held: bool,
 }
 
-/// The grants of a service, in the order in which they are due.
+/// Grants of a service, ordered by due time.
 #[derive(Debug)]
 pub struct Renewals {
     by_range: BTreeMap<KeyRange, Renewal>,
-    /// Those that are not under way. What its server does not hold yet comes first: its
-    /// callers wait.
+    /// Grants that are not in progress. Those that their server does not hold yet come
+    /// first, because requests wait for them.
     queue: BTreeSet<(bool, Time, KeyRange)>,
     window: SendWindow,
-    /// Whether slices or moves have changed since the grants were listed.
+    /// Whether slices or moves have changed since the last call of `sync`.
     is_stale: bool,
 }
 
@@ -53,17 +54,17 @@
 }
 
 impl Renewals {
-    /// Slices or moves have changed.
+    /// Marks the list of grants as out of date after a change of slices or moves.
     pub fn invalidate(&mut self) {
         self.is_stale = true;
     }
 
-    /// The grant of a slice.
+    /// State of the grant for exactly this range.
     pub fn get(&self, range: &KeyRange) -> Option<&Renewal> {
         self.by_range.get(range)
     }
 
-    /// Grants that have failed for longer than a span.
+    /// Ranges whose grants have failed for longer than `span`.
     pub fn failing_for(&self, span: Duration, now: Time) -> impl Iterator<Item = KeyRange> {
         let failing = move |(_, renewal): &(&KeyRange, &Renewal)| {
             renewal
@@ -76,7 +77,8 @@
             .map(|(range, _)| *range)
     }
 
-    /// Brings the list up to date with the slices that owners are to keep.
+    /// Updates the list of grants to `parts`, the ranges and epochs that owners are to
+    /// hold.
     fn sync(&mut self, parts: &[(KeyRange, Epoch)], now: Time) {
         let listed = |range: &KeyRange, renewal: &Renewal| {
             let part = parts.binary_search_by_key(range, |part| part.0);
@@ -103,7 +105,7 @@
         self.is_stale = false;
     }
 
-    /// Takes the grants that are due, as many as may be under way.
+    /// Takes the grants that are due, as many as the send window allows.
     fn take_due(&mut self, now: Time) -> Vec<KeyRange> {
         let available = self.window.available(now);
         let last_key = KeyRange {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// What owners are to keep: slices, less the keys that are on their way.
+    /// Ranges that owners are to hold: all slices except the keys that are moving.
     fn renewable_ranges(&self) -> Vec<(KeyRange, Epoch)> {
         let is_outdated = |slice: &Slice| {
             let mut seen = self.seen_epochs.iter();
@@ -166,8 +168,8 @@
         parts.collect()
     }
 
-    /// Takes in what became of a grant; whether keys that were released for a move are
-    /// held again.
+    /// Applies the outcome of a grant. Returns whether keys that were released for a move
+    /// are held again.
     pub(super) fn complete_grant(
         &mut self,
         slice: &Slice,
@@ -212,7 +214,8 @@
         is_first && self.clear_awaiting(slice.range)
     }
 
-    /// Whether a slice holds keys that were released for a move, which are then forgotten.
+    /// Removes the released keys within `range` from those that await a grant. Returns
+    /// whether there were any.
     fn clear_awaiting(&mut self, range: KeyRange) -> bool {
         let before = self.awaiting_grant.len();
         self.awaiting_grant
--- a/crates/core/src/ranges/windows.rs
+++ b/crates/core/src/ranges/windows.rs
@@ -1,4 +1,4 @@
-//! Demand over windows of different length.
+//! Request demand over windows of different length, and detection of sudden changes.
 
 use {
     super::{Demand, KeyDemand, RangeKey, demand::BUCKETS},
@@ -6,43 +6,46 @@
     std::time::Duration,
 };
 
-/// Half-life of the demand that plans go by: some hundred requests of a small
-/// service, so that chance is a tenth of a server's load.
+/// Half-life of the window that plans are based on. It holds some hundred requests of a
+/// small service, so that random variation is about a tenth of a server's load.
 const LONG_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Half-lives of the windows that show a sudden change, the shortest first.
+/// Half-lives of the windows that detect a sudden change, shortest first.
 const SHORT_HALF_LIVES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(700)];
-/// Requests without which a window tells nothing.
+/// Requests below which a window is not evaluated.
 const MIN_REQUESTS: f64 = 40.0;
-/// How far, in standard deviations, the requests for a part of the key space must
-/// be from what another window makes expect. Callers send in groups, which alone
-/// makes two of what would be one.
+/// Deviation, in standard deviations, by which the share of requests in a bucket must
+/// differ from the baseline to count as a change. Callers send in bursts, which alone
+/// turns one standard deviation into two.
 const CHANGE_SIGMAS: f64 = 5.0;
-/// The same for the end of a change: as long as it is not sure that the long window
-/// has caught up, the other one is right.
+/// Deviation, in standard deviations, below which a change counts as over. Lower than
+/// [`CHANGE_SIGMAS`]: until the long window has certainly caught up, the window of the
+/// change is the accurate one.
 const END_SIGMAS: f64 = 3.0;
-/// Requests since a change, or time, after which they tell where keys should go. A plan
-/// made on the first few of them would give servers several times what they can run.
+/// Requests since a change after which the change is used for planning. A plan based on
+/// the first few of them would assign servers several times their capacity.
 const SETTLED_REQUESTS: f64 = 300.0;
+/// Age after which a change with at least [`MIN_REQUESTS`] requests is used for planning.
 const SETTLED_AFTER: Duration = Duration::from_millis(300);
-/// After so long a change of which too little is known is none: callers have left, and
-/// plans would wait for them for good.
+/// Time after which a change with too few requests is dropped: its callers have left, and
+/// planning would wait for more of them forever.
 const SETTLING_TIMEOUT: Duration = Duration::from_secs(1);
-/// Half-lives after a change by which a short window holds next to nothing from before
-/// it. Until then it differs from what has come since, though nothing changes.
+/// Age of a change, in half-lives of a short window, after which that window holds almost
+/// nothing from before the change. Until then it differs from the requests since the
+/// change although nothing changes any more.
 const FLUSH_HALF_LIVES: u32 = 3;
 /// Requests since a change before which it does not count as over.
 const END_MIN_REQUESTS: f64 = 200.0;
 
-/// For each part of the key space whether something is true of it.
+/// One flag for each bucket of the key space.
 type BucketFlags = [bool; BUCKETS];
 
-/// What callers of one service ask for.
+/// Demand of one service, estimated over several windows.
 ///
-/// A long window tells small differences between servers from chance, but in it a
-/// range of keys that turns hot shows only after callers have been refused for
-/// seconds. A short one shows it after some dozen requests, and says little of each
-/// key. So a change that is beyond chance in a short window begins a window of its
-/// own, and what has changed is read from there.
+/// The long window separates small load differences from random variation, but a range
+/// that turns hot shows in it only after requests have been rejected for seconds. A short
+/// window shows the same range after some dozen requests, but says little about single
+/// keys. A statistically significant change in a short window therefore starts a window
+/// of its own, and the demand of the changed buckets is read from that window.
 ///
 /// ```
 /// use {citron_core::{ranges::*, time::Time}, std::time::Duration};
@@ -67,23 +70,24 @@
 pub struct DemandWindows {
     long: KeyDemand,
     short: [KeyDemand; SHORT_HALF_LIVES.len()],
-    /// The last sudden change, as long as the slow window differs.
+    /// The last sudden change, until the long window agrees with it.
     change: Option<Change>,
-    /// One after it of which too little is known to plan by.
+    /// A newer change with too few requests to plan with.
     pending: Option<Change>,
 }
 
+/// Sudden change of demand.
 #[derive(Debug)]
 struct Change {
     started: Time,
-    /// Requests since then.
+    /// Requests since the change.
     demand: KeyDemand,
-    /// The parts of the key space that have changed.
+    /// The buckets that have changed.
     buckets: BucketFlags,
 }
 
 impl Change {
-    /// Whether enough is known of it to plan by.
+    /// Whether there are enough requests since the change to plan with.
     fn is_settled(&self, now: Time) -> bool {
         let count = self.demand.count(now);
         count >= SETTLED_REQUESTS || (count >= MIN_REQUESTS && now - self.started >= SETTLED_AFTER)
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Compares the windows; whether plans are out of date all of a sudden.
+    /// Compares the windows. Returns whether a sudden change has just become usable for
+    /// planning, so that plans are out of date.
     pub fn detect_change(&mut self, now: Time) -> bool {
         if self.is_settling(now) {
             let settled = self.pending.take_if(|pending| pending.is_settled(now));
@@ -135,15 +140,15 @@
         false
     }
 
-    /// Whether other keys are asked for and too little is known of them: a plan made now
-    /// would divide what is hot by a fraction of what is asked for.
+    /// Whether a recent change has too few requests to plan with. A plan made now would
+    /// divide the hot range by a fraction of its demand.
     pub fn is_settling(&self, now: Time) -> bool {
         let pending = self.pending.as_ref();
         pending.is_some_and(|pending| now - pending.started < SETTLING_TIMEOUT)
     }
 
-    /// Parts in which a short window differs from what is known, and those that have
-    /// changed before.
+    /// Buckets in which a short window differs from the current estimate, and buckets
+    /// that changed earlier.
     fn changed_buckets(&mut self, now: Time) -> (BucketFlags, BucketFlags) {
         let Some(change) = &mut self.change else {
             return (
@@ -151,7 +156,7 @@
                 BucketFlags::default(),
             );
         };
-        // A range that cools down as another one turns hot shows later than that.
+        // A range that cools down while another turns hot becomes significant later.
         let late_buckets = differing_buckets(&self.long, &change.demand, CHANGE_SIGMAS, now);
         change.buckets = union(change.buckets, late_buckets);
         let age = now - change.started;
@@ -165,7 +170,7 @@
         )
     }
 
-    /// Whether the long window has caught up with the last change.
+    /// Whether the long window agrees with the last change.
     fn has_ended(&self, now: Time) -> bool {
         let Some(change) = &self.change else {
             return false;
@@ -174,7 +179,7 @@
         change.demand.count(now) >= END_MIN_REQUESTS && !differing.contains(&true)
     }
 
-    /// The demand that plans go by.
+    /// The demand to plan with.
     pub fn snapshot(&self, now: Time) -> Demand {
         let long = self.long.snapshot(now);
         match &self.change {
@@ -184,7 +189,8 @@
     }
 }
 
-/// Parts in which the first of the short windows that does differs from a known one.
+/// Buckets that differ from `baseline` in the first of the short windows that differs at
+/// all.
 fn first_differing(short: &[KeyDemand], baseline: &KeyDemand, now: Time) -> BucketFlags {
     let differing = short
         .iter()
@@ -197,8 +203,8 @@
     std::array::from_fn(|bucket| one[bucket] || other[bucket])
 }
 
-/// The parts of the key space in which a window differs from a known one by more than
-/// chance.
+/// Buckets in which `window` differs from `baseline` by more than `sigmas` standard
+/// deviations.
 fn differing_buckets(
     baseline: &KeyDemand,
     window: &KeyDemand,
--- a/crates/core/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -1,5 +1,5 @@
-//! What one step costs as a deployment grows: operations, not times, but where a step that
-//! scans allocates nothing.
+//! Cost of single steps as a deployment grows. Counts allocations instead of time, except
+//! for a step that scans without allocating.
 
 use {
     allocation_counter::measure,
@@ -48,7 +48,7 @@
     registry
 }
 
-/// Time for each of some entries that are listed once more; the best of five tries.
+/// Time to list 200 known entries again; the best of five runs.
 fn listing_time(servers: usize) -> Duration {
     let mut registry = registry(servers);
     let tries = (0..5).map(|_| {
@@ -59,14 +59,14 @@
     tries.min().unwrap()
 }
 
-/// Guards against a start in which each of thousands of entries is compared with all others.
+/// Guards against comparing each of thousands of entries with all others at start.
 #[test]
 fn an_entry_is_taken_in_without_a_scan_of_all_servers() {
     let (few, many) = (listing_time(1_000), listing_time(16_000));
     assert!(many < few * 6, "{few:?} at 1,000, {many:?} at 16,000");
 }
 
-/// Guards against a copy of every server, with its texts, for each change of one.
+/// Guards against copying every server, with its strings, for each change of one server.
 #[test]
 fn lists_share_what_has_not_changed() {
     let changed = |servers: usize| {
@@ -87,7 +87,8 @@
 }
 
 impl Planner {
-    /// A planner whose servers all hold their keys, some time after the first deal.
+    /// Creates a planner whose servers all hold their keys, a few milliseconds after the
+    /// first assignment.
     fn with_held_keys(servers: usize) -> Self {
         let service: ServiceName = "ledger".parse().unwrap();
         let mut registry = Registry::new(RegistryTimes::STANDARD);
@@ -139,7 +140,7 @@
     }
 }
 
-/// Guards against a look at every slice, with a copy of each, whenever an order has ended.
+/// Guards against scanning and copying every slice whenever an order completes.
 #[test]
 fn orders_cost_what_is_due() {
     let idle = |servers: usize| {
@@ -154,7 +155,7 @@
     assert!(idle(4_000) <= idle(200) + 8, "{}", idle(4_000));
 }
 
-/// Guards against a first deal whose cost is the square of the servers.
+/// Guards against a first assignment whose cost is quadratic in the number of servers.
 #[test]
 fn a_first_deal_is_committed_in_one_pass() {
     let deal = |servers: usize| allocations(|| drop(Planner::with_held_keys(servers)));
@@ -162,13 +163,13 @@
     assert!(many < few * 12, "{few} at 500, {many} at 4,000");
 }
 
-/// Guards against leases that are renewed at 40 a look, whatever the number of servers: each
-/// answer makes room for the next order.
+/// Guards against renewing at most 40 leases per call regardless of the number of
+/// servers: each answer must admit the next order.
 #[test]
 fn renewals_of_thousands_of_servers_follow_the_answers() {
     let mut planner = Planner::with_held_keys(6_889);
     let mut granted = 0;
-    // A millisecond from an order to its answer.
+    // One millisecond from an order to its answer.
     for milli in 3_300..5_800 {
         let now = at(milli);
         let reconciler = &mut planner.reconciler;
@@ -185,7 +186,7 @@
     assert!(granted >= slices, "{granted} of {slices}");
 }
 
-/// Guards against a map that outgrows the row that the store takes, and is refused for ever.
+/// Guards against a map that outgrows a row of the store and is rejected from then on.
 #[test]
 fn no_part_of_a_map_holds_more_slices_than_a_row() {
     for servers in [10, 600, 6_889, 30_000] {
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -1,4 +1,4 @@
-//! What instances know of keys on their way, ahead of the map.
+//! Move notices that instances receive before the updated map.
 
 use {
     citron_core::{
@@ -38,7 +38,7 @@
     }
 }
 
-/// A map in which the keys have had so many owners.
+/// Map in which the keys have had this many owners.
 fn map(owners: usize) -> RangeMap {
     let mut map = RangeMap::new();
     (1..=owners).for_each(|number| map.assign(range(), &server(number), None));
@@ -49,9 +49,9 @@
     log.find(KEY, map.slice(KEY), now).cloned()
 }
 
-/// Guards against requests that go to an owner which has given its keys up, and to one
-/// that has not got them yet: one in ten was rejected while keys moved, and took a retry
-/// from the budget.
+/// Guards against requests to an owner that has released its keys, or to one that does
+/// not hold them yet: one request in ten was rejected while keys moved, and each used a
+/// retry from the budget.
 #[test]
 fn callers_follow_keys_through_a_move() {
     let (mut log, map) = (MoveLog::default(), map(1));
@@ -61,7 +61,7 @@
     log.insert(owned(2, 2), at(200));
     let owner = Some(OwnerHint::Owned(server(2)));
     assert_eq!(find(&log, &map, at(210)), owner);
-    // A datagram that was overtaken.
+    // A datagram that arrives out of order.
     log.insert(released(2), at(220));
     assert_eq!(find(&log, &map, at(230)), owner);
     assert_eq!(
@@ -70,8 +70,8 @@
     );
 }
 
-/// Guards against news that outlives what it tells of: the map has caught up, or the
-/// planner that moved the keys was lost.
+/// Guards against notices that are used for too long, after the map has caught up or
+/// after the planner that moved the keys was lost.
 #[test]
 fn news_ends_with_the_map_or_by_itself() {
     let mut log = MoveLog::default();
@@ -87,8 +87,8 @@
     assert_eq!(find(&log, &map(1), at(120_010)), Some(OwnerHint::Released));
 }
 
-/// Guards against requests that reach the next owner before its grant, as the map that
-/// names it was faster.
+/// Guards against requests that reach the next owner before its grant because the map
+/// naming it arrived first.
 #[test]
 fn a_map_that_comes_before_the_grant_is_not_followed() {
     let mut log = MoveLog::default();
--- a/crates/core/tests/ranges.rs
+++ b/crates/core/tests/ranges.rs
@@ -1,4 +1,4 @@
-//! Maps of keys, and where their load should lie.
+//! Key maps, load balancing and leases of key ranges.
 
 use {
     citron_core::{
@@ -34,9 +34,8 @@
 }
 
 proptest! {
-    /// Whatever is assigned in whatever order, each key has one slice, and its
-    /// epoch rises with each change: a server that is told of an older owner's
-    /// epoch later refuses it.
+    /// Guards against keys without a slice or with two, and against an epoch that does
+    /// not rise: a server that sees an older owner's epoch later rejects it.
     #[test]
     fn slices_have_no_gap_and_epochs_rise(
         moves in prop::collection::vec((any::<u16>(), any::<u16>(), 0_usize..4), 1..60),
@@ -64,7 +63,7 @@
         expiry: None,
     };
     let error = RangeMap::from_slices(vec![slice(range(0, 9)), slice(range(11, u16::MAX))]);
-    insta::assert_snapshot!(error.unwrap_err(), @"slice 11-65535 does not begin where the one before it ends");
+    insta::assert_snapshot!(error.unwrap_err(), @"slices leave a gap or overlap at 11-65535");
     let mut map = RangeMap::new();
     map.assign(range(0, 9), &server(0), None);
     let error = map
@@ -73,11 +72,11 @@
             ..slice(range(5, 20))
         })
         .unwrap_err();
-    insta::assert_snapshot!(error, @"epoch 1 of 5-20 is not above 1");
+    insta::assert_snapshot!(error, @"epoch 1 of 5-20 is not above the earlier epoch 1");
 }
 
-/// What a server hands over belongs to the keys it came with: a slice beside it,
-/// of the same owner, must not get it.
+/// Guards against a handover that reaches other keys: it belongs to the keys that it came
+/// with, not to an adjacent slice of the same owner.
 #[test]
 fn slices_with_a_handover_are_not_joined() {
     let mut map = RangeMap::new();
@@ -89,9 +88,9 @@
     assert_eq!(map.slice(RangeKey(0)).range, range(0, 199));
 }
 
-/// Demand that falls steeply with the key, as where the busiest keys lie at one
-/// end of the space: the first 5% of the keys get three eighths of the requests,
-/// and the first key alone a fortieth.
+/// Demand that falls steeply with the key, as where the busiest keys lie at one end of
+/// the key space: the first 5% of the keys get three eighths of the requests, and the
+/// first key alone a fortieth.
 fn skewed_demand(requests: u32, seed: u64) -> Demand {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut demand = KeyDemand::new(Duration::from_secs(3));
@@ -114,7 +113,8 @@
     loads
 }
 
-/// Applies rounds of shifts; the busiest server's load over the mean after each.
+/// Applies several rounds of reassignments, with ranges split. Returns the busiest
+/// server's load relative to the mean after each round.
 fn rebalance(map: &mut RangeMap, demand: &Demand, rates: &[f64], rounds: usize) -> Vec<f64> {
     apply_reassignments(map, demand, rates, rounds, true)
 }
@@ -146,10 +146,10 @@
     max_over_mean
 }
 
-/// A calm day's start. Servers show up, and nobody knows which keys will be busy;
-/// then most requests are for keys beside one another. Equal parts of the space
-/// would give them to one of 19 servers, and its callers would wait or be
-/// refused until enough moves are through. Stripes spread them from the start.
+/// Guards against a first assignment that puts all busy keys on one server. Before demand
+/// is known, with one contiguous range per server, requests for adjacent keys would all
+/// reach one of 19 servers and wait or be rejected until enough moves have completed.
+/// Stripes spread them from the start.
 #[test]
 fn stripes_spread_busy_neighbours_before_anything_is_known() {
     let rates = [20.0; 19];
@@ -166,12 +166,15 @@
     let mean = striped_loads.values().sum::<f64>() / 19.0;
     let striped = striped_loads.values().fold(0.0, |a: f64, b| a.max(*b)) / mean;
     let equal = demand.rate(range(0, u16::MAX / 19)) / mean;
-    assert!(equal > 6.0, "the pattern is not steep: {equal}");
+    assert!(
+        equal > 6.0,
+        "demand is not skewed enough for this test: {equal}"
+    );
     assert!(striped < equal * 0.6, "striped {striped}, equal {equal}");
 }
 
-/// The same, a second later: the planner knows the demand, and needs few rounds,
-/// each as long as the requests on the keys that move.
+/// Guards against slow rebalancing once skewed demand is known: each round takes as long
+/// as the requests on the moving keys.
 #[test]
 fn a_steep_demand_is_even_after_three_rounds() {
     for seed in 0..10 {
@@ -189,9 +192,9 @@
     }
 }
 
-/// One key gets more than any server can run. It cannot be divided: it belongs
-/// on the fastest server, what lies beside it goes elsewhere, and then it stays,
-/// as each move stops it. The other servers are evened out as if it were not there.
+/// Guards against moving a key again and again that exceeds every server's capacity. It
+/// cannot be split, so it belongs on the fastest server and stays there, the keys beside
+/// it move elsewhere, and the other servers are balanced without it.
 #[test]
 fn a_hot_key_goes_to_the_fastest_server_and_stays() {
     let mut demand = KeyDemand::new(Duration::from_secs(3));
@@ -224,12 +227,12 @@
     assert_eq!(
         map.slice(RangeKey(700)).epoch,
         hot.epoch,
-        "it was moved again"
+        "the hot key was moved again"
     );
 }
 
-/// Forty requests on 19 servers differ by chance. Moves on such grounds cut the
-/// space into pieces that are all wrong.
+/// Guards against moves based on random variation: 40 requests on 19 servers differ by
+/// chance, and the resulting cuts would all be wrong.
 #[test]
 fn few_requests_move_nothing() {
     let rates = [20.0; 19];
@@ -243,9 +246,9 @@
     assert_eq!(map, before);
 }
 
-/// Two servers leave, each with many small slices. Cut into a part for each of
-/// the others they made six hundred orders at once, which a small instance cannot
-/// send in time: the keys stayed away for seconds.
+/// Guards against splitting small slices of leaving servers. Two servers with many small
+/// slices left, and with one part for each remaining server that made 600 orders at once.
+/// A small instance cannot send them in time, and the keys had no owner for seconds.
 #[test]
 fn small_slices_find_new_owners_undivided() {
     let rates = [20.0; 19];
@@ -263,9 +266,9 @@
     assert!(parts < 100, "{parts} parts of 34 slices");
 }
 
-/// A grant was sent, and nothing was heard since. It may have been on its way for
-/// as long as an order may be, and the server's clock may run 2% slow: given to
-/// another server earlier, its keys would have two owners.
+/// Guards against two owners of a key after an unanswered grant. The grant may have been
+/// in transit for the whole order timeout, and the server's clock may run 2% slow, so the
+/// keys must not be assigned earlier.
 #[test]
 fn a_lease_ends_only_after_transit_and_the_slowest_clock() {
     let times = LeaseTimes::STANDARD;
@@ -275,7 +278,7 @@
     leases.record_sent(&server, sent);
     let latest = sent + times.start_timeout + times.order_timeout + times.lease.mul_f64(1.02);
     assert!(leases.lease_end(leases.last_sent(&server)) > latest);
-    // A planner before this one may have sent until later.
+    // An earlier planner may have sent grants until later.
     let previous_until = sent + times.outage_limit;
     let leases = LeaseTracker::new(times, previous_until);
     assert!(
@@ -283,9 +286,9 @@
     );
 }
 
-/// A server has crashed and takes no connection. Each of the renewals that it is
-/// still sent, four a second, fails at once and has not left: its keys are free a
-/// lease after the last one that may have arrived, and not after the last try.
+/// Guards against waiting too long for a crashed server. Each of its renewals, four per
+/// second, fails without being sent. The keys are free one lease after the last grant
+/// that may have arrived, not after the last attempt.
 #[test]
 fn grants_that_never_left_do_not_prolong_a_lease() {
     let times = LeaseTimes::STANDARD;
@@ -298,21 +301,22 @@
         assert_eq!(
             leases.last_sent(&server),
             at(unsent),
-            "it may arrive as yet"
+            "the grant may still arrive"
         );
         leases.record_unsent(&server, at(unsent));
         assert_eq!(leases.last_sent(&server), at(1_000));
     }
-    // Of this one nothing is heard: it may have arrived.
+    // The outcome of this grant is unknown, so it may have arrived.
     leases.record_sent(&server, at(6_250));
     leases.record_sent(&server, at(9_000));
     leases.record_unsent(&server, at(9_000));
     assert_eq!(leases.last_sent(&server), at(6_250));
 }
 
-/// A day with many busy ranges at 167 servers cut the space into a thousand
-/// slices, and renewing them took all of the planner's small machine: it lost its
-/// leadership, and its successors theirs. Once there are enough slices, whole ones move.
+/// Guards against splitting slices without limit. On a day with many busy ranges, 167
+/// servers had a thousand slices, and their renewal used up the planner's small machine:
+/// it lost the leadership, and so did its successors. Above the limit only whole slices
+/// move.
 #[test]
 fn with_enough_slices_none_is_cut() {
     let rates = [20.0; 19];
@@ -321,7 +325,7 @@
     for number in 0..120_u16 {
         let owner = server(usize::from(number / 7).min(18));
         map.assign(range(number * 546, u16::MAX), &owner, None);
-        // A neighbour of another owner keeps the slices apart.
+        // An adjacent slice of another owner prevents merging.
         map.assign(
             range(number * 546 + 273, u16::MAX),
             &server(usize::from((number + 9) % 19)),
@@ -344,7 +348,7 @@
     );
 }
 
-/// The servers of a test that are lost.
+/// Servers that are lost; all others serve.
 struct LostServers<'a>(&'a [ServerName]);
 
 impl Owners for LostServers<'_> {
@@ -356,10 +360,10 @@
     }
 }
 
-/// A server is lost, and its keys wait for the end of its last lease. Meanwhile the
-/// planner changes twice. Each new planner knows of no grant but its own, and if it
-/// counted the wait from its own begin, callers would find no owner for as long as
-/// planners change: the end that the first one wrote to the map counts for all.
+/// Guards against restarting the wait for a lost server's lease whenever the planner
+/// changes. A new planner knows only its own grants; if it counted the wait from its own
+/// start, the keys would have no owner for as long as planners change. The lease end that
+/// the first planner wrote to the map applies to all later ones.
 #[test]
 fn a_new_planner_does_not_wait_for_a_lost_owner_anew() {
     let times = LeaseTimes::STANDARD;
--- a/crates/core/tests/ranges_model/main.rs
+++ b/crates/core/tests/ranges_model/main.rs
@@ -1,9 +1,10 @@
-//! Random walks of planners, servers and a store, in virtual time.
+//! Randomized model test of planners, servers and a store in virtual time.
 //!
-//! Checked after each step: no key is held by two servers at once, and a server
-//! takes keys only under an epoch above all with which others had them. Planners
-//! are cut off from the store, killed and replaced; servers crash, start again,
-//! leave, and carry orders out late; answers are lost; clocks are 2% slow.
+//! Invariants checked after each step: no two servers hold the same key, and a server
+//! accepts keys only under an epoch above every epoch under which others held them.
+//! Injected faults: planners are cut off from the store, killed and replaced; servers
+//! crash, restart, leave and execute orders late; answers are lost; server clocks run 2%
+//! slow.
 
 mod planner;
 mod server;
@@ -14,16 +15,17 @@
     world::{Flaw, World},
 };
 
-/// Walks of the correct rules; one of 100 before showed a fault at seed 99.
+/// Seeds for each configuration of the correct rules. A fault once showed only at seed
+/// 99, so there are more than 100.
 const SEEDS: u64 = 120;
-/// Walks of each flaw at most.
+/// Maximum number of seeds for each flaw.
 const MAX_FLAW_SEEDS: u64 = 600;
-/// Steps of 50 ms: a minute.
+/// Steps of 50 ms, one minute in all.
 const STEPS: u32 = 1_200;
 
 fn is_caught(seed: u64, flaw: Flaw) -> bool {
     let mut world = match flaw {
-        // One answer that is lost is made good by the next grant, and a planner without the
+        // The next grant makes up for a single lost answer, and a planner without the
         // store is harmless to servers that its successor reaches.
         Flaw::AssumeUnsentGrant | Flaw::RenewWithoutStore => {
             World::with_one_way_links(seed, Some(flaw))
@@ -37,10 +39,10 @@
     })
 }
 
-/// What the correct rules did in a walk.
+/// Activity in a run of the correct rules.
 struct WalkResult {
     commits: u64,
-    /// Keys held, as a part of all, on average over the steps.
+    /// Share of all keys that were held, averaged over the steps.
     held_share: f64,
 }
 
@@ -65,7 +67,7 @@
     let killed = (0..SEEDS).map(|seed| correct_walk(seed, World::with_planner_kills(seed, None)));
     let late = (0..SEEDS).map(|seed| correct_walk(seed, World::with_late_commits(seed, None)));
     let walks: Vec<WalkResult> = plain.chain(one_way).chain(killed).chain(late).collect();
-    // Walks in which nothing happens, or in which nobody holds anything, prove nothing.
+    // Runs without commits, or without held keys, would pass without testing anything.
     let commits: u64 = walks.iter().map(|walk| walk.commits).sum();
     let held_share: f64 =
         walks.iter().map(|walk| walk.held_share).sum::<f64>() / walks.len() as f64;
@@ -76,8 +78,8 @@
     );
 }
 
-/// Each flaw takes one safeguard away. A model that does not notice would not
-/// notice its loss in the product either.
+/// Guards against a model that would not detect a missing safeguard. Each flaw removes
+/// one safeguard, and the model must notice.
 #[test]
 fn every_flaw_is_caught() {
     let caught = |flaw| (0..MAX_FLAW_SEEDS).find(|seed| is_caught(*seed, flaw));
--- a/crates/core/tests/ranges_model/planner.rs
+++ b/crates/core/tests/ranges_model/planner.rs
@@ -1,4 +1,4 @@
-//! A planner: the product's reconciler, and what it knows of the store.
+//! Planner of the model: the real reconciler and its view of the store.
 
 use citron_core::{
     id::ServerName,
@@ -6,25 +6,25 @@
     time::{StoreClock, Time},
 };
 
-/// One term of one instance.
+/// One term of one instance as planner.
 #[derive(Debug)]
 pub struct Planner {
     pub number: u64,
     pub reconciler: Reconciler,
-    /// Version of the map's row that the reconciler goes by.
+    /// Version of the map's row that the reconciler started from.
     pub version: u64,
-    /// Whether the store reaches it.
+    /// Whether it reaches the store.
     pub connected: bool,
-    /// When the store last answered it.
+    /// Time of the last answer from the store.
     pub confirmed: Time,
-    /// What it knows of the store's clock.
+    /// Its estimate of the store's clock.
     pub clock: StoreClock,
-    /// Whether it has read that another leads.
+    /// Whether it has read that another instance leads.
     pub stopped: bool,
     /// Servers that it does not reach.
     pub unreachable: Vec<ServerName>,
-    /// Servers that get its grants only, and whose answers are lost.
+    /// Servers that receive only its grants and whose answers are lost.
     pub one_way: Vec<ServerName>,
-    /// Ends that are still on their way to it.
+    /// Outcomes of orders that have not reached it yet, by arrival.
     pub outcomes: Vec<(Time, Order, OrderOutcome)>,
 }
--- a/crates/core/tests/ranges_model/server.rs
+++ b/crates/core/tests/ranges_model/server.rs
@@ -1,4 +1,4 @@
-//! A server that holds keys by lease.
+//! Backend server of the model, which holds keys under leases.
 
 use {
     citron_core::{
@@ -9,7 +9,7 @@
     std::time::Duration,
 };
 
-/// Keys that a server may run requests on.
+/// Keys that a server may serve until the end of their lease.
 #[derive(Debug, Clone)]
 pub struct HeldRange {
     pub range: KeyRange,
@@ -17,7 +17,7 @@
     pub until: Time,
 }
 
-/// One start of a server.
+/// One process of a server.
 #[derive(Debug)]
 pub struct Server {
     pub name: ServerName,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Takes a grant that arrived at `received_at`, however much later it is carried
-    /// out; `false` if a higher epoch was seen.
+    /// Executes a grant that arrived at `received_at`, possibly much earlier than now.
+    /// Returns `false` if the server has seen a higher epoch.
     pub fn grant(&mut self, slice: &Slice, lease: Duration, received_at: Time) -> bool {
         if self.max_seen_epoch(slice.range) > slice.epoch {
             return false;
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Gives keys up, whatever the epoch.
+    /// Releases keys regardless of the epoch under which they are held.
     pub fn release(&mut self, range: KeyRange, epoch: Epoch) {
         self.remove_keys(range);
         self.seen_epochs.push((range, epoch));
--- a/crates/core/tests/ranges_model/world.rs
+++ b/crates/core/tests/ranges_model/world.rs
@@ -1,4 +1,4 @@
-//! Everything around the planners.
+//! Simulated environment of the planners: servers, network, store and faults.
 
 use {
     crate::{planner::Planner, server::Server},
@@ -18,35 +18,35 @@
 const STEP: Duration = Duration::from_millis(50);
 const SERVERS: usize = 5;
 
-/// A safeguard that is taken away.
+/// Safeguard that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// A new planner does not wait for what the former one may have sent.
+    /// A new planner does not wait for grants that its predecessors may have sent.
     IgnorePreviousPlanners,
-    /// A new planner knows of the one just before it only: an earlier one that
-    /// was cut off may still renew when the one after it is killed.
+    /// A new planner waits only for its direct predecessor, although an earlier planner
+    /// that was cut off may still renew after that predecessor was killed.
     OnlyLastPlanner,
-    /// A planner without the store renews for ever.
+    /// A planner that does not reach the store keeps renewing without limit.
     RenewWithoutStore,
-    /// Leases are thought to be shorter than granted.
+    /// The planner assumes shorter leases than it grants.
     ShortLease,
-    /// A release that was not answered counts as done.
+    /// An unanswered release counts as done.
     AssumeReleased,
-    /// A server that leaves counts as ended.
+    /// A leaving server counts as ended.
     AssumeLeavingEnded,
-    /// Maps are written whoever leads.
+    /// Maps are written without checking the leadership.
     NoLeaderCheck,
-    /// A commit that was not answered counts as done.
+    /// An unanswered commit counts as done.
     AssumeCommitted,
-    /// A planner that is killed and replaced counts as never having sent: the
-    /// span for leases given by instances that are listed no more is zero.
+    /// A planner that was killed and replaced counts as never having sent grants: the new
+    /// planner does not wait for leases granted by instances that are no longer listed.
     NoQuietPeriod,
-    /// A grant that was not answered counts as never sent.
+    /// An unanswered grant counts as not sent.
     AssumeUnsentGrant,
-    /// The end of a lost owner's lease is written as if it had been granted long
-    /// before it was.
+    /// The end of a lost owner's lease is written too early, by the longest validity of a
+    /// grant.
     EarlyExpiry,
-    /// Every other planner takes the store's clock for later than it is.
+    /// Every other planner estimates the store's clock too late.
     ClockAhead,
 }
 
@@ -67,18 +67,18 @@
     ];
 }
 
-/// An order on its way to a server.
+/// Order on its way to a server.
 #[derive(Debug)]
 struct OrderInTransit {
     arrival: Time,
-    /// When it is carried out; later than it arrives if the server is late.
+    /// Time of execution; later than the arrival if the server is slow.
     execution: Time,
     planner: u64,
     order: Order,
     is_answered: bool,
 }
 
-/// A commit that the store carries out late, if its condition still holds then.
+/// Commit that the store executes late, if its condition is still met then.
 #[derive(Debug)]
 struct DelayedCommit {
     due: Time,
@@ -93,7 +93,7 @@
     flaw: Option<Flaw>,
     times: LeaseTimes,
     servers: Vec<Server>,
-    /// Starts that have ended for certain, by name.
+    /// Processes that have certainly ended, by name.
     ended: Vec<ServerName>,
     planners: Vec<Planner>,
     leader: u64,
@@ -101,15 +101,15 @@
     version: u64,
     in_transit: Vec<OrderInTransit>,
     delayed: Vec<DelayedCommit>,
-    /// Releases that planners told the others of.
+    /// Releases that planners have announced to the other instances.
     releases: Vec<MoveNotice>,
     servers_started: usize,
     pub commits: u64,
-    /// Whether some servers get grants only, and their answers are lost.
+    /// Whether some servers receive only grants, and their answers are lost.
     one_way_links: bool,
-    /// Whether planners end when they are replaced, and none is cut off.
+    /// Whether planners are killed when they are replaced, and none is cut off.
     planner_kills: bool,
-    /// Whether the store loses answers to commits and carries some out late.
+    /// Whether the store loses answers to commits and executes some commits late.
     late_commits: bool,
 }
 
@@ -162,8 +162,9 @@
         world
     }
 
-    /// The same with servers that for a while get nothing but the grants of some
-    /// planners, and whose answers are lost: the worst a link can do to a lease.
+    /// Creates a world in which, for a while, some servers receive only the grants of
+    /// some planners and their answers are lost: the worst case of a network link for
+    /// leases.
     pub fn with_one_way_links(seed: u64, flaw: Option<Flaw>) -> Self {
         Self {
             one_way_links: true,
@@ -171,8 +172,8 @@
         }
     }
 
-    /// The same with planners that are killed and replaced in quick succession, so
-    /// that the end of a lease is written by one and read by the next.
+    /// Creates a world in which planners are killed and replaced in quick succession, so
+    /// that the end of a lease is written by one planner and read by the next.
     pub fn with_planner_kills(seed: u64, flaw: Option<Flaw>) -> Self {
         Self {
             planner_kills: true,
@@ -180,8 +181,8 @@
         }
     }
 
-    /// The same with commits that are done without an answer, or done late, and planners
-    /// that know of most releases of those before them.
+    /// Creates a world in which commits are executed without an answer or late, and
+    /// planners know most releases of their predecessors.
     pub fn with_late_commits(seed: u64, flaw: Option<Flaw>) -> Self {
         Self {
             late_commits: true,
@@ -199,10 +200,10 @@
         }
     }
 
-    /// No two servers hold a key.
+    /// Checks that no two servers hold the same key.
     pub fn check(&self) -> Result<(), String> {
         let active = |server: &Server| {
-            let unexpired = server.held.iter().filter(|hold| hold.until > self.now);
+            let unexpired = server.held.iter().filter(|range| range.until > self.now);
             unexpired.cloned().collect::<Vec<_>>()
         };
         let up: Vec<&Server> = self.servers.iter().filter(|server| server.is_up).collect();
@@ -224,13 +225,13 @@
         Ok(())
     }
 
-    /// Keys that some server holds, as a part of all.
+    /// Share of all keys that some server holds.
     pub fn held_share(&self) -> f64 {
         let up_servers = self.servers.iter().filter(|server| server.is_up);
-        let holds = up_servers.flat_map(|server| &server.held);
-        let keys: u32 = holds
-            .filter(|hold| hold.until > self.now)
-            .map(|hold| hold.range.len())
+        let ranges = up_servers.flat_map(|server| &server.held);
+        let keys: u32 = ranges
+            .filter(|range| range.until > self.now)
+            .map(|held| held.range.len())
             .sum();
         f64::from(keys) / 65_536.0
     }
@@ -253,7 +254,7 @@
                 self.take_over(true);
             }
         } else if self.chance(6) {
-            // The planner is cut off; another takes over, and it does not know.
+            // The planner is cut off and does not know that another takes over.
             let leader = self.leader;
             if let Some(planner) = self
                 .planners
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Each planner reaches other servers from now on.
+    /// Changes which servers each planner reaches.
     fn cut_links(&mut self) {
         let names: Vec<ServerName> = self
             .servers
@@ -303,7 +304,7 @@
         server.is_up = false;
         let name = server.name.clone();
         if restarts {
-            // Its address shows another start: this one has surely ended.
+            // A later process at the same address proves that this one has ended.
             self.ended.push(name);
         }
         self.start_server();
@@ -316,7 +317,7 @@
         self.servers.push(Server::new(name, has_slow_clock));
         if self.servers.len() > SERVERS + 6 {
             let removable = self.servers.iter().position(|server| {
-                let is_holding = server.held.iter().any(|hold| hold.until > self.now);
+                let is_holding = server.held.iter().any(|range| range.until > self.now);
                 (!server.is_up || server.is_leaving) && !is_holding
             });
             if let Some(at) = removable {
@@ -325,7 +326,8 @@
         }
     }
 
-    /// Another instance leads from now on; `is_killed` if the former one's process has ended.
+    /// Makes another instance the leader; `is_killed` if the process of the former leader
+    /// has ended.
     fn take_over(&mut self, is_killed: bool) {
         if is_killed {
             let leader = self.leader;
@@ -385,7 +387,7 @@
             };
             planner.clock.record(now, now, store_time(now + ahead));
             if planner.number != self.leader && self.flaw != Some(Flaw::NoLeaderCheck) {
-                // It reads that another leads, and plans no more.
+                // It reads that another instance leads, and stops planning.
                 planner.stopped = true;
                 return;
             }
@@ -452,7 +454,7 @@
             return;
         }
         if is_lost {
-            // Not done, and taken for done.
+            // Not executed, but taken for done.
             planner
                 .outcomes
                 .push((self.now, order, OrderOutcome::Done { handover: None }));
@@ -469,7 +471,7 @@
             let planner = number;
             return self.delayed.push(DelayedCommit { due, planner, map });
         }
-        // Without an answer it is sent again, and then read back.
+        // A commit without an answer is sent again and then read back.
         let answered = match self.late_commits && self.chance(60) {
             true => self.now + Duration::from_millis(self.rng.random_range(500..3_000)),
             false => self.now,
@@ -491,7 +493,7 @@
         self.commits += 1;
     }
 
-    /// Carries out late commits whose condition still holds.
+    /// Executes delayed commits whose condition is still met.
     fn apply_delayed_commits(&mut self) {
         let now = self.now;
         let delayed = std::mem::take(&mut self.delayed);
@@ -529,7 +531,7 @@
     }
 
     fn send(&mut self, index: usize, order: Order) {
-        // What is not there within the time of an order is reset and never arrives.
+        // Orders that have not arrived within their timeout are reset and never arrive.
         let max_delay = self.times.order_timeout.as_millis() as u64;
         let delay = match self.chance(850) {
             true => self.rng.random_range(1..10),
@@ -563,7 +565,7 @@
         let is_answered = !is_late && !one_way;
         if is_lost || !is_answered {
             let timeout = self.now + self.times.order_timeout;
-            // To a server that is cut off no connection is made at all.
+            // No connection is made to a server that cannot be reached.
             let end = match unreachable {
                 true => OrderOutcome::NotSent,
                 false => self.unanswered(&order),
@@ -598,7 +600,7 @@
     }
 
     fn carry_out(&mut self, sent: &OrderInTransit) -> OrderOutcome {
-        let hold = self.times.lease;
+        let lease = self.times.lease;
         let name = match &sent.order {
             Order::Grant(slice) => slice.owner.clone().unwrap(),
             Order::Release { server, .. } => server.clone(),
@@ -612,7 +614,7 @@
             return OrderOutcome::NotSent;
         };
         match &sent.order {
-            Order::Grant(slice) => match server.grant(slice, hold, sent.arrival) {
+            Order::Grant(slice) => match server.grant(slice, lease, sent.arrival) {
                 true => OrderOutcome::Done { handover: None },
                 false => OrderOutcome::Outdated,
             },
--- a/crates/core/tests/surge/main.rs
+++ b/crates/core/tests/surge/main.rs
@@ -1,9 +1,10 @@
-//! Ranges of keys that turn hot, before hundreds of servers and few, in virtual time.
+//! Ranges of keys that suddenly turn hot, in large and small deployments, in virtual
+//! time.
 //!
-//! The planner's own code hears of requests, plans, and gives orders that servers
-//! carry out as they do under load: keys with requests on them are given up only
-//! when these have ended. Callers of an owner that is asked for more than it can run
-//! are refused, so what counts is how long that lasts, and for how many.
+//! The planner's real code receives request reports and plans, and its orders are
+//! executed as by servers under load: a server releases keys only after the requests on
+//! them have ended. Requests for keys of an overloaded owner are rejected, so the tests
+//! measure for how long and for what share of requests that lasts.
 
 mod world;
 
@@ -17,7 +18,7 @@
     world::{Shape, World},
 };
 
-/// 413 servers; 200 of 60,000 things draw 44 in 100 requests.
+/// 413 servers; 200 of 60,000 items get 44% of the requests.
 const LARGE: Shape = Shape {
     servers: 413,
     slots: 4,
@@ -29,7 +30,7 @@
     limits: BalanceLimits::STANDARD,
 };
 
-/// 19 servers; six of 4,000 things draw 35 in 100 requests.
+/// 19 servers; 6 of 4,000 items get 35% of the requests.
 const SMALL: Shape = Shape {
     servers: 19,
     slots: 4,
@@ -41,10 +42,10 @@
     limits: BalanceLimits::STANDARD,
 };
 
-/// Callers of a key should be served again within this time, whatever has happened.
+/// Time within which requests for any key should be served again, whatever has happened.
 const SERVED_AGAIN: Duration = Duration::from_secs(2);
 
-/// Plays one shape with several seeds; the times until the hot range is spread, the
+/// Runs one shape with several seeds. Returns the times until the hot range is spread,
 /// shortest first.
 fn spread_times(shape: Shape, seeds: u64) -> Vec<Duration> {
     let measure = |seed| World::new(shape, seed).measure_hot_range();
@@ -53,10 +54,10 @@
     times
 }
 
-/// Callers of 200 things that turn hot are refused for all of the five seconds that
-/// it lasts: the things lie side by side, one server owns them, and only 24 moves are
-/// begun at a time, each batch after the releases of the one before. As many moves as
-/// there are servers to share the range are begun at once.
+/// Guards against a hot range that is divided too slowly. With 200 adjacent hot items on
+/// one server and only 24 concurrent moves, each batch waited for the releases of the one
+/// before, and requests were rejected for all of the five seconds that the range stayed
+/// hot. Now as many moves start at once as there are servers to share the range.
 #[test]
 fn a_hot_range_is_divided_among_hundreds_of_servers_in_one_step() {
     let few_moves = Shape {
@@ -69,23 +70,23 @@
     let before = spread_times(few_moves, 2);
     assert!(
         before[0] > Duration::from_secs(3),
-        "the pattern is gone: {before:?}"
+        "the limit on moves no longer delays the spread: {before:?}"
     );
     let after = spread_times(LARGE, 20);
     assert!(after[9] <= Duration::from_millis(1_000), "{after:?}");
     assert!(after[18] <= Duration::from_millis(1_500), "{after:?}");
 }
 
-/// The same with few servers, whose planner hears of 173 requests a second: a range
-/// that turns hot shows within some dozen of them.
+/// Guards against late detection where requests are few: with 173 requests per second, a
+/// range that turns hot must show within some dozen of them.
 #[test]
 fn a_hot_range_is_noticed_where_requests_are_few() {
     let times = spread_times(SMALL, 9);
     assert!(times[4] <= SERVED_AGAIN, "{times:?}");
 }
 
-/// Deployments of other sizes: slots, speeds and shares differ, and so do the numbers
-/// of servers and things.
+/// Guards against tuning for two shapes only: slots, run times, shares, servers and items
+/// vary.
 #[test]
 fn hot_ranges_of_other_deployments_are_spread() {
     let shapes = [
@@ -111,9 +112,9 @@
     }
 }
 
-/// A range that was hot leaves as many slices behind as servers shared it. Each one
-/// is renewed on its own, and after three such ranges there was no room for the cuts
-/// of the fourth: they are joined again once nobody asks for them.
+/// Guards against slices that remain after a hot range. Each is renewed separately, and
+/// after three hot ranges the limit on slices left no room to split the fourth. Slices
+/// without demand must be merged again.
 #[test]
 fn slices_of_a_range_that_was_hot_are_joined_again() {
     let mut world = World::new(LARGE, 3);
@@ -129,8 +130,9 @@
     );
 }
 
-/// A range turns hot, and a moment later a single key as well, which no server can run.
-/// Its owner is overloaded whatever is done, and must not keep the range from others.
+/// Guards against an overloaded server that blocks rebalancing. A range turns hot, and
+/// shortly after a single key that exceeds every server's capacity. Its owner stays
+/// overloaded in any case, and the range must still be spread.
 #[test]
 fn a_hot_range_is_spread_though_a_key_turns_hot_besides() {
     let measure = |seed| World::new(LARGE, seed).measure_hot_range_and_key();
@@ -139,8 +141,9 @@
     assert!(times[4] <= Duration::from_millis(1_500), "{times:?}");
 }
 
-/// Nothing is planned while too little is known of a change. If its callers leave right
-/// then, there is never more to know, and a plan that waited for it would never be made.
+/// Guards against a change that blocks planning forever. Nothing is planned while too few
+/// requests of a change are known; if its callers leave at that point, no more requests
+/// follow.
 #[test]
 fn a_change_whose_callers_leave_holds_no_plan_up() {
     let mut demand = DemandWindows::default();
@@ -165,8 +168,8 @@
     assert!(!demand.is_settling(last + Duration::from_secs(1)));
 }
 
-/// Without a range that turns hot next to nothing moves: what differs between short
-/// windows is chance.
+/// Guards against moves based on random variation between short windows: without a hot
+/// range next to nothing moves.
 #[test]
 fn chance_moves_next_to_nothing() {
     for shape in [LARGE, SMALL] {
@@ -178,9 +181,9 @@
     }
 }
 
-/// Callers are refused whose keys are on their way to another server, for as long as
-/// the store is away: the old owner has given them up, and the move cannot be written
-/// down. A range that turns hot meanwhile stays where it is.
+/// Guards against releasing keys during a store outage: the old owner has released them,
+/// the move cannot be committed, and requests are rejected until the store returns. A
+/// range that turns hot meanwhile stays where it is.
 #[test]
 fn nothing_is_released_for_balance_while_the_store_is_away() {
     let mut world = World::new(LARGE, 4);
@@ -199,9 +202,9 @@
     );
 }
 
-/// Guards against callers that are refused when an evacuation's bound is over, as the keys
-/// of a third of the servers have not found other owners by then. Deployments of 5 to 400
-/// servers, with other slots, run times and loads.
+/// Guards against requests that are rejected at the end of an evacuation's time limit
+/// because the keys of a third of the servers have no new owner yet. Covers deployments
+/// of 5 to 400 servers with different slots, run times and loads.
 #[test]
 fn keys_leave_an_evacuated_domain_within_the_bound() {
     let bound =
--- a/crates/core/tests/surge/world.rs
+++ b/crates/core/tests/surge/world.rs
@@ -1,4 +1,5 @@
-//! A planner, the requests it hears of, and servers that carry out its orders.
+//! Simulation of a planner, the requests reported to it, and servers that execute its
+//! orders.
 
 use {
     citron_core::{
@@ -19,23 +20,23 @@
 };
 
 const STEP: Duration = Duration::from_millis(10);
-/// Reports of keys come so late at most.
+/// Longest delay of a report of requested keys.
 const MAX_REPORT_DELAY: Duration = Duration::from_millis(150);
-/// The planner's pauses between looks, with and without results.
+/// Interval between plans without results of orders, and with results.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 const RESULT_INTERVAL: Duration = Duration::from_millis(20);
-/// Orders and commits.
+/// Duration of an order, and of a commit.
 const ORDER_TIME: Duration = Duration::from_millis(10);
 const COMMIT_TIME: Duration = Duration::from_millis(30);
-/// Requests that wait at an overloaded server, besides those that run.
+/// Requests that queue at an overloaded server, besides those that run.
 const MAX_QUEUED: usize = 16;
-/// A range counts as spread once so much of its requests goes to servers that are not
-/// overloaded. The rest is the keys with requests on them, which last.
+/// Share of the hot requests that must reach servers without overload before a range
+/// counts as spread. The rest are for keys whose release waits for requests in progress.
 const SPREAD_SHARE: f64 = 0.75;
-/// What a server is asked for, over what it can run, from which it is overloaded: a
-/// quarter more makes a queue of a second within four.
+/// Requested load relative to capacity above which a server is overloaded: at 25% more, a
+/// queue of one second builds up within four seconds.
 const OVERLOAD_RATIO: f64 = 1.25;
-/// A hot range is given up after so long.
+/// Time after which a measurement gives up.
 const MAX_DURATION: Duration = Duration::from_secs(8);
 
 /// A deployment, and the range that turns hot.
@@ -44,17 +45,17 @@
     pub servers: usize,
     pub slots: u32,
     pub run_time: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub requests: u32,
     pub items: u32,
-    /// Things that turn hot, side by side.
+    /// Number of adjacent items that turn hot.
     pub hot_items: u32,
-    /// Their part of all requests.
+    /// Their share of all requests.
     pub hot_share: f64,
     pub limits: BalanceLimits,
 }
 
-/// Servers that are evacuated; all others serve.
+/// Servers being evacuated; all others serve.
 #[derive(Default)]
 struct Evacuated(BTreeSet<ServerName>);
 
@@ -72,7 +73,7 @@
     rng: ChaCha8Rng,
     now: Time,
     windows: DemandWindows,
-    /// Requests that the planner has not heard of.
+    /// Requests that have not been reported to the planner yet, by time of report.
     unreported: Vec<(Time, RangeKey)>,
     reconciler: Reconciler,
     capacities: Vec<Capacity>,
@@ -83,16 +84,16 @@
     /// Whether the store answers.
     pub is_store_up: bool,
     orders: Vec<(Time, Order)>,
-    /// The first thing of the hot range.
+    /// First item of the hot range.
     hot_range: Option<u32>,
-    /// A single thing that draws a part of all requests besides.
+    /// Single hot item outside the range, and its share of all requests.
     pub hot_item: Option<(u32, f64)>,
     evacuated: Evacuated,
     moved: u64,
 }
 
 impl World {
-    /// A deployment whose keys have found owners, and lie evenly.
+    /// Creates a deployment whose keys are assigned and balanced.
     pub fn new(shape: Shape, seed: u64) -> Self {
         let now = Time::from_micros(1_000_000);
         let capacity = |number: usize| Capacity {
@@ -126,7 +127,7 @@
         world
     }
 
-    /// Lets time pass in which no range is hot.
+    /// Advances the time without a hot range.
     pub fn run_without_hot_range(&mut self, span: Duration) {
         self.hot_range = None;
         let end = self.now + span;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Makes a range hot; how long it takes until it is spread.
+    /// Makes a range hot. Returns the time until it is spread.
     pub fn measure_hot_range(&mut self) -> Duration {
         let begun = self.now;
         self.hot_range = Some(
@@ -145,8 +146,8 @@
         self.until_spread(begun)
     }
 
-    /// The same, and 300 ms later a single thing turns hot, too, that no server can
-    /// run alone.
+    /// Like [`Self::measure_hot_range`], but 300 ms later a single item turns hot as well
+    /// that exceeds every server's capacity.
     pub fn measure_hot_range_and_key(&mut self) -> Duration {
         let begun = self.now;
         self.hot_range = Some(
@@ -169,7 +170,8 @@
         self.now - begun
     }
 
-    /// Evacuates every third server; how long until others own all of their keys.
+    /// Evacuates every third server. Returns the time until other servers own all of
+    /// their keys.
     pub fn evacuate(&mut self) -> Duration {
         let begun = self.now;
         let servers = self.capacities.iter().step_by(3);
@@ -196,13 +198,12 @@
         self.reconciler.map().slices().len()
     }
 
-    /// Keys that have changed hands so far.
+    /// Number of keys moved so far.
     pub fn moved(&self) -> u64 {
         self.moved
     }
 
-    /// The part of the hot requests that goes to servers which are asked for more
-    /// than they can run.
+    /// Share of the hot requests that reach servers with more requests than they can run.
     fn overloaded_share(&self) -> f64 {
         let Some(first) = self.hot_range else {
             return 0.0;
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Instances report the keys that they were asked for, each at its own times.
+    /// Delivers the reports of instances, each after its own delay.
     fn report(&mut self) {
         let now = self.now;
         let (reported, unreported): (Vec<_>, Vec<_>) =
@@ -334,8 +335,8 @@
         }
     }
 
-    /// How long the requests last that are under way on released keys: those that
-    /// run, and at an overloaded server those that wait behind them.
+    /// Times until the requests on released keys end: requests that run, and at an
+    /// overloaded server those queued behind them.
     fn release_delays(&mut self, releases: usize) -> Vec<Option<Duration>> {
         let max_requests = self.shape.slots as usize + MAX_QUEUED;
         let run_time = self.shape.run_time;
