--- a/crates/core/src/ranges/balance/limits.rs
+++ b/crates/core/src/ranges/balance/limits.rs
@@ -1,4 +1,4 @@
-//! Thresholds of load balancing, and its inputs and results.
+//! Thresholds, server capacities and planned moves of load balancing.
 
 use crate::{id::ServerName, ranges::KeyRange};
 
--- a/crates/core/src/ranges/balance/merge.rs
+++ b/crates/core/src/ranges/balance/merge.rs
@@ -38,6 +38,7 @@
         merges
     }
 
+    /// Plans a move that merges two adjacent slices, if either is small enough.
     fn merge(
         &self,
         below: &(KeyRange, ServerName),
@@ -58,6 +59,7 @@
         is_small_below.then(|| reassignment(below.0, &below.1, &above.1))
     }
 
+    /// Whether `to` can take over `range` without affecting the balance.
     fn is_small(&self, range: KeyRange, to: &ServerName) -> bool {
         let recipient = self
             .by_server
--- a/crates/core/src/ranges/balance/plan.rs
+++ b/crates/core/src/ranges/balance/plan.rs
@@ -144,10 +144,11 @@
         for number in 1..=count as u32 {
             let Some(left) = rest else { break };
             let (part, above) = self.split(range, left, f64::from(number) / count);
-            let after = |entry: &ServerLoad| (entry.load + self.weight(part)) / entry.rate;
+            let utilization_after =
+                |entry: &ServerLoad| (entry.load + self.weight(part)) / entry.rate;
             let recipient = self
                 .recipients()
-                .min_by(|a, b| after(a.1).total_cmp(&after(b.1)));
+                .min_by(|a, b| utilization_after(a.1).total_cmp(&utilization_after(b.1)));
             let Some(to) = recipient.map(|(server, _)| server.clone()) else {
                 break;
             };
--- a/crates/core/src/ranges/balance/rebalance.rs
+++ b/crates/core/src/ranges/balance/rebalance.rs
@@ -74,6 +74,7 @@
         reassignments
     }
 
+    /// Plans the most urgent move and applies it to the projected loads.
     fn next_reassignment(
         &mut self,
         open_moves: usize,
@@ -152,11 +153,11 @@
             first: key,
             last: key,
         };
-        let load_after = |entry: &ServerLoad| (entry.load + moved_rate) / entry.rate;
+        let utilization_after = |entry: &ServerLoad| (entry.load + moved_rate) / entry.rate;
         let recipients = self.recipients().filter(|(server, _)| *server != from);
         let (to, recipient) =
-            recipients.min_by(|a, b| load_after(a.1).total_cmp(&load_after(b.1)))?;
-        let has_gain = load_after(recipient) < HOT_KEY_GAIN * donor.load / donor.rate;
+            recipients.min_by(|a, b| utilization_after(a.1).total_cmp(&utilization_after(b.1)))?;
+        let has_gain = utilization_after(recipient) < HOT_KEY_GAIN * donor.load / donor.rate;
         (has_gain && moved_rate > self.fair_utilization * recipient.rate)
             .then(|| (reassign(range, from, to), moved_rate))
     }
@@ -169,7 +170,7 @@
         }
         let is_below_limit = open_moves < self.limits.max_moves;
         let can_donate = |entry: &ServerLoad| {
-            (is_below_limit || self.is_overloaded(entry)) && self.is_worthwhile(entry)
+            (is_below_limit || self.is_overloaded(entry)) && self.has_excess(entry)
         };
         let mut donors: Vec<(&ServerName, &ServerLoad)> = self
             .by_server
@@ -190,11 +191,14 @@
             .any(|entry| self.is_overloaded(entry))
     }
 
+    /// Whether the server receives more requests than it can run.
     fn is_overloaded(&self, entry: &ServerLoad) -> bool {
         entry.load > entry.rate * self.limits.overload_utilization
     }
 
-    fn is_worthwhile(&self, donor: &ServerLoad) -> bool {
+    /// Whether a server is loaded so far above its fair load that moving keys away is
+    /// worthwhile.
+    fn has_excess(&self, donor: &ServerLoad) -> bool {
         let excess = donor.load - self.fair_utilization * donor.rate;
         let counted = donor.load * self.demand.window_secs();
         if excess * self.demand.window_secs() < EXCESS_SIGMAS * (counted + 1.0).sqrt() {
--- a/crates/core/src/ranges/balance_timer.rs
+++ b/crates/core/src/ranges/balance_timer.rs
@@ -2,8 +2,8 @@
 
 use {crate::time::Time, std::time::Duration};
 
-/// Interval between two rebalancing plans. Observed demand lags, so the effect of a move
-/// must show in it before the next plan.
+/// Interval between two rebalancing plans. Observed demand is some seconds old, and the
+/// effect of a move must show in it before the next plan.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Timer that tells when the next rebalancing plan is due.
@@ -19,6 +19,7 @@
 /// ```
 #[derive(Debug)]
 pub struct BalanceTimer {
+    /// When the last plan was due.
     last_due: Time,
 }
 
--- a/crates/core/src/ranges/demand.rs
+++ b/crates/core/src/ranges/demand.rs
@@ -24,8 +24,11 @@
 /// Request rates of all keys at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
+    /// Requests per second for all keys below each index.
     cumulative: Vec<f32>,
+    /// Keys that alone get a large share of the requests, with requests per second.
     hot_keys: Vec<(RangeKey, f64)>,
+    /// Effective length of the window in seconds.
     window_secs: f64,
 }
 
@@ -104,7 +107,9 @@
     half_life: Duration,
     /// Time of the first request.
     started: Option<Time>,
+    /// Time at which a request has weight 1.
     origin: Time,
+    /// Sum of the weights of each key's requests.
     weights: Vec<f32>,
     /// Sum of the weights in each bucket.
     bucket_weights: [f64; BUCKETS],
@@ -202,6 +207,7 @@
         (now - self.origin).as_secs_f64() / self.half_life.as_secs_f64()
     }
 
+    /// Moves the origin to `now` and scales all weights accordingly.
     fn rescale(&mut self, now: Time) {
         let scale = (-self.elapsed_half_lives(now)).exp2() as f32;
         for weight in &mut self.weights {
--- a/crates/core/src/ranges/leases.rs
+++ b/crates/core/src/ranges/leases.rs
@@ -94,6 +94,7 @@
 pub struct LeaseTracker {
     times: LeaseTimes,
     grants: BTreeMap<ServerName, SentGrants>,
+    /// Time until which earlier planners may have sent grants.
     previous_until: Time,
 }
 
--- a/crates/core/src/ranges/map.rs
+++ b/crates/core/src/ranges/map.rs
@@ -204,7 +204,8 @@
         self.merge_adjacent();
     }
 
-    /// Overwrites the map with `slices`, which must be disjoint.
+    /// Overwrites the ranges of `slices`, which must be disjoint, and keeps the rest of the
+    /// map.
     pub(super) fn replace_all(&mut self, mut slices: Vec<Slice>) {
         slices.sort_by_key(|slice| slice.range);
         let mut next = Vec::with_capacity(self.slices.len() + 2 * slices.len());
--- a/crates/core/src/ranges/reconciler/commits.rs
+++ b/crates/core/src/ranges/reconciler/commits.rs
@@ -27,6 +27,8 @@
 const BATCH_WINDOW: Duration = Duration::from_millis(100);
 
 impl Reconciler {
+    /// Orders a commit of new owners, lease ends and raised epochs, unless a commit is in
+    /// progress.
     pub(super) fn commit_free_keys(
         &mut self,
         now: Time,
@@ -125,6 +127,7 @@
         });
     }
 
+    /// Applies the outcome of a commit: on success its moves end and their grants become due.
     pub(super) fn complete_commit(&mut self, map: &RangeMap, outcome: &OrderOutcome) {
         self.commit_started = None;
         if !matches!(outcome, OrderOutcome::Done { .. }) {
@@ -148,6 +151,7 @@
         self.leases.retain(|server| owners.contains(server));
     }
 
+    /// Drops seen epochs that the map has reached.
     fn drop_raised(&mut self) {
         let map = &self.map;
         self.seen_epochs
@@ -174,6 +178,7 @@
     map.replace_all(raised);
 }
 
+/// Whether any slice in `range` has an epoch below `seen` and must be raised.
 fn needs_raise(map: &RangeMap, range: KeyRange, seen: Epoch) -> bool {
     let mut slices = map.overlapping(range);
     slices.any(|slice| is_outdated(slice, seen))
--- a/crates/core/src/ranges/reconciler/mod.rs
+++ b/crates/core/src/ranges/reconciler/mod.rs
@@ -138,6 +138,8 @@
         orders
     }
 
+    /// Adds the load of all keys to the servers that own them, or will after the moves in
+    /// progress.
     fn compute_loads(&self, balancer: &mut Balancer<'_>) {
         let moving = self.moving_ranges();
         for slice in self.map.slices() {
--- a/crates/core/src/ranges/reconciler/moves.rs
+++ b/crates/core/src/ranges/reconciler/moves.rs
@@ -178,6 +178,7 @@
         moving
     }
 
+    /// Starts moves that even out load, and merges of small slices if there are many.
     pub(super) fn rebalance(&mut self, now: Time, balancer: &mut Balancer<'_>) {
         let moving = self.moving_ranges();
         let mut owned: BTreeMap<&ServerName, Vec<KeyRange>> = BTreeMap::new();
@@ -223,6 +224,7 @@
         owned.collect()
     }
 
+    /// Starts a move; keys that never had an owner need no release.
     fn start_move(&mut self, range: KeyRange, from: Option<ServerName>, to: ServerName, now: Time) {
         let phase = match from {
             Some(_) => MovePhase::Releasing { send_at: Some(now) },
@@ -247,6 +249,7 @@
         });
     }
 
+    /// Orders the releases that are due.
     pub(super) fn send_releases(&mut self, now: Time, orders: &mut Vec<Order>) {
         for pending in &mut self.moves {
             let (Some(server), MovePhase::Releasing { send_at }) =
@@ -265,6 +268,7 @@
         }
     }
 
+    /// Applies the outcome of a release; a failed one is sent again after [`RETRY_DELAY`].
     pub(super) fn complete_release(
         &mut self,
         range: KeyRange,
--- a/crates/core/src/ranges/reconciler/renewals.rs
+++ b/crates/core/src/ranges/reconciler/renewals.rs
@@ -133,6 +133,7 @@
 }
 
 impl Reconciler {
+    /// Orders the grants that are due, first grants and renewals alike.
     pub(super) fn send_renewals(&mut self, now: Time, orders: &mut Vec<Order>) {
         if self.renewals.is_stale {
             let parts = self.renewable_ranges();
--- a/crates/core/src/ranges/windows.rs
+++ b/crates/core/src/ranges/windows.rs
@@ -68,7 +68,9 @@
 /// ```
 #[derive(Debug)]
 pub struct DemandWindows {
+    /// Window of [`LONG_HALF_LIFE`].
     long: KeyDemand,
+    /// Windows of [`SHORT_HALF_LIVES`].
     short: [KeyDemand; SHORT_HALF_LIVES.len()],
     /// The last sudden change, until the long window agrees with it.
     change: Option<Change>,
@@ -79,6 +81,7 @@
 /// Sudden change of demand.
 #[derive(Debug)]
 struct Change {
+    /// When the change was detected.
     started: Time,
     /// Requests since the change.
     demand: KeyDemand,
@@ -160,12 +163,12 @@
         let late_buckets = differing_buckets(&self.long, &change.demand, CHANGE_SIGMAS, now);
         change.buckets = union(change.buckets, late_buckets);
         let age = now - change.started;
-        let settled_windows = SHORT_HALF_LIVES
+        let flushed_half_lives = SHORT_HALF_LIVES
             .iter()
             .take_while(|half_life| age > **half_life * FLUSH_HALF_LIVES);
-        let pure_windows = &self.short[..settled_windows.count()];
+        let flushed_windows = &self.short[..flushed_half_lives.count()];
         (
-            first_differing(pure_windows, &change.demand, now),
+            first_differing(flushed_windows, &change.demand, now),
             change.buckets,
         )
     }
@@ -199,12 +202,13 @@
     differing.next().unwrap_or_default()
 }
 
+/// Buckets that are set in either.
 fn union(one: BucketFlags, other: BucketFlags) -> BucketFlags {
     std::array::from_fn(|bucket| one[bucket] || other[bucket])
 }
 
-/// Buckets in which `window` differs from `baseline` by more than `sigmas` standard
-/// deviations.
+/// Buckets whose share of requests differs between `window` and `baseline` by more than
+/// `sigmas` standard deviations; none if the window has too few requests.
 fn differing_buckets(
     baseline: &KeyDemand,
     window: &KeyDemand,
--- a/crates/core/tests/growth.rs
+++ b/crates/core/tests/growth.rs
@@ -87,8 +87,7 @@
 }
 
 impl Planner {
-    /// Creates a planner whose servers all hold their keys, a few milliseconds after the
-    /// first assignment.
+    /// Creates a planner whose servers all hold their keys after the first assignment.
     fn with_held_keys(servers: usize) -> Self {
         let service: ServiceName = "ledger".parse().unwrap();
         let mut registry = Registry::new(RegistryTimes::STANDARD);
--- a/crates/core/tests/ranges.rs
+++ b/crates/core/tests/ranges.rs
@@ -35,7 +35,7 @@
 
 proptest! {
     /// Guards against keys without a slice or with two, and against an epoch that does
-    /// not rise: a server that sees an older owner's epoch later rejects it.
+    /// not rise: a server rejects the grant of an older owner only by its lower epoch.
     #[test]
     fn slices_have_no_gap_and_epochs_rise(
         moves in prop::collection::vec((any::<u16>(), any::<u16>(), 0_usize..4), 1..60),
@@ -392,11 +392,11 @@
             let mut balancer = Balancer::new(BalanceLimits::STANDARD, &capacities, &demand);
             let lost = LostServers(std::slice::from_ref(&lost));
             for order in reconciler.tick(now, &clock, &lost, &mut balancer, scope) {
-                let end = match &order {
+                let outcome = match &order {
                     Order::Release { .. } => OrderOutcome::NotSent,
                     _ => OrderOutcome::Done { handover: None },
                 };
-                reconciler.complete(&order, end, now);
+                reconciler.complete(&order, outcome, now);
             }
         }
         map = reconciler.map().clone();
--- a/crates/core/tests/ranges_model/main.rs
+++ b/crates/core/tests/ranges_model/main.rs
@@ -72,10 +72,7 @@
     let held_share: f64 =
         walks.iter().map(|walk| walk.held_share).sum::<f64>() / walks.len() as f64;
     assert!(commits > 20 * SEEDS, "{commits} commits");
-    assert!(
-        held_share > 0.5,
-        "{held_share} of the keys are held on average"
-    );
+    assert!(held_share > 0.5, "average share of held keys: {held_share}");
 }
 
 /// Guards against a model that would not detect a missing safeguard. Each flaw removes
@@ -92,6 +89,6 @@
     let missed: Vec<_> = found.iter().filter(|(_, seed)| seed.is_none()).collect();
     assert!(
         missed.is_empty(),
-        "unnoticed in {MAX_FLAW_SEEDS} walks: {found:?}"
+        "flaws not detected with {MAX_FLAW_SEEDS} seeds: {found:?}"
     );
 }
--- a/crates/core/tests/ranges_model/planner.rs
+++ b/crates/core/tests/ranges_model/planner.rs
@@ -14,13 +14,13 @@
     /// Version of the map's row that the reconciler started from.
     pub version: u64,
     /// Whether it reaches the store.
-    pub connected: bool,
+    pub is_connected: bool,
     /// Time of the last answer from the store.
     pub confirmed: Time,
     /// Its estimate of the store's clock.
     pub clock: StoreClock,
     /// Whether it has read that another instance leads.
-    pub stopped: bool,
+    pub is_stopped: bool,
     /// Servers that it does not reach.
     pub unreachable: Vec<ServerName>,
     /// Servers that receive only its grants and whose answers are lost.
--- a/crates/core/tests/ranges_model/server.rs
+++ b/crates/core/tests/ranges_model/server.rs
@@ -24,7 +24,9 @@
     pub is_up: bool,
     pub is_leaving: bool,
     pub held: Vec<HeldRange>,
+    /// Epochs seen with grants and releases, by range.
     seen_epochs: Vec<(KeyRange, Epoch)>,
+    /// Whether the clock runs 2% slow.
     has_slow_clock: bool,
 }
 
--- a/crates/core/tests/ranges_model/world.rs
+++ b/crates/core/tests/ranges_model/world.rs
@@ -15,7 +15,9 @@
     std::time::Duration,
 };
 
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(50);
+/// Servers started at first; a crashed or leaving one is replaced.
 const SERVERS: usize = 5;
 
 /// Safeguard that is removed.
@@ -46,7 +48,7 @@
     /// The end of a lost owner's lease is written too early, by the longest validity of a
     /// grant.
     EarlyExpiry,
-    /// Every other planner estimates the store's clock too late.
+    /// Every other planner's estimate of the store's clock is 8 s ahead.
     ClockAhead,
 }
 
@@ -71,7 +73,7 @@
 #[derive(Debug)]
 struct OrderInTransit {
     arrival: Time,
-    /// Time of execution; later than the arrival if the server is slow.
+    /// Time of execution; later than the arrival if the server is delayed.
     execution: Time,
     planner: u64,
     order: Order,
@@ -86,6 +88,7 @@
     map: RangeMap,
 }
 
+/// Simulation of planners, servers and the store.
 #[derive(Debug)]
 pub struct World {
     now: Time,
@@ -104,6 +107,7 @@
     /// Releases that planners have announced to the other instances.
     releases: Vec<MoveNotice>,
     servers_started: usize,
+    /// Number of commits executed.
     pub commits: u64,
     /// Whether some servers receive only grants, and their answers are lost.
     one_way_links: bool,
@@ -113,6 +117,7 @@
     late_commits: bool,
 }
 
+/// Listed servers as the planners see them.
 struct Listed<'a> {
     servers: &'a [Server],
     ended: &'a [ServerName],
@@ -190,6 +195,7 @@
         }
     }
 
+    /// Advances the simulation by [`STEP`].
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         self.inject_faults();
@@ -236,6 +242,7 @@
         f64::from(keys) / 65_536.0
     }
 
+    /// True with a probability of `per_mille` in 1,000.
     fn chance(&mut self, per_mille: u32) -> bool {
         self.rng.random_range(0..1_000) < per_mille
     }
@@ -261,7 +268,7 @@
                 .iter_mut()
                 .find(|planner| planner.number == leader)
             {
-                planner.connected = false;
+                planner.is_connected = false;
             }
             self.take_over(false);
         }
@@ -273,7 +280,7 @@
         }
         if self.chance(1) {
             for planner in &mut self.planners {
-                planner.connected = true;
+                planner.is_connected = true;
             }
         }
     }
@@ -339,7 +346,7 @@
         self.leader += 1;
         let may_still_act = self.planners.iter().any(|planner| {
             let known = self.flaw != Some(Flaw::OnlyLastPlanner) || planner.number == former;
-            known && !planner.stopped
+            known && !planner.is_stopped
         });
         let previous_until = match (self.flaw, may_still_act) {
             (Some(Flaw::IgnorePreviousPlanners), _) => self.now,
@@ -362,13 +369,13 @@
             number: self.leader,
             reconciler,
             version: self.version,
-            connected: true,
+            is_connected: true,
             confirmed: self.now,
             clock: StoreClock::default(),
             outcomes: Vec::new(),
             unreachable: Vec::new(),
             one_way: Vec::new(),
-            stopped: false,
+            is_stopped: false,
         });
     }
 
@@ -376,10 +383,10 @@
         let now = self.now;
         let capacities = self.capacities();
         let planner = &mut self.planners[index];
-        if planner.stopped {
+        if planner.is_stopped {
             return;
         }
-        if planner.connected {
+        if planner.is_connected {
             planner.confirmed = now;
             let ahead = match self.flaw {
                 Some(Flaw::ClockAhead) if planner.number % 2 == 1 => Duration::from_secs(8),
@@ -388,7 +395,7 @@
             planner.clock.record(now, now, store_time(now + ahead));
             if planner.number != self.leader && self.flaw != Some(Flaw::NoLeaderCheck) {
                 // It reads that another instance leads, and stops planning.
-                planner.stopped = true;
+                planner.is_stopped = true;
                 return;
             }
         }
@@ -397,10 +404,10 @@
             return;
         }
         let (due, later): (Vec<_>, Vec<_>) =
-            planner.outcomes.drain(..).partition(|end| end.0 <= now);
+            planner.outcomes.drain(..).partition(|entry| entry.0 <= now);
         planner.outcomes = later;
-        for (_, order, end) in due {
-            planner.reconciler.complete(&order, end, now);
+        for (_, order, outcome) in due {
+            planner.reconciler.complete(&order, outcome, now);
         }
         let listed = Listed {
             servers: &self.servers,
@@ -447,7 +454,7 @@
         let is_leading = planner.number == self.leader || flaw == Some(Flaw::NoLeaderCheck);
         let is_current_version =
             planner.version == self.version || flaw == Some(Flaw::NoLeaderCheck);
-        if !planner.connected || (is_lost && flaw != Some(Flaw::AssumeCommitted)) {
+        if !planner.is_connected || (is_lost && flaw != Some(Flaw::AssumeCommitted)) {
             planner
                 .outcomes
                 .push((self.now + STEP, order, OrderOutcome::Unknown));
@@ -516,8 +523,8 @@
             let mut planners = self.planners.iter_mut();
             if let Some(known) = planners.find(|known| known.number == planner) {
                 known.version = version;
-                let end = OrderOutcome::Done { handover: None };
-                known.outcomes.push((now, Order::Commit(map), end));
+                let outcome = OrderOutcome::Done { handover: None };
+                known.outcomes.push((now, Order::Commit(map), outcome));
             }
         }
     }
@@ -549,10 +556,10 @@
             Order::Commit(_) => None,
         };
         let planner = &self.planners[index];
-        let unreachable = to
+        let is_unreachable = to
             .as_ref()
             .is_some_and(|to| planner.unreachable.contains(to));
-        let one_way = to.is_some_and(|to| planner.one_way.contains(&to));
+        let is_one_way = to.is_some_and(|to| planner.one_way.contains(&to));
         if let Order::Release { range, epoch, .. } = &order {
             self.releases.push(MoveNotice {
                 range: *range,
@@ -560,19 +567,19 @@
                 hint: OwnerHint::Released,
             });
         }
-        let release = matches!(order, Order::Release { .. });
-        let is_lost = unreachable || (one_way && release) || self.chance(50);
-        let is_answered = !is_late && !one_way;
+        let is_release = matches!(order, Order::Release { .. });
+        let is_lost = is_unreachable || (is_one_way && is_release) || self.chance(50);
+        let is_answered = !is_late && !is_one_way;
         if is_lost || !is_answered {
             let timeout = self.now + self.times.order_timeout;
             // No connection is made to a server that cannot be reached.
-            let end = match unreachable {
+            let outcome = match is_unreachable {
                 true => OrderOutcome::NotSent,
                 false => self.unanswered(&order),
             };
             self.planners[index]
                 .outcomes
-                .push((timeout, order.clone(), end));
+                .push((timeout, order.clone(), outcome));
         }
         if is_lost {
             return;
@@ -594,8 +601,8 @@
             .partition(|sent| sent.execution <= now);
         self.in_transit = later;
         for sent in due {
-            let end = self.carry_out(&sent);
-            self.answer(&sent, end);
+            let outcome = self.carry_out(&sent);
+            self.answer(&sent, outcome);
         }
     }
 
@@ -628,6 +635,7 @@
         }
     }
 
+    /// What a planner concludes about an order without an answer.
     fn unanswered(&self, order: &Order) -> OrderOutcome {
         match (order, self.flaw) {
             (Order::Release { .. }, Some(Flaw::AssumeReleased)) => {
@@ -638,6 +646,7 @@
         }
     }
 
+    /// Reports the outcome of an order to its planner, or loses the answer.
     fn answer(&mut self, sent: &OrderInTransit, outcome: OrderOutcome) {
         if !sent.is_answered {
             return;
@@ -661,6 +670,7 @@
     StoreTime(now.as_micros() / 1_000)
 }
 
+/// The map with every lease end moved earlier by `by`.
 fn expire_early(map: &RangeMap, by: Duration) -> RangeMap {
     let mut early = map.clone();
     for slice in map.slices() {
--- a/crates/core/tests/surge/world.rs
+++ b/crates/core/tests/surge/world.rs
@@ -19,14 +19,17 @@
     },
 };
 
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(10);
 /// Longest delay of a report of requested keys.
 const MAX_REPORT_DELAY: Duration = Duration::from_millis(150);
-/// Interval between plans without results of orders, and with results.
+/// Interval between plans while no order completes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between plans while orders complete.
 const RESULT_INTERVAL: Duration = Duration::from_millis(20);
-/// Duration of an order, and of a commit.
+/// Duration of a grant, or of a release of keys without requests.
 const ORDER_TIME: Duration = Duration::from_millis(10);
+/// Duration of a commit.
 const COMMIT_TIME: Duration = Duration::from_millis(30);
 /// Requests that queue at an overloaded server, besides those that run.
 const MAX_QUEUED: usize = 16;
@@ -42,11 +45,15 @@
 /// A deployment, and the range that turns hot.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
+    /// Number of servers.
     pub servers: usize,
+    /// Concurrent requests that a server runs.
     pub slots: u32,
+    /// Time that a request runs.
     pub run_time: Duration,
     /// Requests per second.
     pub requests: u32,
+    /// Items, spread evenly over the key space.
     pub items: u32,
     /// Number of adjacent items that turn hot.
     pub hot_items: u32,
@@ -68,6 +75,7 @@
     }
 }
 
+/// Simulation of a planner and its servers.
 pub struct World {
     shape: Shape,
     rng: ChaCha8Rng,
@@ -86,7 +94,7 @@
     orders: Vec<(Time, Order)>,
     /// First item of the hot range.
     hot_range: Option<u32>,
-    /// Single hot item outside the range, and its share of all requests.
+    /// Single hot item besides the range, and its share of all requests.
     pub hot_item: Option<(u32, f64)>,
     evacuated: Evacuated,
     moved: u64,
@@ -186,6 +194,7 @@
         self.now - begun
     }
 
+    /// Whether an evacuated server still owns keys.
     fn has_evacuated_owner(&self) -> bool {
         let mut owners = self.reconciler.map().slices().iter();
         owners.any(|slice| {
@@ -283,6 +292,7 @@
         }
     }
 
+    /// Completes the orders that are due. Returns whether there were any.
     fn end_orders(&mut self) -> bool {
         let now = self.now;
         let (due, pending): (Vec<_>, Vec<_>) =
@@ -293,11 +303,11 @@
             if let Order::Release { range, .. } = &order {
                 self.moved += u64::from(range.len());
             }
-            let end = match &order {
+            let outcome = match &order {
                 Order::Commit(_) if !self.is_store_up => OrderOutcome::Unknown,
                 _ => OrderOutcome::Done { handover: None },
             };
-            self.reconciler.complete(&order, end, now);
+            self.reconciler.complete(&order, outcome, now);
         }
         has_due
     }
