--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/call.rs
@@ -332,7 +332,7 @@
     fn refused_again(&self) -> Duration {
         let loads = self.front.board.loads();
         let last = self.tried.last();
-        let callers = last.map_or(1.0, |last| loads.get(last).callers_per_admission());
+        let callers = last.map_or(1.0, |last| loads.get(last).clients_per_admission());
         let spread = rand::rng().random_range(RETRY_JITTER);
         let again = REJECTED_RETRY_AFTER.mul_f64(callers * spread);
         again.min(REJECTED_RETRY_MOST)
--- a/crates/core/src/dispatch/concurrency.rs
+++ b/crates/core/src/dispatch/concurrency.rs
@@ -1,45 +1,47 @@
-//! How many requests an instance has at a service at a time.
+//! Adaptive limit on the requests that one instance has in flight at a service.
 
-/// Requests at a time that a new instance begins with: more than its part of any
-/// service seen so far, as the first late answers correct it.
+/// Initial limit of a new instance, in requests. It exceeds an instance's share of any
+/// service seen so far; the first late responses lower it.
 const LIMIT_INITIAL: f64 = 8.0;
-/// The least: one request in three that come when none is under way, so that
-/// answers go on telling whether there is room again.
+/// Lower bound of the limit. With no request in flight, 0.3 admits about one request in
+/// three, so that responses keep showing whether there is capacity again.
 const LIMIT_MIN: f64 = 0.3;
-/// Added for an answer in time while most of the limit is in use.
+/// Increase of the limit for a response on time while most of the limit is in use.
 const INCREASE: f64 = 0.2;
-/// The same as a part of a limit above eight, so that late answers weigh the
-/// same at any size: up to a fifth of them leave the limit where it is.
+/// Increase as a fraction of the limit, used for limits above 8. Late responses then
+/// weigh the same at every size: the limit holds with up to a fifth of responses late.
 const INCREASE_SHARE: f64 = INCREASE / 8.0;
-/// Factor for a late answer.
+/// Factor on the limit for a late response.
 const DECREASE_FACTOR: f64 = 0.9;
-/// Part of the limit that must be in use for it to rise.
+/// Fraction of the limit that has to be in use for the limit to rise.
 const IN_USE_SHARE: f64 = 0.6;
 
-/// Part of the time up to the objective within which an answer counts as in time:
-/// the limit has to fall before all of it is needed.
+/// Fraction of the time left to the latency objective within which a response counts as
+/// on time. It is below 1 so that the limit falls before the objective is missed.
 pub const ON_TIME_SHARE: f64 = 0.85;
 
-/// What an end tells of the service.
+/// Whether a request ended on time, as input for [`ConcurrencyLimit`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timeliness {
-    /// Answered within [`ON_TIME_SHARE`] of the objective.
+    /// The response came within [`ON_TIME_SHARE`] of the time left to the objective.
     OnTime,
-    /// Answered later, not answered by then, or refused for want of room.
+    /// The response came later, had not come by then, or was a refusal for lack of
+    /// capacity.
     Late,
-    /// Nothing can be learned.
+    /// The end says nothing about the service's capacity.
     Unknown,
 }
 
-/// A limit on an instance's requests at a service whose servers share the work.
+/// Additive-increase, multiplicative-decrease limit on an instance's in-flight requests
+/// at a service whose servers can all run any request.
 ///
-/// What other instances have at servers is known from reports that are as old as
-/// a request is long, and only for some of them. Where more is asked for than
-/// the servers can run, each instance sees room that others fill, and all answers
-/// are late: with 84 instances and 1.3 times the capacity, 49 of 100 in time by
-/// reports alone and 70 with this limit (`tests/stale`). The time that answers
-/// take tells without any report; the limit rises and falls with it, and what is
-/// over it is refused at once.
+/// The load that other instances put on servers is known only from reports, which are as
+/// old as a request takes and cover only some of the instances. When demand exceeds
+/// capacity, every instance sees capacity that others are using as well, and all
+/// responses are late. With 84 instances and a demand of 1.3 times the capacity, 49 of
+/// 100 responses are on time with reports alone and 70 with this limit (`tests/stale`).
+/// Response times need no reports: the limit follows them, and requests above it are
+/// rejected at once.
 ///
 /// ```
 /// use citron_core::dispatch::{ConcurrencyLimit, Timeliness};
@@ -67,20 +69,20 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether one more may begin; `random` from 0 to 1 decides over the part of a
-    /// request in the limit.
+    /// Whether one more request may start. `random`, uniform in 0 to 1, decides for the
+    /// fractional part of the limit.
     pub fn admits(&self, random: f64) -> bool {
         let in_flight = f64::from(self.in_flight);
         let whole = self.limit.floor();
         in_flight < whole || (in_flight == whole && random < self.limit - whole)
     }
 
-    /// One begins.
+    /// Counts the start of a request.
     pub fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// One ends.
+    /// Counts the end of a request and adjusts the limit.
     pub fn end(&mut self, timeliness: Timeliness) {
         let is_in_use = f64::from(self.in_flight) > self.limit * IN_USE_SHARE;
         self.in_flight = self.in_flight.saturating_sub(1);
--- a/crates/core/src/dispatch/idle_limit.rs
+++ b/crates/core/src/dispatch/idle_limit.rs
@@ -1,29 +1,28 @@
-//! How long a connection may have been idle for a request that may run only once.
+//! Limit on the idle time of reused connections for requests that must not run twice.
 
 use std::time::Duration;
 
-/// The bound at first, and after a connection was found to be dead: too short for
-/// anything between to have forgotten it.
+/// Initial limit, and the limit after a dead connection: too short for a middlebox to
+/// have dropped the connection's state.
 const LIMIT_INITIAL: Duration = Duration::from_millis(1_500);
-/// The most: callers' requests come every few seconds to each server, and a longer
-/// bound would save few connections.
+/// Upper bound of the limit. Requests reach each server every few seconds, so that a
+/// higher limit would save few new connections.
 const LIMIT_MAX: Duration = Duration::from_secs(6);
-/// How much the bound rises at a time.
+/// Increase of the limit per step.
 const LIMIT_STEP: Duration = Duration::from_millis(2_250);
-/// Connections idle for as long as the next bound that must have worked before it is
-/// taken. Where one
-/// in ten is dead, a step is taken by mistake four times in ten, and the first that
-/// is found dead takes it back.
+/// Successful responses, on connections idle for at least the next limit, before the
+/// limit rises to it. Where one connection in ten is dead, a step is taken wrongly four
+/// times in ten; the first dead connection found resets the limit.
 const SUCCESSES_PER_STEP: u32 = 8;
 
-/// A bound that follows what requests find that may run again.
+/// Idle limit that adapts to the connections that idempotent requests reuse.
 ///
-/// Such requests go on a connection as long as the server says that it keeps it. If
-/// it is dead they are sent again; what may run only once would be lost. So that
-/// the latter need not open a connection each time, which costs the server a slot
-/// for a moment, the bound rises while idle connections work and falls to its
-/// begin with the first one that does not. It saves 1 in 4 new connections where a
-/// quarter of the requests may run only once.
+/// Idempotent requests reuse a connection for as long as the server announces to keep it,
+/// and are sent again if the connection turns out to be dead. A request that must not run
+/// twice would fail there. Opening a new connection for each such request takes a slot of
+/// the server for a moment. The limit therefore rises while idle connections work and
+/// returns to its initial value with the first dead one. Where a quarter of the requests
+/// must not run twice, this saves 1 in 4 new connections.
 ///
 /// ```
 /// use {citron_core::dispatch::IdleLimit, std::time::Duration};
@@ -52,12 +51,13 @@
 }
 
 impl IdleLimit {
-    /// How long a connection may have been idle.
+    /// Longest idle time of a connection that a request that must not run twice may
+    /// reuse.
     pub fn limit(&self) -> Duration {
         self.limit
     }
 
-    /// A connection that was idle for so long has brought an answer.
+    /// Counts a response on a connection that had been idle for `idle`.
     pub fn record_success(&mut self, idle: Duration) {
         let next = (self.limit + LIMIT_STEP).min(LIMIT_MAX);
         if idle < next {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// One was found to be dead.
+    /// Resets the limit after a reused connection was found dead.
     pub fn record_dead_connection(&mut self) {
         *self = Self::default();
     }
--- a/crates/core/src/dispatch/load.rs
+++ b/crates/core/src/dispatch/load.rs
@@ -1,74 +1,76 @@
-//! What an instance knows of one server's load.
+//! Load and health of one server, as one instance knows them.
 
 use {
     crate::{id::Slots, time::Time},
     std::time::Duration,
 };
 
-/// Weight of a new sample of a server's run time: the last ten or so count.
+/// Weight of a new sample in the moving averages; about the last ten samples count.
 const EWMA_WEIGHT: f64 = 0.1;
-/// How long a server that took no connection is left alone at first.
+/// Time for which a server gets no requests after the first failed connection.
 const UNREACHABLE_MIN: Duration = Duration::from_millis(300);
-/// How long at most.
+/// Upper bound of that time; it doubles with each failed connection in a row.
 const UNREACHABLE_MAX: Duration = Duration::from_secs(2);
-/// How long one refusal for want of room counts: about one run time, after
+/// Time for which a refusal for lack of capacity counts. It is about one run time, after
 /// which a slot has become free.
 const FULL_TIME: Duration = Duration::from_millis(150);
-/// How long a server is left alone that closed a new connection: others have to give
-/// theirs up first.
+/// Time for which a server gets no requests after it closed a new connection: other
+/// connections to it have to be closed first.
 const CLOSED_TIME: Duration = Duration::from_millis(300);
-/// The least part of callers that counts as let in.
+/// Lower bound of the fraction of clients that count as admitted.
 const ADMITTED_SHARE_MIN: f64 = 0.05;
-/// Part of the latest tries that must have been refused or failed for a server to be
-/// asked with care.
+/// Fraction of failed attempts above which a server counts as suspect.
 const SUSPECT_FAILURE_RATE: f64 = 0.05;
-/// Time over which requests are averaged that others have at a server unheard:
-/// some hundred requests of a service, and shorter than a burst.
+/// Time constant of the average over requests that other instances do not report: long
+/// enough for some hundred requests of a service, and shorter than a burst.
 const MEAN_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// After so long without a sample a server's time counts for nothing: it may
-/// have been slow for a while only, and would never be tried again.
+/// Time after which a run time without new samples is ignored. A server may have been
+/// slow only for a while, and without this limit would never be tried again.
 const RUN_TIME_TTL: Duration = Duration::from_secs(4);
 
-/// How a try ended, as far as it tells of the server.
+/// Outcome of an attempt, as far as it tells about the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It ran the request.
+    /// The server ran the request.
     Ran,
-    /// It answered with a failure of its own. Its time says nothing: failures
-    /// are quick, and would make a faulty server look fast.
+    /// The server responded with an error of its own. The response time is ignored:
+    /// errors are quick and would make a faulty server look fast.
     Failed,
-    /// It refused the request for want of room.
+    /// The server refused the request for lack of capacity.
     Full,
-    /// It refused the request although it says that it had room: the next one may be
-    /// taken.
+    /// The server refused the request although it reports free capacity; it may accept
+    /// the next one.
     Shed,
-    /// It took a connection and closed it at once: it has as many as it takes.
+    /// The server accepted a connection and closed it at once: its connection limit is
+    /// reached.
     Closed,
-    /// It could not be reached, or broke off.
+    /// The server could not be reached, or the connection broke.
     Lost,
-    /// Nothing can be learned: the caller left, or the owner was another.
+    /// The attempt says nothing about the server: the client disconnected, or the server
+    /// does not own the key.
     Other,
 }
 
-/// Requests of this instance and of others at a server, and how it runs them.
+/// In-flight requests of all instances at one server, with its run time and failure rate.
 #[derive(Debug, Clone, Default)]
 pub struct ServerLoad {
-    /// Requests of this instance.
+    /// In-flight requests of this instance.
     pub local: u32,
-    /// Requests of other instances, by their last reports.
+    /// In-flight requests of other instances, by their latest reports.
     pub peers: u32,
-    /// The mean of both over the last second or so.
+    /// Moving average of all known in-flight requests, over about a second.
     mean: f64,
     mean_updated: Time,
-    /// Run time of a request that did not have to wait, in seconds.
+    /// Run time of a request without its queueing time, in seconds.
     run_time: Option<f64>,
     run_time_updated: Time,
-    /// The same, as other instances see it.
+    /// Run time as other instances report it, in seconds.
     peer_run_time: Option<f64>,
     peer_run_time_updated: Time,
-    /// Part of the latest tries that were refused or failed.
+    /// Moving average of the fraction of attempts that were refused or failed.
     failure_rate: f64,
-    /// Part of the latest requests for it that it or this instance rejected.
+    /// Moving average of the fraction of requests that the server or this instance
+    /// rejected.
     rejection_rate: f64,
     full_until: Time,
     losses: u32,
@@ -76,15 +78,17 @@
 }
 
 impl ServerLoad {
-    /// All requests there.
+    /// All known in-flight requests at the server.
     pub fn in_flight(&self) -> u32 {
         self.local + self.peers
     }
 
-    /// Requests that are there, where each known one stands for `load_factor`, as other
-    /// instances do not report here. The unknown ones are there on average: otherwise a
-    /// request that happens to be under way would count as several, and others would be
-    /// refused for nothing.
+    /// Estimate of all in-flight requests, with `load_factor` requests for each known
+    /// one, as some instances do not report here.
+    ///
+    /// The unreported ones are taken from the moving average. Scaling the current count
+    /// would turn one request that happens to be in flight into several, and reject
+    /// others needlessly.
     pub fn expected_in_flight(&self, load_factor: f64, now: Time) -> f64 {
         f64::from(self.in_flight()) + (load_factor - 1.0) * self.mean_at(now)
     }
@@ -95,19 +99,20 @@
         in_flight + (self.mean - in_flight) * (-age).exp()
     }
 
-    /// Brings the mean up to date, before the counts change.
+    /// Updates the moving average. To be called before the counts change.
     pub fn update_mean(&mut self, now: Time) {
         self.mean = self.mean_at(now);
         self.mean_updated = now;
     }
 
-    /// The run time that this instance saw last, in seconds.
+    /// Latest run time that this instance measured, in seconds; `None` if there is no
+    /// recent one.
     pub fn local_run_time(&self, now: Time) -> Option<f64> {
         self.run_time
             .filter(|_| now - self.run_time_updated < RUN_TIME_TTL)
     }
 
-    /// The run time over all instances, in seconds.
+    /// Run time over all instances, in seconds; `None` if nobody has measured it lately.
     pub fn run_time(&self, now: Time) -> Option<f64> {
         let peers = self
             .peer_run_time
@@ -118,39 +123,42 @@
         }
     }
 
-    /// Whether it took no connection a short while ago.
+    /// Whether a recent connection to the server failed.
     pub fn is_unreachable(&self, now: Time) -> bool {
         now < self.unreachable_until
     }
 
-    /// Whether it refused a request for want of room a short while ago.
+    /// Whether the server lately refused a request for lack of capacity.
     pub fn is_full(&self, now: Time) -> bool {
         now < self.full_until
     }
 
-    /// How many callers come for each that is let in. Those that are refused and come back
-    /// after so many times the time in which a slot becomes free are about as many as
-    /// there is room for; if they came sooner, they would be refused again.
-    pub fn callers_per_admission(&self) -> f64 {
+    /// Clients for each one that is admitted, from 1 to 20.
+    ///
+    /// If rejected clients retry after this multiple of the time in which a slot becomes
+    /// free, about as many arrive as there is capacity for. If they retried sooner, they
+    /// would be rejected again.
+    pub fn clients_per_admission(&self) -> f64 {
         1.0 / (1.0 - self.rejection_rate).max(ADMITTED_SHARE_MIN)
     }
 
-    /// A request for it was rejected, here or there.
+    /// Counts a request that the server or this instance rejected.
     pub fn record_rejection(&mut self) {
         self.rejection_rate += (1.0 - self.rejection_rate) * EWMA_WEIGHT;
     }
 
-    /// Whether it refused, failed or broke off some of the latest tries.
+    /// Whether the server lately refused or failed more than 5 % of its attempts, or lost
+    /// a connection since the last request that it ran.
     pub fn is_suspect(&self) -> bool {
         self.failure_rate > SUSPECT_FAILURE_RATE || self.losses > 0
     }
 
-    /// Part of the latest tries that it refused or failed, from 0 to 1.
+    /// Recent fraction of attempts that the server refused or failed, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Learns from another instance's run time, in seconds.
+    /// Adds a run time that another instance reported, in seconds.
     pub fn record_peer_run_time(&mut self, run_time: f64, now: Time) {
         let previous = self
             .peer_run_time
@@ -160,8 +168,8 @@
         self.peer_run_time_updated = now;
     }
 
-    /// Learns from a try that took `span`, of which it ran for a part `share`; see
-    /// [`run_share`].
+    /// Adds the outcome of an attempt that took `span`; `share` is the fraction of it
+    /// that the request ran for, as [`run_share`] gives it.
     pub fn record(&mut self, outcome: AttemptOutcome, span: Duration, share: f64, now: Time) {
         let has_free_slot = share >= 1.0;
         match outcome {
@@ -178,8 +186,8 @@
             AttemptOutcome::Full => {
                 self.failure_rate += (1.0 - self.failure_rate) * EWMA_WEIGHT;
                 self.record_rejection();
-                // With a slot free it did not refuse for want of room, and the
-                // next request may be taken.
+                // The server refused with a slot free, so not for lack of capacity, and
+                // may accept the next request.
                 if !has_free_slot {
                     self.full_until = now + FULL_TIME;
                 }
@@ -203,10 +211,12 @@
     }
 }
 
-/// The part of a request's time at a server that it runs, where `in_flight` others are
-/// there when it comes: each waits for the slots in turn. Without those that wait
-/// the busiest server's time would not be known, and a server that is slow would be
-/// taken for an average one as soon as it is overloaded.
+/// Fraction of a request's time at a server during which it runs, with `in_flight` others
+/// there when it arrives; the rest is queueing for a slot.
+///
+/// Samples of requests that had to queue are needed: the busiest server would have no
+/// others, and a slow server would be taken for an average one as soon as it is
+/// overloaded.
 ///
 /// ```
 /// use citron_core::{dispatch::run_share, id::Slots};
--- a/crates/core/src/dispatch/load_tracker.rs
+++ b/crates/core/src/dispatch/load_tracker.rs
@@ -9,18 +9,19 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A report older than this counts for nothing: its instance is gone or cut off,
-/// and what it had at servers has ended or soon will.
+/// Age at which a report expires. Its instance has ended or is cut off by then, and its
+/// requests at servers have ended or soon will.
 const REPORT_TTL: Duration = Duration::from_secs(1);
 
-/// What one instance says of a server.
+/// Load that one instance puts on a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerLoad {
-    /// The server.
+    /// Name of the server.
     pub server: ServerName,
-    /// The instance's requests there.
+    /// In-flight requests of the instance at the server.
     pub in_flight: u32,
-    /// Run time of a request, in seconds, if it saw any lately.
+    /// Run time of a request in seconds; `None` if the instance has not measured one
+    /// lately.
     pub run_time: Option<f64>,
 }
 
@@ -30,7 +31,7 @@
     loads: Vec<PeerLoad>,
 }
 
-/// Loads by server, this instance's own and those that others report.
+/// Loads by server, from this instance's own requests and other instances' reports.
 ///
 /// ```
 /// use {citron_core::{dispatch::*, time::Time}, std::time::Duration};
@@ -51,19 +52,19 @@
 }
 
 impl LoadTracker {
-    /// What is known of a server; nothing if it is new.
+    /// Load of a server; an empty one if the server is unknown.
     pub fn get(&self, server: &ServerName) -> &ServerLoad {
         self.servers.get(server).unwrap_or(&self.untracked)
     }
 
-    /// A request goes to a server.
+    /// Counts a request sent to a server.
     pub fn begin(&mut self, server: &ServerName, now: Time) {
         let load = self.servers.entry(server.clone()).or_default();
         load.update_mean(now);
         load.local += 1;
     }
 
-    /// It has ended.
+    /// Counts the end of a request and its outcome.
     pub fn end(
         &mut self,
         server: &ServerName,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A request for a server was rejected without being sent.
+    /// Counts a request for a server that was rejected without being sent.
     pub fn record_rejection(&mut self, server: &ServerName) {
         self.servers
             .entry(server.clone())
@@ -87,7 +88,8 @@
             .record_rejection();
     }
 
-    /// Replaces what another instance says of servers.
+    /// Replaces the report of another instance, and drops one expired report of any
+    /// instance.
     pub fn apply_report(&mut self, peer: InstanceId, loads: Vec<PeerLoad>, now: Time) {
         for reported in &loads {
             let load = self.servers.entry(reported.server.clone()).or_default();
@@ -117,8 +119,8 @@
         }
     }
 
-    /// What this instance says of servers, the busiest first; those without a request
-    /// are left out.
+    /// This instance's loads, to be reported to others, the busiest server first. Servers
+    /// with neither in-flight requests nor a recent run time are left out.
     pub fn local_loads(&self, now: Time) -> Vec<PeerLoad> {
         let reported = self.servers.iter().map(|(server, load)| PeerLoad {
             server: server.clone(),
@@ -132,7 +134,8 @@
         reported
     }
 
-    /// Forgets servers that are known no more and have nothing under way.
+    /// Removes servers that `keep` rejects, but for those with in-flight requests of this
+    /// instance.
     pub fn retain(&mut self, keep: impl Fn(&ServerName) -> bool) {
         self.servers
             .retain(|server, load| load.local > 0 || keep(server));
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,5 +1,4 @@
-//! Which backend server a request goes to now, and when it is better told to
-//! come back.
+//! Selection of a backend server for a request, or rejection with a Retry-After.
 
 mod concurrency;
 mod idle_limit;
--- a/crates/core/src/dispatch/reported_load.rs
+++ b/crates/core/src/dispatch/reported_load.rs
@@ -1,4 +1,4 @@
-//! What servers say of their load.
+//! Load that servers report with their responses.
 
 use {
     crate::id::Slots,
@@ -6,14 +6,17 @@
     thiserror::Error,
 };
 
-/// More requests or slots than any server has: a larger number is a mistake.
+/// Upper bound of each count; larger numbers are taken for errors.
 const COUNT_MAX: u32 = 100_000;
-/// The slowest machine that is believed, in percent of the usual time.
+/// Upper bound of the slowdown, in percent of the normal run time.
 const PERCENT_MAX: u32 = 100_000;
-/// Work takes as long as usual.
+/// Percentage that stands for the normal run time.
 const PERCENT_NORMAL: u32 = 100;
 
-/// A server's load at the moment of an answer, over all its callers.
+/// A server's load over all clients at the time of a response.
+///
+/// The text form is `running,waiting,slots`, with an optional fourth number: the run time
+/// in percent of the normal one.
 ///
 /// ```
 /// use citron_core::dispatch::ReportedLoad;
@@ -25,25 +28,27 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests that it runs.
+    /// Requests that are running.
     pub running: u32,
     /// Requests that wait for a slot.
     pub waiting: u32,
-    /// Requests that it runs at a time.
+    /// Requests that the server can run at a time.
     pub slots: Slots,
-    /// Time that work takes now, as a multiple of the usual.
+    /// Current run time as a multiple of the normal one.
     pub slowdown: f64,
 }
 
-/// Figures of a load that cannot be.
+/// Error for a load that is malformed or out of range.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("load '{found}': running, waiting, slots and, if told, percent of the usual time")]
+#[error(
+    "invalid load '{found}': expected running,waiting,slots and optionally the run time in percent of the normal one"
+)]
 pub struct ReportedLoadError {
     found: String,
 }
 
 impl ReportedLoad {
-    /// Whether another request could begin at once.
+    /// Whether another request could start at once.
     pub fn has_room(&self) -> bool {
         self.running < self.slots.0
     }
--- a/crates/core/src/dispatch/select.rs
+++ b/crates/core/src/dispatch/select.rs
@@ -1,4 +1,4 @@
-//! The choice of a server, or of none.
+//! Selection of the server for a request.
 
 use {
     super::{LoadTracker, ServerLoad},
@@ -6,22 +6,25 @@
     std::{fmt, time::Duration},
 };
 
-/// Factors and limits by which servers are weighed.
+/// Weights and limits of the selection.
 struct SelectionWeights {
-    /// Run time while no server of the service was measured, in seconds.
+    /// Run time of a service with no measured server, in seconds.
     default_run_time: f64,
-    /// Factor of the run time on a server that has just started, or got keys without a
+    /// Factor on the run time of a server that has just started, or got keys without a
     /// handover.
     cold_factor: f64,
-    /// Longest planned time to a response, as a fraction of the time to the objective.
+    /// Longest planned response time, as a fraction of the time left to the objective.
     objective_share: f64,
-    /// The same for a request that is late anyway, as a fraction of the time to the deadline.
+    /// Longest planned response time of a request that cannot meet its objective, as a
+    /// fraction of the time left to its deadline.
     deadline_share: f64,
-    /// Penalty of another failure domain: traffic between them is paid for.
+    /// Factor for a server in another failure domain, as traffic between domains costs
+    /// money.
     cross_domain_penalty: f64,
-    /// Penalty of a new connection: it takes a slot of the server for a moment.
+    /// Factor for a new connection, which takes a slot of the server for a moment.
     new_connection_penalty: f64,
-    /// Penalty of a server that rejects all tries, in run times.
+    /// Weight of the failure rate; a server that fails all attempts has its score
+    /// multiplied by 1 plus this weight.
     failure_penalty: f64,
 }
 
@@ -37,47 +40,48 @@
 
 /// Shortest and longest Retry-After, in seconds.
 const RETRY_AFTER_RANGE_S: [f64; 2] = [0.08, 3.0];
-/// Longest Retry-After, in seconds, for a server that rejects nobody yet.
+/// Longest Retry-After of a server that has rejected no requests yet, in seconds.
 const RETRY_AFTER_QUEUE_MAX_S: f64 = 0.9;
-/// Jitter of Retry-After, as a fraction: callers rejected together would return together.
+/// Jitter of Retry-After, as a fraction. Without it, clients rejected together would
+/// return together.
 const RETRY_AFTER_JITTER: f64 = 0.3;
 
-/// A server that a request may go to.
+/// A server that may get the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// The server.
+    /// The server's record in the registry.
     pub server: &'a ServerRecord,
-    /// Whether it is in this instance's failure domain.
+    /// Whether the server is in this instance's failure domain.
     pub same_domain: bool,
-    /// Whether a connection to it is kept that the request may use.
+    /// Whether the request can reuse an idle connection to the server.
     pub has_connection: bool,
-    /// Requests at the server for each that this instance knows of; above 1 where only
-    /// some of the other instances report to it.
+    /// Actual requests at the server for each one known to this instance; above 1 where
+    /// only some of the instances report to it.
     pub load_factor: f64,
 }
 
-/// How long a request may take, and how many servers are compared for it.
+/// Time limits of a request, and the number of servers to compare.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeLimits {
-    /// Time left to the objective.
+    /// Time left to the latency objective.
     pub objective: Duration,
     /// Time left to the deadline.
     pub deadline: Duration,
-    /// Servers drawn at random and compared; see [`sample_size`].
+    /// Number of servers drawn at random and compared; see [`sample_size`].
     pub sample_size: usize,
 }
 
-/// Reports younger than this tell which server is the best.
+/// Longest report period with which all servers are compared.
 const FRESH_PERIOD_MAX: Duration = Duration::from_millis(150);
-/// Servers compared where reports are older.
+/// Number of servers compared at longer report periods.
 const STALE_SAMPLE_SIZE: usize = 2;
 
-/// How many servers are compared where reports of other instances come every
-/// `period`; all if they are young.
+/// Number of servers to compare if other instances report every `period`; all of them if
+/// the period is short.
 ///
-/// Instances that see the same old reports would all choose the same few servers until
-/// the next ones come, and requests there would wait. The better one of two drawn at
-/// random spreads them.
+/// Instances with the same outdated reports would all select the same few servers until
+/// the next reports, and requests would queue there. Taking the better of two random
+/// servers spreads them.
 ///
 /// ```
 /// use {citron_core::dispatch::sample_size, std::time::Duration};
@@ -90,46 +94,46 @@
     }
 }
 
-/// What becomes of a request.
+/// Result of the selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// To this server.
+    /// Send the request to this server.
     Send(ServerName),
-    /// To none now.
+    /// Reject the request.
     Reject {
-        /// When there should be room.
+        /// Time until a server should have capacity.
         retry_after: Duration,
-        /// Why the server that has room first has none now.
+        /// Reason for which the server that should have capacity first is not selected.
         reason: RejectReason,
     },
 }
 
-/// Why a server is not offered a request.
+/// Reason for which a server gets no requests for the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It took no connection, or broke one off, a short while ago.
+    /// A recent connection to the server failed.
     Unreachable,
-    /// It refused a request for want of room a short while ago.
+    /// The server lately refused a request for lack of capacity.
     Refusing,
-    /// Its answer would come too late, by the requests that are there.
+    /// With the requests already there, the response would be late.
     QueueTooLong,
 }
 
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Unreachable => "no server could be reached lately",
-            Self::Refusing => "all servers have refused requests lately",
-            Self::QueueTooLong => "no server would answer in time",
+            Self::Unreachable => "no server is reachable",
+            Self::Refusing => "all servers refuse requests",
+            Self::QueueTooLong => "no server would respond in time",
         })
     }
 }
 
-/// Chooses the server that should answer first, if it should in time.
+/// Selects the server that should respond first, if it should respond in time.
 ///
-/// A server's own queue makes every request late once it is longer than the
-/// objective allows, and each request in it then waits for nothing. So what
-/// should not end in time is not sent, and the caller is told at once.
+/// Once a server's queue is longer than the objective allows, every request in it is
+/// late, and its wait is wasted. Requests that should not finish in time are therefore
+/// rejected at once instead of being sent.
 pub fn select_server<'a>(
     loads: &LoadTracker,
     candidates: impl Iterator<Item = Candidate<'a>>,
@@ -177,17 +181,17 @@
     }
 }
 
-/// What servers are weighed by.
+/// Inputs of the estimate of each server's response time.
 struct LoadEstimate<'a> {
     loads: &'a LoadTracker,
-    /// Run time of a server that nobody has measured.
+    /// Run time of servers without a measured one, in seconds.
     default_run_time: f64,
     now: Time,
 }
 
 impl LoadEstimate<'_> {
-    /// How good a server is for a request; in how many seconds it should have room if
-    /// it has none, and why it has none.
+    /// Scores a server for a request. The error holds the time in seconds until the
+    /// server should have capacity, and the reason for which it has none.
     fn evaluate<'s>(
         &self,
         candidate: &Candidate<'s>,
@@ -210,10 +214,11 @@
         if let Some(reason) = reason {
             let until_free =
                 (wait + run_time / f64::from(entry.slots.0)).min(RETRY_AFTER_QUEUE_MAX_S);
-            return Err((until_free * load.callers_per_admission(), reason));
+            return Err((until_free * load.clients_per_admission(), reason));
         }
-        // One that nobody has measured lately may have joined just now, and would
-        // stay without a request as long as others have room.
+        // A server without a recent run time may have joined just now. It would get no
+        // requests while others have capacity if it were also charged for its new
+        // connection.
         let has_connection = candidate.has_connection || load.run_time(self.now).is_none();
         let domain_factor = if candidate.same_domain {
             1.0
@@ -226,7 +231,7 @@
             WEIGHTS.new_connection_penalty
         };
         let failure_factor = 1.0 + load.failure_rate() * WEIGHTS.failure_penalty;
-        // Jitter: instances with the same load reports would pick the same server.
+        // Instances with the same reports would select the same server without jitter.
         let jitter = 0.9 + 0.2 * random;
         Ok(ScoredServer {
             score: (run_time + wait) * domain_factor * connection_factor * failure_factor * jitter,
@@ -237,19 +242,19 @@
     }
 }
 
-/// A server that should answer in time.
+/// A server that should respond in time.
 #[derive(Clone, Copy)]
 struct ScoredServer<'a> {
-    /// The lower, the better.
+    /// Estimated response time with all penalties; the lowest score wins.
     score: f64,
-    /// Whether a connection to it is kept, or nothing is known of it.
+    /// Whether an idle connection can be reused, or the server has no recent run time.
     has_connection: bool,
-    /// How long a request waits there, in seconds.
+    /// Expected queueing time at the server, in seconds.
     wait: f64,
     server: &'a ServerName,
 }
 
-/// `count` of the offers at random.
+/// Draws `count` of the options at random.
 fn sample<'a>(
     mut options: Vec<ScoredServer<'a>>,
     count: usize,
@@ -260,7 +265,7 @@
     }
     for index in 0..count {
         let remaining = options.len() - index;
-        // Guards against rounding up to `remaining`.
+        // The product may round up to `remaining`.
         let offset = ((random() * remaining as f64) as usize).min(remaining - 1);
         options.swap(index, index + offset);
     }
@@ -268,17 +273,18 @@
     options
 }
 
-/// The longest time that a request may be planned to take.
+/// Longest response time that is planned for a request, in seconds.
 fn time_limit(limits: TimeLimits, run_time: f64) -> f64 {
     let objective = limits.objective.as_secs_f64() * WEIGHTS.objective_share;
     if objective >= run_time {
         return objective;
     }
-    // It will be late: it gets a slot that is free, and no place in a queue.
+    // The request will miss its objective: it may take a free slot but not queue.
     run_time.min(limits.deadline.as_secs_f64() * WEIGHTS.deadline_share)
 }
 
-/// What a server is taken to need that nobody has measured: as much as the others.
+/// Mean run time of the measured candidates, in seconds, used for those that nobody has
+/// measured.
 fn mean_run_time(loads: &LoadTracker, candidates: &[Candidate<'_>], now: Time) -> f64 {
     let run_times = candidates
         .iter()
@@ -306,7 +312,7 @@
     }
 }
 
-/// How long a request waits for a slot.
+/// Expected queueing time of a request for a slot, in seconds.
 fn queue_time(in_flight: f64, slots: u32, run_time: f64) -> f64 {
     let slots = f64::from(slots);
     (in_flight + 1.0 - slots).max(0.0) * run_time / slots
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to, and when it is refused.
+//! Selection of servers, and rejections.
 
 use {
     citron_core::{
@@ -68,10 +68,10 @@
     tracker.apply_report("peer-1".parse().unwrap(), vec![load], NOW);
 }
 
-/// A burst at one server of four slots, with 200 ms a request and an objective
-/// of 600 ms. Each instance alone sees two requests there and would send more;
-/// together they have twelve, and the thirteenth would end after 700 ms. It is
-/// refused while it can still go elsewhere, with the time until there is room.
+/// Guards against instances that ignore each other's load. A server has four slots,
+/// requests take 200 ms, and the objective is 600 ms. Each instance alone has two
+/// requests there and would send more. Together they have twelve, and the thirteenth
+/// would end after 700 ms, so it is rejected with the time until there is capacity.
 #[test]
 fn requests_of_other_instances_fill_a_server_too() {
     let servers = [known("s-1")];
@@ -92,13 +92,14 @@
         reason,
     } = pick(&tracker, &servers, millis(600, 2_500))
     else {
-        panic!("it was sent");
+        panic!("the request was sent");
     };
     assert!(retry_after >= Duration::from_millis(80) && retry_after <= Duration::from_millis(900));
     assert_eq!(reason, RejectReason::QueueTooLong);
 }
 
-/// Servers differ in speed. The fast one gets the request although it is busier.
+/// Guards against a choice by queue length where servers differ in speed: the fast server
+/// is selected although it is busier.
 #[test]
 fn the_earliest_end_counts_and_not_the_shortest_queue() {
     let servers = [known("s-fast"), known("s-slow")];
@@ -114,8 +115,8 @@
     assert_eq!(decision, Decision::Send(servers[0].entry.name.clone()));
 }
 
-/// A request that is late already gets a slot that is free, but no place in a
-/// queue: there it would make others late, and earn less than they do.
+/// Guards against requests that miss their objective and delay others: they may take a
+/// free slot but not queue.
 #[test]
 fn what_is_late_anyway_does_not_queue() {
     let servers = [known("s-1")];
@@ -131,8 +132,8 @@
     ));
 }
 
-/// A faulty server answers at once, with failures. By its times alone it would
-/// look like the fastest and draw all requests.
+/// Guards against a faulty server that attracts all requests. It returns errors at once,
+/// and by response time alone would look like the fastest.
 #[test]
 fn quick_failures_do_not_draw_requests() {
     let servers = [known("s-faulty"), known("s-sound")];
@@ -153,8 +154,8 @@
     assert_eq!(decision, Decision::Send(servers[1].entry.name.clone()));
 }
 
-/// A server that was slow for a while gets requests again although nobody has
-/// measured it since, and one that took no connection is left alone for a time.
+/// Guards against a server that is avoided for ever after a slow period: its run time
+/// expires. A server with a failed connection gets no requests for a while.
 #[test]
 fn bad_times_are_forgotten_and_refused_connections_pause() {
     let servers = [known("s-1")];
@@ -182,16 +183,16 @@
     assert!(matches!(decision, Decision::Reject { .. }));
 }
 
-/// A server has joined, and callers get nothing of it: a connection to the other
-/// one is kept, which has room for all there is. It has to be tried once to be
-/// known, and from then on the connection decides.
+/// Guards against a joined server that gets no requests because another server with an
+/// idle connection has capacity for all. The new server is tried once to measure it;
+/// after that, connections count.
 #[test]
 fn a_server_that_nobody_has_measured_is_tried() {
     let servers = [known("s-1"), known("s-joined")];
     let mut tracker = LoadTracker::default();
     run_request(&mut tracker, &servers[0].entry.name, 30);
     let candidates = |tracker: &LoadTracker| {
-        // Chance favours the one that has joined.
+        // The random numbers favour the server that joined.
         let mut draws = [0.9, 0.1].into_iter().cycle();
         let candidates = servers.iter().map(|server| Candidate {
             server,
@@ -210,7 +211,7 @@
     assert_eq!(candidates(&tracker), first);
 }
 
-/// An instance that is gone leaves no requests behind in the others' counts.
+/// Guards against requests of an ended instance that stay in the counts of others.
 #[test]
 fn old_reports_count_for_nothing() {
     let name: ServerName = "s-1".parse().unwrap();
@@ -219,7 +220,7 @@
     assert_eq!(tracker.get(&name).in_flight(), 10);
     let later = NOW + Duration::from_secs(2);
     tracker.apply_report("peer-2".parse().unwrap(), Vec::new(), later);
-    // Reports replace one another, and never add up.
+    // A report replaces the former one of its instance and is not added to it.
     let load = |in_flight| PeerLoad {
         server: name.clone(),
         in_flight,
@@ -230,10 +231,10 @@
     assert_eq!(tracker.get(&name).in_flight(), 0);
 }
 
-/// Servers refuse part of their requests at random, with slots free, for a while.
-/// Each refusal used to close its server to callers for a run time, so that as
-/// many requests were refused untried as by the servers themselves. One that
-/// refuses with its slots taken has a full queue, and is left alone.
+/// Guards against servers that are avoided after random refusals with slots free. Each
+/// such refusal used to block its server for a run time, so that as many requests were
+/// rejected unsent as were refused by servers. A server that refuses with all slots taken
+/// has a full queue and is blocked.
 #[test]
 fn a_refusal_with_a_slot_free_closes_no_server() {
     let servers = [known("s-1")];
@@ -265,10 +266,9 @@
     ));
 }
 
-/// All instances send to one owner whose keys have turned hot. It takes a connection
-/// more than it may have from each and closes it at once, and each of them took it for
-/// gone: all its callers were told that nothing can be reached, longer with each time.
-/// It is there, and full.
+/// Guards against a full server that counts as unreachable. The owner of hot keys reaches
+/// its connection limit and closes new connections at once. Instances took it for gone,
+/// for longer with each attempt, and told all clients that no server is reachable.
 #[test]
 fn a_server_that_closes_new_connections_is_full_and_not_gone() {
     let servers = [known("s-1")];
@@ -301,9 +301,10 @@
     assert_eq!(reason(&tracker, NOW + Duration::from_millis(301)), None);
 }
 
-/// A key draws many times what its owner can run, for seconds. Callers who were told
-/// to come back within 0.9 s were refused a second time, and had no third try. Where
-/// one in ten is let in, they come back after ten times the time.
+/// Guards against clients that use up their attempts on an overloaded owner. When a key
+/// got many times the load that its owner can run, clients told to retry within 0.9 s
+/// were rejected again and had no third attempt. Where one client in ten is admitted,
+/// they retry after ten times as long.
 #[test]
 fn callers_of_an_owner_that_lets_few_in_come_back_later() {
     let servers = [known("s-1")];
@@ -312,7 +313,7 @@
     run_request(&mut tracker, name, 200);
     let retry_after = |tracker: &LoadTracker| match pick(tracker, &servers, millis(600, 8_000)) {
         Decision::Reject { retry_after, .. } => retry_after,
-        Decision::Send(name) => panic!("sent to {name}"),
+        Decision::Send(name) => panic!("the request was sent to {name}"),
     };
     report_peer_load(&mut tracker, name, 13);
     let first = retry_after(&tracker);
@@ -330,10 +331,10 @@
     assert!(calm < Duration::from_secs(1), "{calm:?}");
 }
 
-/// A slow server's slots are always taken, as it holds busy keys. If only requests
-/// that find a slot free told its time, nothing would be known of it, and it would
-/// be taken for one like the others: its callers would wait for answers that come
-/// late, and its keys would stay.
+/// Guards against a slow server whose run time stays unknown. Its slots are always taken,
+/// as it holds busy keys. If only requests that find a free slot were measured, it would
+/// be taken for an average server, its responses would be late, and its keys would not be
+/// moved.
 #[test]
 fn the_time_of_a_server_that_is_never_free_is_known() {
     let mut tracker = LoadTracker::default();
@@ -356,10 +357,10 @@
     assert!((known - run).abs() < 0.01, "{known}");
 }
 
-/// Something between an instance and its servers forgets connections that are idle
-/// for 5 s, and requests on them are lost. Requests that may run again find it out;
-/// one that may run only once must not go on such a connection, as it could not be
-/// sent again. Where idle connections work, it need not open a new one each time.
+/// Guards against lost requests where a middlebox drops connections that are idle for 5
+/// s. Idempotent requests detect such connections; one that must not run twice must not
+/// use them, as it could not be sent again. Where idle connections work, no new ones are
+/// needed.
 #[test]
 fn what_may_run_once_goes_on_connections_that_others_found_alive() {
     let mut idle_limit = IdleLimit::default();
@@ -368,7 +369,10 @@
     for _ in 0..7 {
         idle_limit.record_success(seconds(4));
     }
-    assert!(idle_limit.limit() < seconds(2), "too few have told");
+    assert!(
+        idle_limit.limit() < seconds(2),
+        "fewer responses than a step needs"
+    );
     for _ in 0..40 {
         idle_limit.record_success(seconds(1));
         idle_limit.record_success(seconds(4));
@@ -378,8 +382,8 @@
     assert!(idle_limit.limit() < seconds(2));
 }
 
-/// Guards against a service that is left alone by everybody, as its servers refuse at
-/// random though they have room: what they say tells it from a full one.
+/// Guards against a service that gets no requests because its servers refuse at random
+/// with capacity free. Their reported load distinguishes them from full servers.
 #[test]
 fn a_server_that_sheds_with_room_is_asked_again_at_once() {
     let servers = [known("s-1")];
--- a/crates/core/tests/reported_load.rs
+++ b/crates/core/tests/reported_load.rs
@@ -1,12 +1,12 @@
-//! What servers say of their load.
+//! Parsing of loads that servers report.
 
 use {
     citron_core::{dispatch::ReportedLoad, id::Slots},
     proptest::prelude::*,
 };
 
-/// Guards against figures that are missing, absurd, or of another unit and change what is
-/// known of a server.
+/// Guards against malformed, out-of-range or misscaled values that would change a
+/// server's known load.
 #[test]
 fn figures_that_cannot_be_are_refused() {
     let broken = [
@@ -32,7 +32,7 @@
     let load: ReportedLoad = " 3, 0 ,3,95".parse().unwrap();
     assert_eq!((load.slots, load.has_room()), (Slots(3), false));
     assert_eq!(load.to_string(), "3,0,3,95");
-    // What further figures may say is not known yet.
+    // Further fields are reserved and ignored.
     assert!("3,1,4,100,5".parse::<ReportedLoad>().is_ok());
 }
 
