--- a/crates/core/src/routing/attempt.rs
+++ b/crates/core/src/routing/attempt.rs
@@ -1,4 +1,4 @@
-//! All the tries of one request.
+//! State machine of all attempts of one request.
 
 use {
     super::{
@@ -9,45 +9,45 @@
     std::time::Duration,
 };
 
-/// Exchanges that one request may cause, hedges included.
+/// Upper bound of a request's attempts, hedges included.
 pub const ATTEMPTS_MAX: u32 = 3;
-/// A try with less time than this left is not begun.
+/// Least time left for which an attempt is started.
 const ATTEMPT_TIME_MIN: Duration = Duration::from_millis(5);
-/// `Retry-After` for a server that is gone or lost a connection.
+/// `Retry-After` when a server is unreachable or a connection was lost.
 const RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
-/// Whether the body can be sent again.
+/// Whether a request's body can be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestBody {
-    /// There is none, or it is kept whole.
+    /// There is no body, or all of it is buffered.
     Buffered,
-    /// It is streamed from the caller and can be sent again only if nothing was
-    /// taken from the caller yet.
+    /// The body is streamed from the client. It can be sent again only while no part of
+    /// it has been read.
     Streamed,
 }
 
-/// What decides how a request may be sent.
+/// Properties that determine how a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestKind {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether its body can be sent again.
+    /// Whether the body can be sent again.
     pub body: RequestBody,
-    /// When the caller stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
 }
 
-/// What the requests of one service share on one traffic thread.
+/// Retry budget and backoff that the requests of one service share on one traffic thread.
 #[derive(Debug)]
 pub struct RetryPolicy {
-    /// How much retries and hedges may add to the load.
+    /// Budget that bounds the load of retries and hedges.
     pub budget: RetryBudget,
-    /// The waits before retries.
+    /// Delays before retries.
     pub backoff: Backoff,
 }
 
 impl RetryPolicy {
-    /// A full budget, and jitter from a seed.
+    /// Creates a full budget, and a backoff with jitter from `seed`.
     pub fn new(config: BudgetConfig, seed: u64) -> Self {
         Self {
             budget: RetryBudget::new(config),
@@ -56,10 +56,10 @@
     }
 }
 
-/// Decides each step of one request.
+/// State machine that decides each step of one request.
 ///
-/// A request that is not idempotent has at most one exchange open at a time, and
-/// gets another one only after it is certain that the last was not run.
+/// A request that is not idempotent has at most one attempt open at a time. It gets
+/// another one only after it is certain that the last one did not run.
 ///
 /// ```
 /// use citron_core::{routing::*, time::Time};
@@ -83,7 +83,7 @@
     is_ended: bool,
 }
 
-/// A try that came to nothing.
+/// A failed attempt.
 struct Failure {
     no: AttemptNo,
     reason: FailureReason,
@@ -93,7 +93,7 @@
 }
 
 impl RetryState {
-    /// A request that was just read; it counts for the retry budget.
+    /// Creates the state of a new request, and counts the request for the retry budget.
     pub fn new(kind: RequestKind, policy: &mut RetryPolicy) -> Self {
         policy.budget.deposit();
         Self {
@@ -107,47 +107,46 @@
         }
     }
 
-    /// What to do after an event.
+    /// Handles an event and returns what to do next.
     pub fn step(&mut self, event: Event, now: Time, policy: &mut RetryPolicy) -> Step {
         if self.is_ended {
             return Step::Wait;
         }
         match event {
             Event::Admitted => self.send(Duration::ZERO, self.first_connection(), false, now),
-            Event::Denied { reason, wait } => self.denied(reason, wait),
-            Event::BodyStarted => self.body_started(),
-            Event::HedgeDue => self.hedge(now, policy),
-            Event::CallerLeft => self.end(Step::Drop),
-            Event::Answered(no) => self.answer(no),
-            Event::Truncated(no) => self.after_head(no, Step::Abort),
-            Event::Completed(no) => self.after_head(no, Step::Done),
+            Event::Denied { reason, wait } => self.on_denied(reason, wait),
+            Event::BodyStarted => self.on_body_started(),
+            Event::HedgeDue => self.on_hedge_due(now, policy),
+            Event::ClientDisconnected => self.end(Step::Drop),
+            Event::Answered(no) => self.on_answered(no),
+            Event::Truncated(no) => self.finish_response(no, Step::Abort),
+            Event::Completed(no) => self.finish_response(no, Step::Done),
             Event::Lost(no, _) | Event::TimedOut(no, _) if self.answered == Some(no) => {
                 self.end(Step::Abort)
             }
-            Event::Lost(no, stage) => self.failed(lost(no, stage), now, policy),
-            Event::TimedOut(no, stage) => self.failed(timed_out(no, stage), now, policy),
-            Event::Refused { no, wait } => self.failed(refused(no, wait), now, policy),
-            Event::Fenced(no) => self.failed(unrouted(no, FailureReason::NoOwner), now, policy),
+            Event::Lost(no, stage) => self.on_failure(lost(no, stage), now, policy),
+            Event::TimedOut(no, stage) => self.on_failure(timed_out(no, stage), now, policy),
+            Event::Refused { no, wait } => self.on_failure(refused(no, wait), now, policy),
+            Event::Fenced(no) => self.on_failure(unrouted(no, FailureReason::NoOwner), now, policy),
             Event::Unconfirmed(no) => {
-                self.failed(unrouted(no, FailureReason::Unconfirmed), now, policy)
+                self.on_failure(unrouted(no, FailureReason::Unconfirmed), now, policy)
             }
         }
     }
 
-    /// Whether a hedge makes sense: the caller of the timer asks before arming it.
+    /// Whether a hedge may be sent. To be checked before the hedge timer is armed.
     pub fn can_hedge(&self) -> bool {
         self.kind.idempotent && self.can_resend_body() && self.attempts < ATTEMPTS_MAX
     }
 
-    /// Exchanges begun so far.
+    /// Number of attempts started so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
     fn first_connection(&self) -> ConnectionPolicy {
-        // A kept connection may have gone silent without a sign. An idempotent
-        // request finds that out at the cost of a retry; one that is not
-        // idempotent would end as `unknown`.
+        // An idle connection may be dead without a sign. An idempotent request detects
+        // that at the cost of a retry; any other request would end as `unknown`.
         if self.kind.idempotent {
             ConnectionPolicy::Any
         } else {
@@ -159,7 +158,7 @@
         self.kind.body == RequestBody::Buffered || !self.is_body_consumed
     }
 
-    fn body_started(&mut self) -> Step {
+    fn on_body_started(&mut self) -> Step {
         self.is_body_consumed = true;
         Step::Wait
     }
@@ -184,8 +183,9 @@
         })
     }
 
-    /// The last try was not begun, so that it leaves no doubt; others stay open.
-    fn denied(&mut self, reason: FailureReason, wait: Duration) -> Step {
+    /// The latest attempt was not started and cannot have run; other open attempts
+    /// continue.
+    fn on_denied(&mut self, reason: FailureReason, wait: Duration) -> Step {
         self.open_attempts.pop();
         if self.open_attempts.is_empty() {
             return self.give_up(reason, Some(wait));
@@ -193,7 +193,7 @@
         Step::Wait
     }
 
-    fn hedge(&mut self, now: Time, policy: &mut RetryPolicy) -> Step {
+    fn on_hedge_due(&mut self, now: Time, policy: &mut RetryPolicy) -> Step {
         let is_single = self.open_attempts.len() == 1 && self.answered.is_none();
         let has_time = self.kind.deadline - now >= ATTEMPT_TIME_MIN;
         if is_single && has_time && self.can_hedge() && policy.budget.take() {
@@ -202,7 +202,7 @@
         Step::Wait
     }
 
-    fn answer(&mut self, no: AttemptNo) -> Step {
+    fn on_answered(&mut self, no: AttemptNo) -> Step {
         if self.answered.is_some() || !self.open_attempts.contains(&no) {
             return Step::Wait;
         }
@@ -210,14 +210,14 @@
         Step::Forward(no)
     }
 
-    fn after_head(&mut self, no: AttemptNo, step: Step) -> Step {
+    fn finish_response(&mut self, no: AttemptNo, step: Step) -> Step {
         if self.answered != Some(no) {
             return Step::Wait;
         }
         self.end(step)
     }
 
-    fn failed(&mut self, failure: Failure, now: Time, policy: &mut RetryPolicy) -> Step {
+    fn on_failure(&mut self, failure: Failure, now: Time, policy: &mut RetryPolicy) -> Step {
         let before = self.open_attempts.len();
         self.open_attempts.retain(|no| *no != failure.no);
         if self.open_attempts.len() == before || self.answered.is_some() {
@@ -233,14 +233,14 @@
         let wait = failure.wait.unwrap_or_default();
         let delay = policy.backoff.delay(self.attempts).max(wait);
         let is_late = now + delay + ATTEMPT_TIME_MIN > self.kind.deadline;
-        // A refused route puts no load on the server; the others draw on the budget.
+        // A refused route puts no load on the server; other retries draw on the budget.
         if is_late || !(failure.reroute || policy.budget.take()) {
             return self.give_up(failure.reason, failure.wait);
         }
         self.send(delay, ConnectionPolicy::New, failure.reroute, now)
     }
 
-    /// The rule that keeps a request that is not idempotent from running twice.
+    /// Whether a retry is safe: a request that is not idempotent must not run twice.
     fn may_retry(&self, failure: &Failure) -> bool {
         let is_safe = self.kind.idempotent || failure.is_unsent;
         is_safe && self.can_resend_body() && self.attempts < ATTEMPTS_MAX
--- a/crates/core/src/routing/backoff.rs
+++ b/crates/core/src/routing/backoff.rs
@@ -1,4 +1,4 @@
-//! The wait before a retry.
+//! Delays before retries.
 
 use {
     rand::{Rng, SeedableRng},
@@ -6,15 +6,15 @@
     std::time::Duration,
 };
 
-/// The shortest wait before the first retry.
+/// Shortest delay before any retry.
 const DELAY_MIN: Duration = Duration::from_millis(10);
-/// The longest wait before any retry.
+/// Longest delay before any retry.
 const DELAY_MAX: Duration = Duration::from_secs(1);
 
-/// Exponential backoff with full jitter above a base, from a seed.
+/// Exponential backoff with full jitter above a minimum, from a seeded generator.
 ///
-/// Requests that failed together would come back together; the jitter spreads
-/// them over the whole wait.
+/// Requests that failed together would retry together; the jitter spreads them over the
+/// whole delay.
 ///
 /// ```
 /// use {citron_core::routing::Backoff, std::time::Duration};
@@ -29,14 +29,14 @@
 }
 
 impl Backoff {
-    /// Seeds the jitter.
+    /// Creates a backoff whose jitter follows from `seed`.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The wait after so many failed tries, from 1.
+    /// Delay after `failed_attempts` failed attempts, at least 1.
     pub fn delay(&mut self, failed_attempts: u32) -> Duration {
         let ceiling = DELAY_MIN.saturating_mul(1 << failed_attempts.min(10));
         let max = ceiling.min(DELAY_MAX);
--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -1,22 +1,22 @@
-//! How much retries and hedges may add to the load.
+//! Budget that bounds the load of retries and hedges.
 
-/// The size of a retry budget.
+/// Size of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetConfig {
-    /// Retries and hedges allowed for each request, over time.
+    /// Retries and hedges per request, on average.
     pub share: f64,
-    /// Retries that may be saved up, so that an idle service can retry at all.
+    /// Retries that can accumulate, so that a service with few requests can retry at all.
     pub burst: f64,
 }
 
 impl BudgetConfig {
-    /// A fifth of the requests, ten saved up.
+    /// A retry for every fifth request, with up to ten accumulated.
     pub const STANDARD: Self = Self {
         share: 0.2,
         burst: 10.0,
     };
 
-    /// No limit: for comparison in tests.
+    /// No limit, for comparison in tests.
     pub const UNLIMITED: Self = Self {
         share: f64::INFINITY,
         burst: f64::INFINITY,
@@ -25,9 +25,9 @@
 
 /// Token bucket of one service on one traffic thread, filled by requests.
 ///
-/// Without it, every request of a server in trouble is sent several times: the
-/// added load keeps the server in trouble after the cause has gone. A share of
-/// the requests bounds the load that retries add to `1 + share`, whatever fails.
+/// Without a budget, every request of a failing server is sent several times, and the
+/// added load keeps the server overloaded after the cause has gone. The budget bounds the
+/// total load to `1 + share` times the requests, whatever fails.
 ///
 /// ```
 /// use citron_core::routing::{BudgetConfig, RetryBudget};
@@ -45,7 +45,7 @@
 }
 
 impl RetryBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(config: BudgetConfig) -> Self {
         Self {
             tokens: config.burst,
@@ -53,9 +53,9 @@
         }
     }
 
-    /// A bucket of a process that has just started, with one retry in it. The process
-    /// before may have spent a full one a moment ago, and when all processes start at
-    /// once a full one for each would double what they may add together.
+    /// Creates the bucket of a newly started process, with one token. Its predecessor may
+    /// have spent a full bucket a moment ago, and when all processes start at once, full
+    /// buckets would double the retries that they may add together.
     pub fn with_one_token(config: BudgetConfig) -> Self {
         Self {
             tokens: config.burst.min(1.0),
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Sets how many retries may be saved up; what is beyond that is lost.
+    /// Sets the capacity; tokens beyond it are lost.
     ///
-    /// Processes that share an allowance learn of each other one by one. One that
-    /// knew of no other would keep the allowance of all.
+    /// Processes that share a budget learn about each other one by one. A process that
+    /// did not know any other yet would keep the tokens of all.
     ///
     /// ```
     /// use citron_core::routing::{BudgetConfig, RetryBudget};
@@ -80,7 +80,7 @@
         self.tokens = self.tokens.min(burst);
     }
 
-    /// Counts a request that a caller sent.
+    /// Adds the share of one client request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.config.share).min(self.config.burst);
     }
--- a/crates/core/src/routing/event.rs
+++ b/crates/core/src/routing/event.rs
@@ -1,102 +1,104 @@
-//! What an attempt is told, and what it asks for.
+//! Events and steps of a request's state machine.
 
 use {
     super::{ExchangeStage, FailureReason, LocalResponse},
     std::time::Duration,
 };
 
-/// One of the exchanges that a request caused; 1 is the first.
+/// Number of an attempt within its request, from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNo(pub u32);
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// The request has a slot and can be sent for the first time.
     Admitted,
-    /// Admission, routing or quarantine turns it away before its first try, or
-    /// before the try that was asked for last is begun. An exchange that is open
-    /// ends by [`Self::TimedOut`] instead.
+    /// Admission, routing or quarantine rejects the request before its first attempt, or
+    /// before the attempt requested last is started. An attempt that is open ends with
+    /// [`Self::TimedOut`] instead.
     Denied {
-        /// Why.
+        /// Reason for the rejection.
         reason: FailureReason,
-        /// The expected wait: when it may come back.
+        /// Expected wait, after which the client may retry.
         wait: Duration,
     },
-    /// The first piece of a streamed body was taken from the caller.
+    /// The first part of a streamed body was read from the client.
     BodyStarted,
-    /// The connection failed, or none could be made.
+    /// The connection failed, or none could be opened.
     Lost(AttemptNo, ExchangeStage),
-    /// A try used up its time or made no progress; its connection is closed.
+    /// An attempt timed out or made no progress; its connection is closed.
     TimedOut(AttemptNo, ExchangeStage),
-    /// The server promised that it did not run the request and never will.
+    /// The server guarantees that it did not run the request and never will.
     Refused {
-        /// Which exchange.
+        /// The refused attempt.
         no: AttemptNo,
-        /// Its `Retry-After`, if it gave one.
+        /// The server's `Retry-After`, if any.
         wait: Option<Duration>,
     },
-    /// The server refused the epoch, with the same promise.
+    /// The server refused the epoch, with the same guarantee.
     Fenced(AttemptNo),
-    /// The leave to route had run out right before the write; nothing was written.
+    /// The routing lease had expired right before the write; nothing was written.
     Unconfirmed(AttemptNo),
-    /// The head of a whole-looking answer was read.
+    /// The head of a well-formed response was read.
     Answered(AttemptNo),
-    /// The answer broke off after its head.
+    /// The response ended early, after its head.
     Truncated(AttemptNo),
-    /// The answer was read whole.
+    /// The whole response was read.
     Completed(AttemptNo),
-    /// The time of the hedge has come.
+    /// The hedge timer fired.
     HedgeDue,
-    /// The caller's connection is gone.
-    CallerLeft,
+    /// The client closed its connection.
+    ClientDisconnected,
 }
 
-/// Which connections a try may use.
+/// Connections that an attempt may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionPolicy {
-    /// A kept one or a new one.
+    /// An idle connection or a new one.
     Any,
-    /// A kept one only if it is neither suspect nor long idle; else a new one.
+    /// An idle connection only if it is not suspect and was used recently; otherwise a
+    /// new one.
     Trusted,
-    /// A new one: a kept one has just failed.
+    /// A new connection, as an idle one has just failed.
     New,
 }
 
-/// An exchange to begin.
+/// An attempt to start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendAttempt {
-    /// Its number; later events name it.
+    /// Number of the attempt, which later events refer to.
     pub no: AttemptNo,
-    /// How long to wait before. The route is looked up after the wait, under
-    /// the snapshot of then.
+    /// Delay before the attempt. The route is looked up after it, in the snapshot in
+    /// force then.
     pub delay: Duration,
-    /// Time for the exchange, from its begin.
+    /// Time limit of the attempt, from its start.
     pub timeout: Duration,
-    /// Which connections it may use.
+    /// Connections that the attempt may use.
     pub connection: ConnectionPolicy,
-    /// Whether the route of the last try was refused: wait for a newer snapshot
-    /// for up to `timeout` if the route is still the same.
+    /// Whether the route of the last attempt was refused. If the route is still the same,
+    /// wait up to `timeout` for a newer snapshot.
     pub reroute: bool,
 }
 
-/// What to do next.
+/// Action to take next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Begin an exchange; others that are open stay so.
+    /// Start an attempt; other open attempts continue.
     Send(SendAttempt),
-    /// Nothing: another exchange is open, or the event came too late.
+    /// Do nothing: another attempt is open, or the event came too late.
     Wait,
-    /// Pass this answer on with outcome `ran`; close the connection of every
-    /// other exchange.
+    /// Forward this response with outcome `ran`, and close the connections of all other
+    /// attempts.
     Forward(AttemptNo),
-    /// Answer the caller at once; close the connections of all open exchanges.
+    /// Send this response to the client at once, and close the connections of all open
+    /// attempts.
     Answer(LocalResponse),
-    /// The answer's head is out: break the caller's connection, so that the
-    /// answer is never taken for whole.
+    /// Break the client's connection. The response's head has been forwarded, and a
+    /// normal end would make the response look complete.
     Abort,
-    /// All is done; the connection of the answer can be kept.
+    /// The request has ended; the connection of the response can be reused.
     Done,
-    /// Nobody waits: close the connections of all open exchanges, free the slot.
+    /// Close the connections of all open attempts and free the slot, as no client waits.
     Drop,
 }
--- a/crates/core/src/routing/hedge.rs
+++ b/crates/core/src/routing/hedge.rs
@@ -1,22 +1,22 @@
-//! When a second copy of an idempotent request is worth its cost.
+//! Delay after which an idempotent request is hedged.
 
 use std::time::Duration;
 
-/// Share of answers that come before a hedge is due.
+/// Fraction of responses that arrive before a hedge is due.
 const PERCENTILE: f64 = 0.95;
-/// Step of the estimate, relative to itself.
+/// Step of the estimate, relative to its value.
 const STEP_GAIN: f64 = 0.02;
-/// Answers seen before the estimate counts.
+/// Responses needed before the estimate is used.
 const SAMPLES_MIN: u32 = 50;
-/// Where the estimate begins.
+/// Initial estimate.
 const ESTIMATE_INITIAL: Duration = Duration::from_millis(50);
-/// Below this a hedge costs more than it saves.
+/// Shortest delay; below it a hedge costs more than it saves.
 const DELAY_MIN: Duration = Duration::from_millis(2);
 
 /// Estimate of a high percentile of a server's latency.
 ///
-/// It goes up by a large step for an answer above it and down by a small one for
-/// an answer below; the two are in balance at the percentile.
+/// The estimate rises by a large step for a response above it and falls by a small one
+/// for a response below it; the two balance at the percentile.
 ///
 /// ```
 /// use {citron_core::routing::HedgeDelay, std::time::Duration};
@@ -41,7 +41,7 @@
 }
 
 impl HedgeDelay {
-    /// Counts the latency of an answer.
+    /// Adds the latency of a response.
     pub fn observe(&mut self, latency: Duration) {
         let is_above = latency.as_secs_f64() > self.estimate;
         let step = if is_above {
@@ -53,7 +53,7 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// How long after the write a hedge is due; `None` until enough was seen.
+    /// Delay between the write and the hedge; `None` until there are enough samples.
     pub fn delay(&self) -> Option<Duration> {
         let estimate = Duration::from_secs_f64(self.estimate);
         (self.samples >= SAMPLES_MIN).then(|| estimate.max(DELAY_MIN))
--- a/crates/core/src/routing/local_response.rs
+++ b/crates/core/src/routing/local_response.rs
@@ -1,42 +1,42 @@
-//! The answers of our own: status, outcome and when to come back.
+//! Responses that the router generates itself: status, outcome and Retry-After.
 
 use {
     super::Outcome,
     std::{fmt, time::Duration},
 };
 
-/// The longest time that a caller is told to stay away.
+/// Upper bound of `Retry-After`.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
-/// Why a request gets an answer of ours.
+/// Reason for which the router responds itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Nobody owns the key now, or its shard is moving.
+    /// The key has no owner, or its shard is moving.
     NoOwner,
-    /// The instance's leave to route ran out before the write.
+    /// The routing lease expired before the write.
     Unconfirmed,
     /// The wait for a slot would outlast the deadline, or the queue is full.
     Overloaded,
-    /// The server gave no answers lately and is probed from time to time.
+    /// The server is ejected as an outlier; only occasional probes reach it.
     Ejected,
-    /// The operator has as many requests in progress as the instance allows.
+    /// The operator has as many concurrent requests as the instance allows.
     OperatorLimit,
-    /// The server's cap of requests a second is used up.
+    /// The server's rate limit is reached.
     RateLimited,
-    /// Requests like this one crashed servers.
+    /// Requests with the same fingerprint crashed servers.
     Quarantined,
-    /// The server refused it and promised not to run it.
+    /// The server refused the request and guarantees not to run it.
     Refused,
-    /// No connection could be made.
+    /// No connection could be opened.
     Unreachable,
     /// The connection was lost.
     ConnectionLost,
-    /// The time was used up.
+    /// The request timed out.
     TimedOut,
-    /// The instance is leaving.
+    /// The instance is shutting down.
     Leaving,
-    /// The caller left; nobody reads the answer.
-    CallerLeft,
+    /// The client disconnected; the response goes nowhere.
+    ClientDisconnected,
 }
 
 impl FailureReason {
@@ -54,10 +54,10 @@
         Self::ConnectionLost,
         Self::TimedOut,
         Self::Leaving,
-        Self::CallerLeft,
+        Self::ClientDisconnected,
     ];
 
-    /// The HTTP status; 499 goes to logs only.
+    /// HTTP status; 499 appears only in logs.
     pub fn status(self) -> u16 {
         match self {
             Self::NoOwner | Self::Unconfirmed | Self::Overloaded => 503,
@@ -66,7 +66,7 @@
             Self::Ejected | Self::OperatorLimit | Self::Refused | Self::Leaving => 503,
             Self::Unreachable | Self::ConnectionLost => 502,
             Self::TimedOut => 504,
-            Self::CallerLeft => 499,
+            Self::ClientDisconnected => 499,
         }
     }
 }
@@ -74,38 +74,39 @@
 impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
-            Self::NoOwner => "the key has no owner now",
-            Self::Unconfirmed => "the owner of the key is not certain now",
-            Self::Overloaded => "the wait for the backend server is too long",
-            Self::Ejected => "the backend server does not answer now",
-            Self::OperatorLimit => "the operator has too many requests in progress here",
-            Self::RateLimited => "the backend server's cap is used up",
-            Self::Quarantined => "requests like this one crashed backend servers",
+            Self::NoOwner => "the key has no owner",
+            Self::Unconfirmed => "the routing lease has expired",
+            Self::Overloaded => "the wait for a slot of the backend server is too long",
+            Self::Ejected => "the backend server is ejected as an outlier",
+            Self::OperatorLimit => "the operator has too many concurrent requests here",
+            Self::RateLimited => "the rate limit of the backend server is reached",
+            Self::Quarantined => "identical requests crashed backend servers",
             Self::Refused => "the backend server refused the request",
             Self::Unreachable => "the backend server cannot be reached",
             Self::ConnectionLost => "the connection to the backend server was lost",
-            Self::TimedOut => "the time for the request is used up",
-            Self::Leaving => "the instance is leaving",
-            Self::CallerLeft => "the caller left",
+            Self::TimedOut => "the request timed out",
+            Self::Leaving => "the instance is shutting down",
+            Self::ClientDisconnected => "the client disconnected",
         })
     }
 }
 
-/// An answer of ours.
+/// A response that the router generates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalResponse {
-    /// Why.
+    /// Reason for the response.
     pub reason: FailureReason,
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// `Retry-After` in whole seconds, if coming back makes sense.
+    /// `Retry-After` in whole seconds; `None` if the client should not retry.
     pub retry_after: Option<u32>,
 }
 
 impl LocalResponse {
-    /// The answer for a request that no server runs; it may come back after `wait`.
+    /// Creates the response to a request that no server runs; the client may retry after
+    /// `wait`.
     ///
     /// ```
     /// use {citron_core::routing::{Outcome, FailureReason, LocalResponse}, std::time::Duration};
@@ -122,8 +123,8 @@
         }
     }
 
-    /// The answer for a request that may have run. The caller of one that is not
-    /// idempotent is not invited back: a resend could run it twice.
+    /// Creates the response to a request that may have run. Without idempotency it has no
+    /// `Retry-After`, as a retry could run the request twice.
     pub fn unknown(reason: FailureReason, idempotent: bool, wait: Duration) -> Self {
         Self {
             reason,
@@ -134,7 +135,7 @@
     }
 }
 
-/// Rounded up, so that nobody is back too early; at least a second.
+/// Rounds up, so that no client returns too early; at least 1.
 fn whole_seconds(wait: Duration) -> u32 {
     let capped = wait.min(RETRY_AFTER_MAX);
     let rounding = u32::from(capped.subsec_nanos() > 0);
--- a/crates/core/src/routing/map.rs
+++ b/crates/core/src/routing/map.rs
@@ -1,4 +1,4 @@
-//! The compact map that traffic threads read.
+//! Compact routing map that traffic threads read.
 
 use {
     crate::{
@@ -10,20 +10,20 @@
     std::{cmp::Reverse, collections::BTreeMap, sync::Arc},
 };
 
-/// Where a server stands in [`RouteMap::servers`].
+/// Position of a server in [`RouteMap::servers`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerIndex(u32);
 
-/// Where a key goes now.
+/// Current route of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Route {
-    /// The owner.
+    /// Owner of the key.
     pub server: ServerIndex,
-    /// The epoch that the owner was granted.
+    /// Epoch granted to the owner.
     pub epoch: Epoch,
-    /// What the epoch belongs to: the key's shard, or the key itself.
+    /// Scope of the epoch: the key's shard, or the key itself.
     pub scope: Scope,
-    /// Whether requests may be sent now; if not, the shard is moving.
+    /// Whether requests may be sent; `false` while the shard is moving.
     pub is_open: bool,
 }
 
@@ -46,17 +46,17 @@
 
 type ServerIndexes = BTreeMap<ServerName, ServerIndex>;
 
-/// The keys of one service.
+/// Routes of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceRoutes {
-    /// The service's rules.
+    /// The service's configuration.
     pub row: ServiceRow,
     entries: Vec<Option<OwnerEntry>>,
     overrides: FxHashMap<KeyHash, OwnerEntry>,
 }
 
 impl ServiceRoutes {
-    /// The owner of a key; `None` while nobody owns it.
+    /// Route of a key; `None` if it has no owner.
     pub fn route(&self, key: KeyHash) -> Option<Route> {
         let shard = self.row.shard_bits.shard_of(key);
         let key_override = self.overrides.get(&key);
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Where each shard goes, in their order; `None` while nobody owns it.
+    /// Routes of all shards, in order; `None` for a shard without an owner.
     pub fn shards(&self) -> impl Iterator<Item = Option<Route>> {
         let shards = (0..self.row.shard_bits.shard_count()).map(ShardId);
         shards.map(|shard| {
@@ -100,7 +100,8 @@
 
     fn fill_block(&mut self, block: &BlockRow, index: &ServerIndexes) {
         let first = block.block.first_shard().0 as usize;
-        // Neighbours mostly have one owner, whose look-up then serves all.
+        // Adjacent shards mostly have the same owner, so that one look-up serves all of
+        // them.
         let mut last: Option<(&ServerName, Option<ServerIndex>)> = None;
         for (entry, shard) in self.entries.iter_mut().skip(first).zip(&block.shards) {
             let server = match last {
@@ -134,10 +135,10 @@
     }
 }
 
-/// All services and servers as of one revision; never changed once built.
+/// Immutable map of all services and servers at one revision.
 #[derive(Debug, Default)]
 pub struct RouteMap {
-    /// The revision that the map was built from.
+    /// Revision of the table that the map was built from.
     pub revision: Revision,
     services: Vec<Arc<ServiceRoutes>>,
     servers: Vec<Arc<ServerRow>>,
@@ -150,11 +151,11 @@
         build(table)
     }
 
-    /// The map for a table of which only the rows under `changed` differ from
-    /// the one that this map was built from.
+    /// Builds the next map, for a table in which only the rows under `changed` differ
+    /// from the one that this map was built from.
     ///
-    /// What did not change is shared with this map: a move of one shard costs a
-    /// copy of its service's slots, not a look at every assignment.
+    /// Unchanged parts are shared with this map: a move of one shard copies the entries
+    /// of its service and does not read every assignment.
     pub fn with_changes(&self, table: &Table, changed: &[RowKey]) -> Self {
         let is_patchable = changed.iter().all(|key| self.is_patchable(table, key));
         if !is_patchable {
@@ -172,7 +173,7 @@
         map
     }
 
-    /// Whether a changed row leaves the list of services and servers as it is.
+    /// Whether a changed row leaves the lists of services and servers unchanged.
     fn is_patchable(&self, table: &Table, key: &RowKey) -> bool {
         match key {
             RowKey::Service(_) => false,
@@ -219,8 +220,8 @@
         }
     }
 
-    /// The service for a host and path: the longest prefix wins, and among
-    /// equal ones a named host goes before any host.
+    /// Service for a host and path. The longest prefix wins; among equal prefixes, a
+    /// service with matching hosts wins over one for any host.
     pub fn service(&self, host: &str, path: &str) -> Option<&Arc<ServiceRoutes>> {
         self.services.iter().find(|service| {
             let row = &service.row;
@@ -235,7 +236,7 @@
         &self.services
     }
 
-    /// A server that a route of this same map names.
+    /// Server at an index from a route of this same map.
     pub fn server(&self, index: ServerIndex) -> &Arc<ServerRow> {
         &self.servers[index.0 as usize]
     }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! From a request to the backend server that owns its key.
+//! Routing of requests to the backend servers that own their keys, with retries and
+//! hedges.
 
 mod attempt;
 mod backoff;
--- a/crates/core/src/routing/outcome.rs
+++ b/crates/core/src/routing/outcome.rs
@@ -1,11 +1,11 @@
-//! What became of a request.
+//! Outcome of a request.
 
 use {
     crate::id::ParseIdError,
     std::{fmt, str::FromStr},
 };
 
-/// What the caller is told about its request, in the header `citron-outcome`.
+/// Outcome of a request, sent to the client in the header `citron-outcome`.
 ///
 /// ```
 /// use citron_core::routing::Outcome;
@@ -14,11 +14,11 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The backend server answered; the caller has its whole answer.
+    /// A backend server ran the request, and its response is forwarded.
     Ran,
-    /// No backend server ran it, and none will.
+    /// No backend server ran the request, and none will.
     NotRun,
-    /// It may or may not have run.
+    /// The request may have run.
     Unknown,
 }
 
--- a/crates/core/src/routing/snapshot.rs
+++ b/crates/core/src/routing/snapshot.rs
@@ -1,4 +1,4 @@
-//! What control hands to traffic.
+//! Snapshot that the control thread publishes to traffic threads.
 
 use {
     super::RouteMap,
@@ -6,13 +6,13 @@
     std::sync::Arc,
 };
 
-/// A map and the leave to use it, swapped as one.
+/// A routing map and the lease to use it, replaced together.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    /// Where keys go.
+    /// The routing map.
     pub map: Arc<RouteMap>,
-    /// Until when the map may be used.
+    /// Lease within which the map may be used.
     pub confirmation: RoutingLease,
-    /// The instance's own failure domain.
+    /// Failure domain of this instance.
     pub domain: DomainName,
 }
--- a/crates/core/src/routing/stage.rs
+++ b/crates/core/src/routing/stage.rs
@@ -1,29 +1,29 @@
-//! How far an exchange with a backend server got.
+//! Progress of an exchange with a backend server.
 
 use std::fmt;
 
-/// The last point of an exchange that was surely reached, or may have been.
+/// Last stage that an exchange certainly or possibly reached.
 ///
-/// Whoever reports a point takes the later one when in doubt: a write that was
-/// handed to the socket and failed may have arrived.
+/// In doubt the later stage is reported: a write that was passed to the socket and failed
+/// may have arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExchangeStage {
-    /// No connection was made.
+    /// No connection was opened.
     Unconnected,
-    /// There was a connection, and nothing was handed to it.
+    /// A connection was open, and nothing was written to it.
     Connected,
-    /// A part of the head may have been written.
+    /// Part of the head may have been written.
     HeadPart,
-    /// The head and a part of the body may have been written.
+    /// The head and part of the body may have been written.
     BodyPart,
-    /// All was written, and no answer was read.
+    /// The whole request was written, and no part of the response was read.
     Written,
-    /// A part of the answer was read.
+    /// Part of the response was read.
     AnswerPart,
 }
 
 impl ExchangeStage {
-    /// All points in the order of an exchange.
+    /// All stages in the order of an exchange.
     pub const ALL: [Self; 6] = [
         Self::Unconnected,
         Self::Connected,
@@ -33,10 +33,10 @@
         Self::AnswerPart,
     ];
 
-    /// Whether the server surely runs nothing of the request.
+    /// Whether it is certain that the server runs no part of the request.
     ///
-    /// A failed write does not tell how much of it arrived, so that a head of
-    /// which a part was written counts as one that may run.
+    /// A failed write does not tell how much of it arrived. A request of which part of
+    /// the head was written therefore counts as one that may run.
     ///
     /// ```
     /// use citron_core::routing::ExchangeStage;
--- a/crates/core/tests/attempt.rs
+++ b/crates/core/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! One request against every way in which an exchange can end.
+//! Attempts of one request, against all ways in which an exchange can end.
 
 use {
     citron_core::{
@@ -30,7 +30,7 @@
     }
 }
 
-/// An attempt whose first exchange is open.
+/// State of a request whose first attempt is open.
 fn sent_request(kind: RequestKind, policy: &mut RetryPolicy) -> RetryState {
     let mut state = RetryState::new(kind, policy);
     let step = state.step(Event::Admitted, Time::ZERO, policy);
@@ -54,10 +54,10 @@
     format!("{} {} {retry}", response.status, response.outcome)
 }
 
-/// The caller sees an answer of ours or a retried request, depending on how far
-/// the exchange got. A request that is not idempotent is sent again only from
-/// points at which nothing was written, or after the server's promise; a body
-/// that was taken from the caller is never sent again.
+/// Guards against requests that run twice. Each table row is a stage at which an exchange
+/// ends. A request that is not idempotent is sent again only if nothing was written or
+/// the server guarantees that it did not run; a body that was read from the client is
+/// never sent again.
 #[test]
 fn every_point_of_the_exchange() {
     let mut endings: Vec<(String, Event)> = Vec::new();
@@ -71,11 +71,11 @@
         no: FIRST,
         wait: None,
     };
-    endings.push(("refused with promise".to_string(), refused));
-    endings.push(("fence refusal".to_string(), Event::Fenced(FIRST)));
-    endings.push(("leave ran out".to_string(), Event::Unconfirmed(FIRST)));
-    endings.push(("answer head".to_string(), Event::Answered(FIRST)));
-    endings.push(("caller left".to_string(), Event::CallerLeft));
+    endings.push(("refused with guarantee".to_string(), refused));
+    endings.push(("epoch refused".to_string(), Event::Fenced(FIRST)));
+    endings.push(("lease expired".to_string(), Event::Unconfirmed(FIRST)));
+    endings.push(("response head".to_string(), Event::Answered(FIRST)));
+    endings.push(("client disconnected".to_string(), Event::ClientDisconnected));
 
     let mut table = format!(
         "{:<27}{:<22}{:<22}{:<22}{}\n",
@@ -102,7 +102,7 @@
     state.step(event, Time::ZERO, &mut policy)
 }
 
-/// A caller's resend is welcome exactly when it cannot double the request.
+/// Guards against a Retry-After that could make a client run a request twice.
 #[test]
 fn every_reason_has_a_status_and_a_retry_after() {
     let mut table = String::new();
@@ -119,8 +119,8 @@
     assert_snapshot!(table);
 }
 
-/// The head of an answer is out when the server's connection breaks. The caller
-/// must see its connection break too, not an answer that looks whole.
+/// Guards against a truncated response that looks complete: when the server's connection
+/// breaks after the head, the client's connection must break too.
 #[test]
 fn an_answer_cut_short_breaks_the_callers_connection() {
     for event in [
@@ -136,8 +136,8 @@
     }
 }
 
-/// The first exchange hangs, the hedge is answered. The late answer of the first
-/// one must reach nobody.
+/// Guards against two responses to one request: the first attempt hangs, the hedge is
+/// answered, and the late response of the first attempt is dropped.
 #[test]
 fn the_first_answer_wins_and_the_late_one_is_dropped() {
     let mut policy = policy();
@@ -160,8 +160,8 @@
     assert_eq!(done, Step::Done);
 }
 
-/// A server is in trouble and every request to it fails. Neither retries nor hedges
-/// may multiply the load on it beyond the budget.
+/// Guards against retries and hedges that multiply the load on a failing server beyond
+/// the budget.
 #[test]
 fn an_empty_budget_stops_retries_and_hedges() {
     let config = BudgetConfig {
@@ -177,8 +177,8 @@
     assert!(matches!(step, Step::Answer(_)));
 }
 
-/// A server refuses every epoch. The caller gets an answer after a few tries, long
-/// before its deadline.
+/// Guards against endless attempts at a server that refuses every epoch: the client gets
+/// a response after a few attempts, long before its deadline.
 #[test]
 fn tries_are_counted_even_without_a_budget() {
     let mut policy = RetryPolicy::new(BudgetConfig::UNLIMITED, SEED);
@@ -192,7 +192,7 @@
     assert!(matches!(steps.last(), Some(Step::Answer(_))));
 }
 
-/// A hedge of a purchase would buy twice.
+/// Guards against a hedge that runs a request twice that must not.
 #[test]
 fn requests_that_are_not_idempotent_are_never_hedged() {
     let mut policy = policy();
@@ -201,8 +201,8 @@
     assert_eq!(step, Step::Wait);
 }
 
-/// The first try of an idempotent request may have run, the second one was
-/// refused with a promise. The promise covers the second try only.
+/// Guards against a refusal of the second attempt being applied to the first, which may
+/// have run.
 #[test]
 fn a_promise_does_not_cover_an_earlier_try() {
     let mut policy = RetryPolicy::new(
@@ -221,13 +221,13 @@
         wait: None,
     };
     let Step::Answer(response) = state.step(refused, Time::ZERO, &mut policy) else {
-        panic!("the budget is used up");
+        panic!("the budget has no token left");
     };
     assert_eq!(response.outcome, Outcome::Unknown);
 }
 
-/// A request waits to be sent again when the instance learns that requests like
-/// it crash servers. What the first try left open decides the outcome.
+/// Guards against a wrong outcome when a retry is rejected by the quarantine: only the
+/// first attempt decides it.
 #[test]
 fn a_retry_that_is_refused_adds_no_doubt() {
     let cases = [
@@ -243,13 +243,13 @@
             wait: Duration::from_secs(60),
         };
         let Step::Answer(response) = state.step(denied, Time::ZERO, &mut policy) else {
-            panic!("nothing is open");
+            panic!("no attempt is open");
         };
         assert_eq!((response.status, response.outcome), (422, outcome));
     }
 }
 
-/// A hedge finds no free slot. The first exchange goes on.
+/// Guards against a hedge without a free slot that ends the first attempt.
 #[test]
 fn a_hedge_that_is_refused_ends_nothing() {
     let mut policy = policy();
@@ -264,8 +264,8 @@
     assert_eq!(step, Step::Forward(FIRST));
 }
 
-/// The deadline is nearer than the backoff: the caller is told at once, not at
-/// the deadline.
+/// Guards against a client that waits until its deadline when the backoff would end after
+/// it.
 #[test]
 fn a_retry_that_would_come_too_late_is_answered_now() {
     let mut policy = policy();
@@ -290,14 +290,14 @@
         7 => Event::Completed(no),
         8 => Event::HedgeDue,
         9 => Event::BodyStarted,
-        _ => Event::CallerLeft,
+        _ => Event::ClientDisconnected,
     })
 }
 
 proptest! {
-    /// Whatever happens in whatever order: a request that is not idempotent is
-    /// never sent again once it may have run, `not-run` is never said then, and
-    /// nothing follows the last answer.
+    /// For any sequence of events: a request that is not idempotent is not sent again
+    /// once it may have run, `not-run` is not reported then, and nothing follows the
+    /// final response.
     #[test]
     fn never_twice_and_never_wrongly_not_run(
         events in proptest::collection::vec(any_event(), 1..24),
@@ -332,6 +332,6 @@
                 Step::Wait => {}
             }
         }
-        prop_assert!(forwarded <= 1, "two answers for one caller");
+        prop_assert!(forwarded <= 1, "two responses to one request");
     }
 }
