--- a/crates/core/src/admission/chain.rs
+++ b/crates/core/src/admission/chain.rs
@@ -1,4 +1,4 @@
-//! Everything that may turn a request away, asked in one place.
+//! Chain of all checks that may reject an attempt.
 
 use {
     super::{
@@ -15,54 +15,56 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// When a caller may come back whose operator has too much in progress.
+/// `Retry-After` of a request above its operator's limit.
 const OPERATOR_LIMIT_WAIT: Duration = Duration::from_secs(1);
 
-/// A try that is about to be sent.
+/// An attempt that is about to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptRequest {
-    /// Its service.
+    /// Service of the request.
     pub service: ServiceName,
-    /// Where it goes.
+    /// Server that the attempt goes to.
     pub server: ServerName,
-    /// Names it among those that wait.
+    /// Identifies the attempt in the server's queue.
     pub ticket: Ticket,
-    /// What makes it the same request when it is sent again.
+    /// Fingerprint that is the same when the request is sent again.
     pub fingerprint: Fingerprint,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When its caller stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
 }
 
-/// How a try that was started has ended.
+/// How a started attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// An answer was read whole.
+    /// The whole response was read.
     Answered {
-        /// Time from the write to the answer's head: the rest depends on how fast
-        /// the caller reads.
+        /// Time from the write to the response's head. Later parts depend on how fast the
+        /// client reads.
         head: Duration,
     },
-    /// The server refused it for lack of slots.
+    /// The server refused the attempt for lack of slots.
     Refused,
-    /// The connection was lost, or none could be made.
+    /// The connection was lost, or none could be opened.
     Lost(ExchangeStage),
-    /// No answer came in time, on a connection opened for the try or with the
-    /// server to blame for another reason.
+    /// The attempt timed out through the server's fault, for instance on a connection
+    /// opened for it.
     TimedOut,
-    /// Anything that says nothing about the server: the caller left, an old
-    /// connection was silent, the epoch was refused, the write was withheld.
+    /// The end says nothing about the server: the client disconnected, an old connection
+    /// was dead, the epoch was refused, or nothing was written.
     Other,
 }
 
-/// Limits, health and crashes of one instance, shared by its traffic threads.
+/// Admission control, outlier detection and crash quarantine of one instance, shared by
+/// its traffic threads.
 ///
-/// [`Self::set_map`] for each new revision. For a request: [`Self::begin_request`] once;
-/// then [`Self::admit`] before each try, [`Self::end`] after each that was started,
-/// [`Self::next`] until `None` after each end and whenever [`Self::ready_at`] has come;
-/// and [`Self::end_request`] once. What [`Self::admit`] or [`Self::next`] sheds goes to the
-/// attempt as `Event::Denied`.
+/// [`Self::set_map`] is called for each new revision. For each request,
+/// [`Self::begin_request`] is called once, [`Self::admit`] before each attempt,
+/// [`Self::end`] after each attempt that was started, and [`Self::end_request`] once.
+/// [`Self::next`] is called until it returns `None`, after each end and whenever the time
+/// from [`Self::ready_at`] has come. What [`Self::admit`] or [`Self::next`] sheds is
+/// passed to the request's state as `Event::Denied`.
 #[derive(Debug)]
 pub struct AdmissionChain {
     controllers: BTreeMap<ServerName, AdmissionController>,
@@ -73,7 +75,7 @@
 }
 
 impl AdmissionChain {
-    /// Guards that allow so many requests in progress.
+    /// Creates a chain that allows `limit` concurrent requests.
     pub fn new(limit: usize) -> Self {
         Self {
             controllers: BTreeMap::new(),
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Follows the rows. New servers begin with the even part of `instances`
-    /// instances; those that stay keep their state.
+    /// Applies a new routing map. New servers start with an even share among `instances`
+    /// instances; known servers keep their state.
     pub fn set_map(&mut self, map: &RouteMap, instances: usize, now: Time) {
         let mut previous = std::mem::take(&mut self.controllers);
         for row in map.servers() {
@@ -104,17 +106,17 @@
         }
     }
 
-    /// A request begins; `false` if its operator has its part of the instance.
+    /// Counts the start of a request; `false` if its operator is at its limit.
     pub fn begin_request(&mut self, operator: &OperatorName) -> bool {
         self.operators.try_acquire(operator)
     }
 
-    /// A request that entered is over.
+    /// Counts the end of a request that was started.
     pub fn end_request(&mut self, operator: &OperatorName) {
         self.operators.release(operator);
     }
 
-    /// What a caller is told whose request may not enter.
+    /// The rejection of a request above its operator's limit.
     pub fn operator_limit_shed() -> Admission {
         Admission::Shed {
             reason: FailureReason::OperatorLimit,
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Whether a try may be sent. The gate comes last, so that what is
-    /// refused for another reason takes neither a slot nor the cap.
+    /// Decides about an attempt. The server's admission controller comes last, so that
+    /// attempts rejected for other reasons use neither slots nor the rate limit.
     pub fn admit(&mut self, attempt: &AttemptRequest, now: Time) -> Admission {
         if let Some(wait) = self.crashes.refused_for(attempt.fingerprint, now) {
             let reason = FailureReason::Quarantined;
@@ -141,8 +143,8 @@
         }
     }
 
-    /// A try that was started has ended, after so long. `label` names the request
-    /// to operators if it crashes servers.
+    /// Records the end of a started attempt that took `held`. `label` describes the
+    /// request to operators if it crashes servers.
     pub fn end(
         &mut self,
         attempt: &AttemptRequest,
@@ -169,25 +171,24 @@
         }
     }
 
-    /// Takes the next waiting request of a server that may start, or that has to
-    /// be refused.
+    /// Takes a server's next queued attempt that may start or has to be shed.
     pub fn next(&mut self, server: &ServerName, now: Time) -> Option<QueueDecision> {
         self.controllers.get_mut(server)?.next(now)
     }
 
-    /// When [`Self::next`] may have an answer without another event before.
+    /// Time at which [`Self::next`] may return a decision without a further event.
     pub fn ready_at(&self, server: &ServerName, now: Time) -> Option<Time> {
         self.controllers.get(server)?.ready_at(now)
     }
 
-    /// The caller of a waiting request left.
+    /// Removes a queued attempt whose client disconnected.
     pub fn cancel(&mut self, attempt: &AttemptRequest) {
         if let Some(controller) = self.controllers.get_mut(&attempt.server) {
             controller.cancel(attempt.ticket, attempt.deadline);
         }
     }
 
-    /// What to send to the other instances, once for each exchange.
+    /// Demand by server, to be sent to other instances. To be called once per exchange.
     pub fn demands(&mut self, now: Time) -> BTreeMap<ServerName, Demand> {
         let controllers = self.controllers.iter_mut();
         controllers
@@ -195,7 +196,7 @@
             .collect()
     }
 
-    /// Sets this instance's part of a server.
+    /// Sets this instance's quota of a server.
     pub fn set_quota(&mut self, server: &ServerName, quota: ServerQuota, now: Time) {
         if let Some(controller) = self.controllers.get_mut(server) {
             controller.set_share(quota.share, now);
@@ -203,7 +204,7 @@
         }
     }
 
-    /// The servers that are ejected, for the planner to move their shards.
+    /// Ejected servers, for the planner to move their shards.
     pub fn ejected(&self) -> impl Iterator<Item = &ServerName> {
         self.pools.values().flat_map(PoolHealth::ejected)
     }
--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -1,4 +1,4 @@
-//! Who may go to one backend server now, who waits, who is refused.
+//! Admission control for one backend server on one instance.
 
 use {
     super::{
@@ -9,19 +9,19 @@
     std::time::Duration,
 };
 
-/// Sizes of a gate.
+/// Settings of an admission controller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionConfig {
-    /// Requests that may wait for a server on one instance.
+    /// Longest queue, in requests.
     pub queue_max: usize,
-    /// The longest wait that is worth beginning; a longer one is refused at once.
+    /// Longest expected wait; requests that would wait longer are shed at once.
     pub wait_max: Duration,
-    /// How the share follows the server.
+    /// Adaptation of the limit to the server's refusals.
     pub limit: LimitConfig,
 }
 
 impl AdmissionConfig {
-    /// The defaults.
+    /// Default settings.
     pub const STANDARD: Self = Self {
         queue_max: 64,
         wait_max: Duration::from_millis(250),
@@ -36,42 +36,44 @@
     answers: u32,
 }
 
-/// What becomes of a request that arrived.
+/// Decision about a request that arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent now; report its end by [`AdmissionController::end`].
+    /// The request may be sent now; its end is reported with
+    /// [`AdmissionController::end`].
     Start,
-    /// It waits; [`AdmissionController::next`] will name it.
+    /// The request is queued; [`AdmissionController::next`] returns it later.
     Queued,
-    /// It is refused and may come back after `wait`.
+    /// The request is rejected; the client may retry after `wait`.
     Shed {
-        /// Why.
+        /// Reason for the rejection.
         reason: FailureReason,
-        /// The expected wait.
+        /// Expected wait.
         wait: Duration,
     },
 }
 
-/// What [`AdmissionController::next`] decided about a waiting request.
+/// Decision of [`AdmissionController::next`] about a queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It may be sent now; report its end by [`AdmissionController::end`].
+    /// The request may be sent now; its end is reported with
+    /// [`AdmissionController::end`].
     Start(Ticket),
-    /// It could no longer end in time and is refused now.
+    /// The request could no longer end in time and is rejected.
     Shed {
-        /// Which.
+        /// The rejected request.
         ticket: Ticket,
-        /// When it may come back.
+        /// Expected wait, after which the client may retry.
         wait: Duration,
     },
 }
 
-/// Limit, cap and queue of one backend server on one instance.
+/// Concurrency limit, rate limit and queue of one backend server on one instance.
 ///
-/// Drive it so: [`Self::admit`] for each request; [`Self::end`] for each that was
-/// started; then, and whenever [`Self::ready_at`] has come, [`Self::next`] until it
-/// answers `None`. Once per exchange with the other instances, send
-/// [`Self::demand`] and set the share that [`super::shares`] gives.
+/// [`Self::admit`] is called for each request, and [`Self::end`] for each that was
+/// started. After that, and whenever the time from [`Self::ready_at`] has come,
+/// [`Self::next`] is called until it returns `None`. Once per exchange with the other
+/// instances, [`Self::demand`] is sent and the share from [`super::shares`] is set.
 ///
 /// ```
 /// use {citron_core::{admission::*, id::Slots, time::Time}, std::time::Duration};
@@ -100,7 +102,7 @@
 }
 
 impl AdmissionController {
-    /// A gate that is open.
+    /// Creates a controller with no requests.
     pub fn new(config: AdmissionConfig, share: SlotShare, now: Time) -> Self {
         Self {
             limit: ServerLimit::new(share, config.limit, now),
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Decides about a request that just arrived.
+    /// Decides about a request that arrived.
     pub fn admit(&mut self, ticket: Ticket, deadline: Time, now: Time) -> Admission {
         self.counts.arrivals = self.counts.arrivals.saturating_add(1);
         if let Some(shed) = self.check_cap(now) {
@@ -128,7 +130,7 @@
         self.queue_or_shed(ticket, deadline, now)
     }
 
-    /// A request that was started has ended, after holding its slot so long.
+    /// Records the end of a started request that held its slot for `held`.
     pub fn end(&mut self, release: ReleaseReason, held: Duration, now: Time) {
         if release == ReleaseReason::Answered {
             self.counts.answers = self.counts.answers.saturating_add(1);
@@ -138,7 +140,7 @@
         self.apply_share(now);
     }
 
-    /// Takes the next request that may start, or that has to be refused.
+    /// Takes the next queued request that may start or has to be shed.
     pub fn next(&mut self, now: Time) -> Option<QueueDecision> {
         if let Some(ticket) = self.queue.pop_expired(now, self.limit.hold_time()) {
             let wait = self.limit.expected_wait(self.queue.len());
@@ -150,7 +152,7 @@
         self.queue.pop().map(QueueDecision::Start)
     }
 
-    /// When [`Self::next`] may have an answer without another event before.
+    /// Time at which [`Self::next`] may return a decision without a further event.
     pub fn ready_at(&self, now: Time) -> Option<Time> {
         if self.queue.is_empty() {
             return None;
@@ -158,13 +160,13 @@
         self.limit.ready_at(now)
     }
 
-    /// The caller of a waiting request left.
+    /// Removes a queued request whose client disconnected.
     pub fn cancel(&mut self, ticket: Ticket, deadline: Time) {
         self.queue.remove(ticket, deadline);
     }
 
-    /// The rates of late, for the exchange with other instances. Ask once for
-    /// each exchange: the counts begin anew.
+    /// Recent rates, for the exchange with other instances. To be called once per
+    /// exchange, as each call resets the counts.
     pub fn demand(&mut self, now: Time) -> Demand {
         let span = (now - self.sampled_at).as_secs_f64();
         if span > 0.0 {
@@ -180,13 +182,13 @@
         self.demand
     }
 
-    /// Sets this instance's part of the server's slots.
+    /// Sets this instance's share of the server's slots.
     pub fn set_share(&mut self, share: SlotShare, now: Time) {
         self.share = share;
         self.apply_share(now);
     }
 
-    /// Sets this instance's part of the server's cap; `None` lifts it.
+    /// Sets this instance's share of the server's rate limit; `None` removes the limit.
     pub fn set_cap(&mut self, rate: Option<Rate>, now: Time) {
         match (&mut self.cap, rate) {
             (Some(cap), Some(rate)) => cap.set_rate(rate, now),
@@ -194,18 +196,19 @@
         }
     }
 
-    /// The server has just come up: its share grows to full over a while.
+    /// Starts the warm-up of a server that has just started: its share grows to the full
+    /// one over time.
     pub fn start_warmup(&mut self, now: Time) {
         self.warmup = Some(Warmup::new(now));
         self.apply_share(now);
     }
 
-    /// Requests that run now.
+    /// Requests that are running.
     pub fn running(&self) -> u32 {
         self.limit.running()
     }
 
-    /// Requests that wait now.
+    /// Requests that are queued.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
@@ -233,8 +236,8 @@
         })
     }
 
-    /// Refuses at once what could not be done in time: a caller that waits
-    /// for nothing also holds memory, and its late answer is wasted slot time.
+    /// Sheds a request at once if it could not end in time. A client that waits in vain
+    /// takes memory, and its late response wastes slot time.
     fn queue_or_shed(&mut self, ticket: Ticket, deadline: Time, now: Time) -> Admission {
         let wait = self.limit.expected_wait(self.queue.count_ahead(deadline));
         let is_late = now + wait + self.limit.hold_time() > deadline;
--- a/crates/core/src/admission/demand_tracker.rs
+++ b/crates/core/src/admission/demand_tracker.rs
@@ -1,4 +1,4 @@
-//! What the instances last told each other about their demand.
+//! Latest reports of the instances' demand.
 
 use {
     super::{Demand, Rate, SlotShare, share::slot_share},
@@ -10,15 +10,15 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a report counts.
+/// Age at which a report expires.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// An instance's part of a server.
+/// An instance's share of a server's capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerQuota {
-    /// Of its slots.
+    /// Share of the slots.
     pub share: SlotShare,
-    /// Of its cap, if it has one.
+    /// Share of the rate limit, if there is one.
     pub cap: Option<Rate>,
 }
 
@@ -28,11 +28,11 @@
     demands: BTreeMap<ServerName, Demand>,
 }
 
-/// The demand of the other instances, by server, on the control thread.
+/// Demand of the other instances by server, kept on the control thread.
 ///
-/// An instance that is listed but not heard of may be cut off from this one and
-/// go on sending. Its even part of each server is left to it, so that the two
-/// sides of a partition together do not overload the server.
+/// An instance that is listed but does not report may be cut off from this one and still
+/// send requests. An even share of each server is reserved for it, so that the two sides
+/// of a partition together do not overload the server.
 ///
 /// ```
 /// use citron_core::{admission::{Demand, DemandTracker, Rate}, id::Slots, time::Time};
@@ -47,7 +47,7 @@
 }
 
 impl DemandTracker {
-    /// Takes in a report; a later one replaces it.
+    /// Records a report, which replaces the former one of its instance.
     pub fn record(&mut self, from: InstanceId, demands: BTreeMap<ServerName, Demand>, now: Time) {
         self.reports
             .retain(|_, report| now - report.received <= REPORT_TTL);
@@ -60,8 +60,8 @@
         );
     }
 
-    /// This instance's part of a server, `instances` being how many instances there
-    /// are, itself included.
+    /// This instance's quota of a server. `instances` is the number of listed instances,
+    /// this one included.
     pub fn quota(
         &self,
         server: &ServerName,
@@ -80,7 +80,7 @@
         ServerQuota { share, cap }
     }
 
-    /// The same with what the server's row says.
+    /// This instance's quota, with the slots and the rate limit from the server's row.
     pub fn quota_for_row(
         &self,
         row: &ServerRow,
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -1,35 +1,35 @@
-//! One instance's part of a backend server's slots, corrected by what it sees.
+//! Concurrency limit of one instance at one backend server.
 
 use {super::SlotShare, crate::time::Time, std::time::Duration};
 
-/// Weight of a new sample of the time that requests hold a slot.
+/// Weight of a new sample in the moving average of the hold time.
 const HOLD_EWMA_WEIGHT: f64 = 0.1;
-/// Where the estimate of that time begins.
+/// Initial hold time, in seconds.
 const HOLD_INITIAL_S: f64 = 0.02;
-/// The shortest estimate that is used.
+/// Lower bound of the hold time, in seconds.
 const HOLD_MIN_S: f64 = 0.0005;
-/// The smallest limit that a rate is worked out from.
+/// Lower bound of a limit from which a rate is computed.
 const LIMIT_MIN: f64 = 0.001;
-/// The longest wait that is told, in seconds.
+/// Upper bound of an expected wait, in seconds.
 const WAIT_MAX_S: f64 = 3_600.0;
 /// Added to a computed time, so that rounding does not make it too early.
 const ROUNDING_MARGIN: Duration = Duration::from_micros(1);
 
-/// How the factor on the share follows the server's refusals.
+/// Adaptation of the factor on the share to the server's refusals.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitConfig {
-    /// The smallest factor.
+    /// Lower bound of the factor.
     pub factor_min: f64,
-    /// The largest: how far shares may be overbooked.
+    /// Upper bound of the factor, up to which shares may be overbooked.
     pub factor_max: f64,
-    /// Added for an answer that came while requests waited.
+    /// Increase for a response while requests were waiting.
     pub increase: f64,
-    /// Multiplied on a refusal.
+    /// Factor applied for a refusal.
     pub decrease_factor: f64,
 }
 
 impl LimitConfig {
-    /// For shares that are exchanged.
+    /// For shares that instances exchange reports about.
     pub const STANDARD: Self = Self {
         factor_min: 0.5,
         factor_max: 2.0,
@@ -37,7 +37,7 @@
         decrease_factor: 0.95,
     };
 
-    /// The share as it is.
+    /// Uses the share unchanged.
     pub const FIXED: Self = Self {
         factor_min: 1.0,
         factor_max: 1.0,
@@ -46,25 +46,26 @@
     };
 }
 
-/// How a request that held a slot ended.
+/// How a request released its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// The server answered.
+    /// The server responded.
     Answered,
-    /// The server refused it for lack of slots.
+    /// The server refused the request for lack of slots.
     Refused,
-    /// No answer came in time; the server may still be at it.
+    /// The request timed out; the server may still be running it.
     TimedOut,
-    /// Anything else: no sign of the server's load.
+    /// Any other end, which says nothing about the server's load.
     Other,
 }
 
-/// Paces the requests that an instance sends to one server.
+/// Concurrency limit for the requests of one instance to one server.
 ///
-/// A share of 0.4 slots cannot be a limit of requests at a time. Requests are
-/// begun at the rate `limit / hold`, `hold` being the time that one holds a slot,
-/// which keeps `limit` of them running on average (Little's law). As `hold`
-/// includes the wait within the server, a server that slows down is sent less.
+/// A share of 0.4 slots cannot be applied as a number of concurrent requests. For the
+/// fractional slot, requests start at the rate `limit / hold`, where `hold` is the time
+/// for which a request holds a slot; this keeps `limit` of them running on average
+/// (Little's law). The hold time includes the wait within the server, so that a server
+/// that slows down gets fewer requests.
 #[derive(Debug)]
 pub struct ServerLimit {
     config: LimitConfig,
@@ -77,7 +78,7 @@
 }
 
 impl ServerLimit {
-    /// A limit that lets the first request through.
+    /// Creates a limit that admits the first request at once.
     pub fn new(share: SlotShare, config: LimitConfig, now: Time) -> Self {
         Self {
             config,
@@ -96,7 +97,7 @@
         self.share = share;
     }
 
-    /// Takes leave to begin a request; `false` if it has to wait.
+    /// Starts a request; `false` if it has to wait.
     pub fn try_begin(&mut self, now: Time) -> bool {
         self.refill(now);
         if !self.has_whole_slot() {
@@ -109,8 +110,8 @@
         true
     }
 
-    /// Gives the slot back; `has_waited` says whether any request
-    /// had to wait here since the last answer.
+    /// Releases a request's slot. `has_waited` tells whether any request had to wait
+    /// since the last response.
     pub fn end(&mut self, release: ReleaseReason, held: Duration, has_waited: bool, now: Time) {
         self.refill(now);
         self.running = self.running.saturating_sub(1);
@@ -130,17 +131,17 @@
         self.share.slots() * self.factor
     }
 
-    /// Requests that run now.
+    /// Requests that are running.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// How long a request holds a slot.
+    /// Average time for which a request holds a slot.
     pub fn hold_time(&self) -> Duration {
         Duration::from_secs_f64(self.hold_s)
     }
 
-    /// The wait of a request with `ahead` others before it.
+    /// Expected wait of a request with `ahead` others before it.
     pub fn expected_wait(&self, ahead: usize) -> Duration {
         let free = (self.limit() - f64::from(self.running)).max(0.0);
         let missing = (ahead as f64 + 1.0 - free).max(0.0);
@@ -148,7 +149,8 @@
         capped_duration(missing / rate)
     }
 
-    /// When the next request may begin; `None` if only the end of one allows it.
+    /// Time at which the next request may start; `None` if a running one has to end
+    /// first.
     pub fn ready_at(&self, now: Time) -> Option<Time> {
         if self.has_whole_slot() {
             return Some(now);
@@ -158,18 +160,18 @@
             .then(|| now + wait + ROUNDING_MARGIN)
     }
 
-    /// Room among the whole slots: a new request begins when one has ended, so
-    /// that the number running stays even.
+    /// Whether one of the whole slots is free. For these a request starts as soon as
+    /// another ends, which keeps the number of running requests even.
     fn has_whole_slot(&self) -> bool {
         f64::from(self.running) < self.limit().floor()
     }
 
-    /// Room in the slot of which only a part is this instance's.
+    /// Whether the slot of which only a fraction belongs to this instance is free.
     fn has_partial_slot(&self) -> bool {
         f64::from(self.running) < self.limit().ceil().max(1.0)
     }
 
-    /// Begins a second that keep the part of a slot in use.
+    /// Requests per second that use the fractional slot in full.
     fn partial_slot_rate(&self) -> f64 {
         self.limit().fract().max(LIMIT_MIN) / self.hold_s
     }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! How much work goes to a backend server, and whose.
+//! Admission control: how many requests each backend server gets, and whose.
 
 mod chain;
 mod controller;
--- a/crates/core/src/admission/operator_limiter.rs
+++ b/crates/core/src/admission/operator_limiter.rs
@@ -1,16 +1,16 @@
-//! Room on one instance, shared by operators.
+//! Limit on each operator's concurrent requests on one instance.
 
 use {crate::id::OperatorName, std::collections::BTreeMap};
 
-/// How much of the free room an operator may hold, as a factor.
+/// Requests that an operator may have in progress, as a multiple of the free capacity.
 const FREE_ROOM_FACTOR: usize = 2;
 
 /// Counts the requests in progress on one instance, by operator.
 ///
-/// An operator may hold at most twice the room that is still free. A single one
-/// can fill two thirds; the rest is there for the others, whose requests would
-/// else be refused for a flood that is not theirs. Nobody has to be
-/// configured, and nothing that runs is cut.
+/// An operator may have at most twice as many requests in progress as there is free
+/// capacity. A single operator can use two thirds of the capacity. The rest stays free
+/// for others, whose requests would otherwise be rejected in a flood that is not theirs.
+/// The limit needs no settings per operator and ends no running request.
 ///
 /// ```
 /// use citron_core::admission::OperatorLimiter;
@@ -29,7 +29,7 @@
 }
 
 impl OperatorLimiter {
-    /// Room for so many requests, running and waiting.
+    /// Creates a limiter for up to `limit` requests, running and queued.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes room for a request; `false` if the operator has its part.
+    /// Counts a request of an operator; `false` if the operator is at its limit.
     pub fn try_acquire(&mut self, operator: &OperatorName) -> bool {
         let free = self.limit.saturating_sub(self.total);
         let in_progress = self.in_progress(operator);
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Gives the room of a request back.
+    /// Counts the end of an operator's request.
     pub fn release(&mut self, operator: &OperatorName) {
         let Some(in_progress) = self.in_progress.get_mut(operator) else {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Requests of an operator in progress.
+    /// Requests of an operator that are in progress.
     pub fn in_progress(&self, operator: &OperatorName) -> usize {
         self.in_progress.get(operator).copied().unwrap_or(0)
     }
--- a/crates/core/src/admission/rate.rs
+++ b/crates/core/src/admission/rate.rs
@@ -1,11 +1,11 @@
-//! Caps of requests a second.
+//! Request rates and rate limits.
 
 use {
     crate::{id::ParseIdError, time::Time},
     std::{fmt, str::FromStr, time::Duration},
 };
 
-/// Requests a second.
+/// Requests per second.
 ///
 /// ```
 /// use citron_core::admission::Rate;
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Rate(pub f64);
 
-/// Weight of a new sample in a smoothed rate.
+/// Weight of a new sample in a moving average.
 const EWMA_WEIGHT: f64 = 0.2;
 
 impl Rate {
-    /// Moves a smoothed rate towards a sample.
+    /// Adds a sample to a moving average.
     pub(super) fn update_average(&mut self, sample: f64) {
         self.0 += EWMA_WEIGHT * (sample - self.0);
     }
@@ -45,8 +45,8 @@
     }
 }
 
-/// Token bucket for one instance's part of a cap; a second's worth at most is
-/// saved up, one request at least.
+/// Token bucket for one instance's share of a rate limit. It holds at most the tokens of
+/// one second, and at least one.
 ///
 /// ```
 /// use {citron_core::{admission::{Rate, RateLimiter}, time::Time}, std::time::Duration};
@@ -63,7 +63,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Time) -> Self {
         Self {
             rate,
@@ -78,7 +78,7 @@
         self.rate = rate;
     }
 
-    /// Takes leave for one request.
+    /// Takes the token of one request; `false` if there is none.
     pub fn try_take(&mut self, now: Time) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -88,7 +88,7 @@
         true
     }
 
-    /// How long until there is leave for one; an hour if the rate is 0.
+    /// Time until a token is available; one hour if the rate is 0.
     pub fn wait(&self, now: Time) -> Duration {
         let gained = (now - self.refilled_at).as_secs_f64() * self.rate.0;
         let missing = (1.0 - self.tokens - gained).max(0.0);
--- a/crates/core/src/admission/share.rs
+++ b/crates/core/src/admission/share.rs
@@ -1,4 +1,4 @@
-//! How instances divide a backend server's slots without a central counter.
+//! Division of a backend server's slots among instances without a central counter.
 
 use {
     super::Rate,
@@ -6,16 +6,17 @@
     std::{fmt, str::FromStr},
 };
 
-/// Requests a second of an instance that had none, so that its first one starts.
+/// Lower bound of an instance's rate, in requests per second, so that its first request
+/// can start.
 const RATE_MIN: f64 = 0.5;
-/// Part of the requests that may go unanswered before slots count as short: about
-/// what twice the capacity brings. Below it the rule for short slots turns more
-/// requests away than the lack of slots does.
+/// Fraction of unanswered requests above which slots count as contended. Demand of about
+/// twice the capacity reaches it; with a lower value, the rule for contended slots
+/// rejects more requests than the lack of slots does.
 const UNANSWERED_SHARE_MAX: f64 = 0.4;
-/// What every instance may hold while slots are not short.
+/// Share of every instance while slots are not contended.
 const UNCONTENDED_SHARE_MIN: f64 = 1.0;
 
-/// Slots that an instance may hold on average; a fraction is held part of the time.
+/// Slots that an instance may use on average; a fraction is used part of the time.
 ///
 /// ```
 /// use citron_core::admission::SlotShare;
@@ -26,7 +27,7 @@
 pub struct SlotShare(f64);
 
 impl SlotShare {
-    /// Clamps to what makes sense: finite and not negative.
+    /// Creates a share, clamped to a finite number that is not negative.
     pub fn new(slots: f64) -> Self {
         Self(if slots.is_finite() {
             slots.max(0.0)
@@ -61,24 +62,23 @@
     }
 }
 
-/// What an instance tells the others about one server.
+/// Demand of one instance for one server, as reported to other instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Requests for the server, refused ones included.
+    /// Rate of requests for the server, rejected ones included.
     pub arrivals: Rate,
-    /// Answers from the server.
+    /// Rate of the server's responses.
     pub answers: Rate,
 }
 
-/// Divides a server's slots among instances in proportion to their requests, so
-/// that a caller's chance does not depend on the instance that it came to.
+/// Divides a server's slots among instances in proportion to their request rates, so that
+/// a client's chance does not depend on the instance that it connects to.
 ///
-/// While nearly all requests are answered, every instance may also hold a slot
-/// at any time: a wait for a fraction of a slot would leave slots idle.
+/// While nearly all requests are answered, every instance may use at least one slot at
+/// any time, as waiting for a fraction of a slot would leave slots idle.
 ///
-/// Every instance works out the same list from the same reports. Reports that
-/// differ a little make the parts overlap a little; the server's refusals and
-/// latency correct the rest.
+/// Every instance computes the same shares from the same reports. Where reports differ a
+/// little, the shares overlap a little; the server's refusals and latency correct that.
 ///
 /// ```
 /// use citron_core::{admission::{Demand, Rate, shares}, id::Slots};
@@ -94,7 +94,7 @@
     demands.iter().map(share).collect()
 }
 
-/// The share of one of `demands` in so many slots.
+/// Share of one of `demands` in `slots` slots.
 pub(super) fn slot_share(slots: f64, demand: &Demand, demands: &[Demand]) -> SlotShare {
     let min_share = if is_contended(demands) {
         0.0
@@ -105,13 +105,13 @@
 }
 
 impl Demand {
-    /// No request for the server.
+    /// No requests for the server.
     pub const NONE: Self = Self {
         arrivals: Rate(0.0),
         answers: Rate(0.0),
     };
 
-    /// This demand over all of them.
+    /// Fraction of this demand in the sum of `all`.
     pub(super) fn fraction_of(&self, all: &[Self]) -> f64 {
         self.weight() / all.iter().map(Self::weight).sum::<f64>()
     }
@@ -127,7 +127,7 @@
     answers < arrivals * (1.0 - UNANSWERED_SHARE_MAX)
 }
 
-/// The same part for each instance: for as long as nothing was heard from others.
+/// Even share of each instance, used until other instances have reported.
 ///
 /// ```
 /// use citron_core::{admission::even_share, id::Slots};
--- a/crates/core/src/admission/warmup.rs
+++ b/crates/core/src/admission/warmup.rs
@@ -1,17 +1,17 @@
-//! Slow start of a server that has just come up.
+//! Slow start of a server that has just started.
 
 use {crate::time::Time, std::time::Duration};
 
-/// How long a cold server takes to get its full share.
+/// Time until a cold server gets its full share.
 const WARMUP_TIME: Duration = Duration::from_secs(10);
-/// The part that it begins with.
+/// Fraction of the share at the start.
 const INITIAL_SHARE: f64 = 0.25;
 
-/// Lets a cold server's share grow evenly to full.
+/// Linear growth of a cold server's share to the full one.
 ///
-/// A server with empty caches answers slowly. Its full share at once would fill
-/// its slots with slow requests and time out the callers; a part of it warms the
-/// caches while the rest is refused early.
+/// A server with empty caches responds slowly. With its full share at once, slow requests
+/// would fill its slots and time out. A fraction of the share fills the caches while the
+/// remaining requests are rejected early.
 ///
 /// ```
 /// use {citron_core::{admission::Warmup, time::Time}, std::time::Duration};
@@ -25,12 +25,12 @@
 }
 
 impl Warmup {
-    /// A server that came up now.
+    /// Starts the warm-up at `now`.
     pub fn new(now: Time) -> Self {
         Self { started: now }
     }
 
-    /// The part of its share that the server may get.
+    /// Fraction of its share that the server may get.
     pub fn share_fraction(&self, now: Time) -> f64 {
         let done = (now - self.started).as_secs_f64() / WARMUP_TIME.as_secs_f64();
         (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * done).min(1.0)
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! One gate: who starts, who waits, who is refused.
+//! Admission control for one server.
 
 use {
     citron_core::{
@@ -20,7 +20,7 @@
     Time::ZERO + Duration::from_millis(millis)
 }
 
-/// A gate with just so many slots, whatever the server says.
+/// A controller with a fixed number of slots, whatever the server responds.
 fn fixed_controller(slots: f64, queue_max: usize) -> AdmissionController {
     let config = AdmissionConfig {
         queue_max,
@@ -34,8 +34,9 @@
     controller.admit(Ticket(ticket), at(deadline), Time::ZERO)
 }
 
-/// A burst comes to a server of two slots. The caller whose turn would come too
-/// late hears so now, with the time at which a slot is likely to be free.
+/// Guards against clients that wait in vain in a burst at a server of two slots: a
+/// request that would start too late is rejected at once, with the time until a slot
+/// should be free.
 #[test]
 fn a_wait_beyond_the_deadline_is_refused_at_once() {
     let mut controller = fixed_controller(2.0, 64);
@@ -50,8 +51,8 @@
     assert!(wait >= Duration::from_millis(10) && wait <= Duration::from_millis(100));
 }
 
-/// A flood with distant deadlines must not fill the memory, nor make callers
-/// wait for what they could try again elsewhere: 250 ms are 12 turns of 20 ms.
+/// Guards against a flood with distant deadlines that fills the memory, or makes clients
+/// wait instead of retrying elsewhere. The limit of 250 ms equals 12 requests of 20 ms.
 #[test]
 fn the_queue_is_bounded_by_count_and_by_wait() {
     let mut by_count = fixed_controller(100.0, 3);
@@ -64,8 +65,8 @@
     }
 }
 
-/// The request that has the least time left goes first, or it would fail while
-/// one that can wait succeeds.
+/// Guards against a request with little time left that fails while one with more time
+/// succeeds.
 #[test]
 fn the_nearest_deadline_goes_first() {
     let mut controller = fixed_controller(1.0, 64);
@@ -80,8 +81,8 @@
     assert_eq!(controller.next(at(20)), None);
 }
 
-/// The server froze while a request waited. Its slot time is not spent on an
-/// answer that nobody waits for.
+/// Guards against slot time spent on a response that nobody waits for, after the server
+/// froze while a request was queued.
 #[test]
 fn a_waiting_request_that_is_too_late_is_refused() {
     let mut controller = fixed_controller(1.0, 64);
@@ -98,7 +99,7 @@
     ));
 }
 
-/// A caller that left must not take a slot from one that stayed.
+/// Guards against a disconnected client that takes a slot from others.
 #[test]
 fn a_caller_that_left_loses_its_place() {
     let mut controller = fixed_controller(1.0, 64);
@@ -113,8 +114,8 @@
     );
 }
 
-/// An operator caps a server at five requests a second: the sixth caller is told
-/// when to come back, though slots are free.
+/// Guards against a rate limit that is ignored while slots are free: with five requests
+/// per second, the sixth is rejected with the time to retry.
 #[test]
 fn a_cap_holds_with_free_slots() {
     let mut controller = fixed_controller(100.0, 64);
@@ -132,8 +133,7 @@
     assert_eq!(admit(&mut controller, 6, 1_000), Admission::Start);
 }
 
-/// A server that has just come up answers slowly; its full share at once would
-/// time out the callers.
+/// Guards against timeouts at a server that has just started and responds slowly.
 #[test]
 fn a_cold_server_gets_its_share_little_by_little() {
     let started = |millis: u64| {
@@ -149,8 +149,8 @@
     assert_eq!([0, 4_000, 20_000].map(started), [1, 3, 4]);
 }
 
-/// Tries time out, though the server still works on them. Callers with little
-/// time left are told at once instead of being queued for nothing.
+/// Guards against clients queued in vain at a server that goes on running requests that
+/// timed out.
 #[test]
 fn timeouts_count_as_time_that_slots_are_held() {
     let mut controller = fixed_controller(1.0, 64);
@@ -169,8 +169,8 @@
     ));
 }
 
-/// Other instances fill the server more than the shares say. It refuses, and this
-/// instance sends half as much until answers come again.
+/// Guards against an instance that keeps its rate when other instances use more than
+/// their shares: refusals halve its limit, and responses raise it again.
 #[test]
 fn refusals_lower_the_limit_and_answers_raise_it() {
     let mut controller =
@@ -192,8 +192,8 @@
     assert!((4..=5).contains(&controller.running()));
 }
 
-/// A server with less than a slot for this instance: 0.4 slots, each request
-/// holding one for 20 ms, make 20 requests a second.
+/// Guards against a fractional slot that is unused or overused: 0.4 slots with requests
+/// of 20 ms make 20 requests per second.
 #[test]
 fn a_part_of_a_slot_is_held_part_of_the_time() {
     let mut controller = fixed_controller(0.4, 64);
@@ -215,8 +215,7 @@
     assert!((190..=210).contains(&started), "{started} started");
 }
 
-/// One operator sends more than the instance bears; the requests of another one
-/// still find room.
+/// Guards against an operator whose flood takes the capacity of others.
 #[test]
 fn a_flood_of_one_operator_leaves_room_for_others() {
     let mut limiter = OperatorLimiter::new(300);
@@ -230,9 +229,9 @@
     );
 }
 
-/// Ten instances, four of them cut off from the rest. Both sides have more demand
-/// than the server has slots; together they must not send more than it takes, nor
-/// more than its cap.
+/// Guards against overload in a partition: four of ten instances are cut off, and both
+/// sides have more demand than the server has slots. Together they must not exceed its
+/// slots or its rate limit.
 #[test]
 fn two_sides_of_a_partition_share_a_server() {
     let demand = Demand {
@@ -249,7 +248,11 @@
         let cap = Some(Rate(50.0));
         let quota = tracker.quota(&server, Slots(4), cap, demand, 10, at(0));
         let late = tracker.quota(&server, Slots(4), cap, demand, 10, at(5_000));
-        assert_eq!(late.share, SlotShare::new(0.4), "old reports do not count");
+        assert_eq!(
+            late.share,
+            SlotShare::new(0.4),
+            "expired reports must not count"
+        );
         (
             quota.share.slots() * side as f64,
             quota.cap.unwrap().0 * side as f64,
@@ -263,8 +266,8 @@
 }
 
 proptest! {
-    /// While slots are short, the parts add up to the slots, and instances with
-    /// the same demand get the same part.
+    /// While slots are contended, the shares add up to the slots, and instances with
+    /// equal demand get equal shares.
     #[test]
     fn short_slots_are_divided_whole_and_evenly(
         rates in proptest::collection::vec(1.0..500.0_f64, 2..10),
--- a/crates/core/tests/admission_chain.rs
+++ b/crates/core/tests/admission_chain.rs
@@ -1,4 +1,4 @@
-//! All that may turn a request away, asked in one place.
+//! All checks that may reject an attempt, together.
 
 use {
     citron_core::{
@@ -102,8 +102,8 @@
     }
 }
 
-/// A request crashes three servers; the next time its caller is told 422 at once.
-/// Another request to the same server goes through.
+/// Guards against a request that goes on crashing servers: after three crashes it is
+/// rejected with 422, while another request to the same server is admitted.
 #[test]
 fn a_request_that_crashes_servers_is_refused() {
     let mut chain = chain();
@@ -122,8 +122,8 @@
     assert_eq!(chain.crashes.entries(at(3_000))[0].label, "GET /sets/666");
 }
 
-/// What ends without a write to a live server is no crash, and what says nothing
-/// about the server does not count against it.
+/// Guards against crashes counted without a write to a live server, and against ejections
+/// for ends that say nothing about the server.
 #[test]
 fn only_what_tells_against_server_or_request_counts() {
     let cases = [
@@ -148,9 +148,9 @@
     }
 }
 
-/// A server is ejected while its slots are free. Callers are told at once; the
-/// one whose request is due as a probe is not. Three answers bring it back, with
-/// a part of its slots.
+/// Guards against requests sent to an ejected server, and against a full load at its
+/// return: only probes reach it, and after three responses it gets a fraction of its
+/// slots.
 #[test]
 fn an_ejected_server_is_asked_for_by_probes_only() {
     let mut chain = chain();
@@ -180,8 +180,8 @@
     assert_eq!(admissions.filter(|a| *a == Admission::Start).count(), 1);
 }
 
-/// A slot is freed and goes to the request that waits; the part and the cap come
-/// from the exchange with other instances.
+/// Guards against a quota that is not applied: a freed slot goes to the queued request,
+/// and requests above the rate limit are rejected.
 #[test]
 fn slots_and_caps_are_those_of_the_part() {
     let mut chain = chain();
@@ -205,8 +205,8 @@
     assert!(demand.arrivals > demand.answers && demand.answers > Rate(0.0));
 }
 
-/// The operator of a service floods the instance; the requests of another one
-/// find room, and those that are refused are told when to come back.
+/// Guards against an operator whose flood takes the whole instance: requests of another
+/// one are admitted, and rejected ones get a time to retry.
 #[test]
 fn an_operator_cannot_fill_the_instance() {
     let mut chain = chain();
--- a/crates/core/tests/overload/clients.rs
+++ b/crates/core/tests/overload/clients.rs
@@ -1,4 +1,4 @@
-//! When callers come, and to which instance.
+//! Arrival of client requests at the instances.
 
 use {
     citron_core::time::Time,
@@ -8,23 +8,23 @@
 };
 
 pub const INSTANCES: usize = 10;
-/// Callers come to the instances in these proportions, turned by one each 10 s.
+/// Relative request rates of the instances, rotated by one instance every 10 s.
 const WEIGHTS: [f64; INSTANCES] = [6.0, 4.0, 2.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
 const TURN: Duration = Duration::from_secs(10);
 
-pub struct Callers {
-    /// Requests a second.
+pub struct Clients {
+    /// Requests per second.
     rate: f64,
     random: ChaCha8Rng,
 }
 
-impl Callers {
+impl Clients {
     pub fn new(rate: f64, seed: u64) -> Self {
         let random = ChaCha8Rng::seed_from_u64(seed);
         Self { rate, random }
     }
 
-    /// Time to the next one.
+    /// Time to the next arrival.
     pub fn gap(&mut self) -> Duration {
         let uniform = self.random.random_range(f64::MIN_POSITIVE..1.0);
         Duration::from_secs_f64(-uniform.ln() / self.rate)
--- a/crates/core/tests/overload/limits.rs
+++ b/crates/core/tests/overload/limits.rs
@@ -1,4 +1,4 @@
-//! Ways of sharing a server's slots, compared.
+//! Comparison of strategies for sharing a server's slots.
 
 use {
     crate::{
@@ -19,7 +19,7 @@
 const LOADS: [f64; 4] = [0.5, 0.9, 1.2, 3.0];
 const SLOTS: [u32; 2] = [3, 4];
 
-/// No anchor but the server's refusals, which have to find one's part alone.
+/// Adapts to the server's refusals alone, over a wide range of factors.
 const REFUSALS_ONLY: LimitConfig = LimitConfig {
     factor_min: 0.25,
     factor_max: 10.0,
@@ -61,7 +61,7 @@
         limit: REFUSALS_ONLY,
     },
     Strategy {
-        name: "same, none heard",
+        name: "same, no reports",
         reports: Reports::Lost,
         ..CHOSEN
     },
@@ -79,7 +79,7 @@
     run_with_backlog(strategy, slots, slots as usize, load, seed)
 }
 
-/// The server refuses what exceeds its slots and its backlog.
+/// The server refuses requests beyond its slots and its backlog.
 fn run_with_backlog(strategy: Strategy, slots: u32, backlog: usize, load: f64, seed: u64) -> Stats {
     Simulation::run(Scenario {
         slots,
@@ -104,14 +104,15 @@
     runs.iter().map(value).sum::<f64>() / runs.len() as f64
 }
 
-/// Callers come to the instances unevenly, and the proportions turn every 10 s.
-/// Each line is the mean of 60 s under three seeds. The way that is used has to
-/// answer, at three times the capacity, nearly as much as the best one does.
+/// Guards against a sharing strategy that wastes capacity. Requests arrive unevenly at
+/// the instances, in proportions that rotate every 10 s. Each line is the mean of 60 s
+/// over three seeds. At three times the capacity, the strategy in use has to reach 95 %
+/// of the best goodput and leave at most 5 % of the slot time idle while requests wait.
 #[test]
 fn ways_of_sharing_slots() {
     let mut table = format!(
         "{:<21}slots  load  goodput  p99 ms  refused  idle&waiting  by server  fairness\n",
-        "way"
+        "strategy"
     );
     let mut best = 0.0_f64;
     for strategy in STRATEGIES {
@@ -141,9 +142,9 @@
     }
 }
 
-/// The same before servers that keep nobody waiting, a few, or many. A server
-/// without a backlog refuses what comes a moment too early, and its slots stay
-/// idle until the next one comes: there the aims are not met.
+/// The strategy in use with servers that queue no, few or many requests. A server without
+/// a backlog refuses requests that come a moment too early, and its slots stay idle until
+/// the next one; the goals of the test above are not met there.
 #[test]
 fn the_chosen_way_before_other_servers() {
     let mut table =
--- a/crates/core/tests/overload/main.rs
+++ b/crates/core/tests/overload/main.rs
@@ -1,6 +1,6 @@
 //! Limits and retries under load, in virtual time.
 
-mod callers;
+mod clients;
 mod limits;
 mod outage;
 mod scenario;
--- a/crates/core/tests/overload/outage.rs
+++ b/crates/core/tests/overload/outage.rs
@@ -1,4 +1,4 @@
-//! A server that is silent for 10 s under load.
+//! A server that does not respond for 10 s under load.
 
 use {
     crate::{
@@ -16,13 +16,13 @@
 };
 
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Seconds of the outage: its first and the one after its last.
+/// First second of the outage, and the second after its last.
 const OUTAGE_S: (u64, u64) = (20, 30);
 const END_S: u64 = 60;
-/// Part of new requests whose answer counts as being back.
+/// Fraction of new requests answered from which the service counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
 
-/// What stands between the callers and the server, and how much they send.
+/// Protection between clients and server, and the load.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     name: &'static str,
@@ -32,17 +32,17 @@
     budget: BudgetConfig,
 }
 
-/// As in the product: callers send a failed request again up to five times.
+/// The production settings; clients send a failed request again up to five times.
 const LIMIT_AND_BUDGET: Case = Case {
-    name: "whole",
+    name: "limit and budget",
     load: 0.7,
     resends: 5,
     is_limited: true,
     budget: BudgetConfig::STANDARD,
 };
-/// The budget alone, before a server that queues whatever it gets.
+/// The retry budget alone, with a server that queues every request.
 const BUDGET_ONLY: Case = Case {
-    name: "budget alone",
+    name: "budget only",
     load: 0.35,
     resends: 1,
     is_limited: false,
@@ -51,18 +51,18 @@
 const CASES: [Case; 5] = [
     LIMIT_AND_BUDGET,
     Case {
-        name: "whole, budget off",
+        name: "budget off",
         budget: BudgetConfig::UNLIMITED,
         ..LIMIT_AND_BUDGET
     },
     Case {
-        name: "whole, limit off",
+        name: "limit off",
         is_limited: false,
         ..LIMIT_AND_BUDGET
     },
     BUDGET_ONLY,
     Case {
-        name: "neither",
+        name: "unprotected",
         budget: BudgetConfig::UNLIMITED,
         ..BUDGET_ONLY
     },
@@ -72,7 +72,7 @@
     Time::from_micros(number * 1_000_000)
 }
 
-/// The server does not notice who has left.
+/// The server does not notice clients that disconnected.
 fn run(case: Case, seed: u64) -> Stats {
     let limit = match case.is_limited {
         true => LimitConfig::STANDARD,
@@ -101,8 +101,8 @@
     })
 }
 
-/// The lowest part of new requests answered in any five seconds, from five
-/// seconds after the outage on.
+/// Smallest fraction of new requests answered in any five seconds, from five seconds
+/// after the outage on.
 fn lowest_after_outage(stats: &Stats) -> f64 {
     let windows = OUTAGE_S.1 + 5..END_S - 5;
     let parts = windows.map(|s| stats.answered_part(s..s + 5));
@@ -113,10 +113,10 @@
     lowest_after_outage(&run(case, seed)) >= RECOVERED_SHARE
 }
 
-/// Callers see failures for 10 s and must not see them for longer. Tries time
-/// out, are sent again and pile up at the server; once it is back, it works on
-/// requests that nobody waits for, and new ones time out behind them. The limit
-/// keeps the pile short, the budget keeps it from growing by retries.
+/// Guards against an overload that outlasts its cause. During the outage, attempts time
+/// out, are retried and pile up at the server. Afterwards it runs requests that nobody
+/// waits for, while new ones time out. The concurrency limit keeps the pile short, and
+/// the budget keeps retries from adding to it.
 #[test]
 fn goodput_is_back_five_seconds_after_an_outage() {
     let mut table = format!(
@@ -147,9 +147,10 @@
     );
 }
 
-/// Before a server that queues whatever it gets, with callers that send a failed
-/// request again once. With the budget goodput comes back; without it each
-/// request is sent three times, which keeps the server busy for nobody.
+/// Shows that the budget is needed with a server that queues every request, and clients
+/// that send a failed request again once. With the budget goodput recovers; without it
+/// each request is sent three times, which keeps the server busy with requests that
+/// nobody waits for.
 #[test]
 fn without_the_budget_it_stays_down() {
     let [.., unprotected] = CASES;
--- a/crates/core/tests/overload/scenario.rs
+++ b/crates/core/tests/overload/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run of the bench is made of.
+//! Settings of a simulation run.
 
 use {
     crate::server::{WORK_FIXED, WORK_RANDOM},
@@ -6,34 +6,34 @@
     std::time::Duration,
 };
 
-/// What instances hear of each other's demand.
+/// Exchange of demand reports between instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reports {
-    /// Shares are not worked out at all.
+    /// Shares are not computed.
     Unused,
-    /// Nobody hears of another.
+    /// No report reaches another instance.
     Lost,
-    /// All hear of all.
+    /// All reports reach all instances.
     Delivered,
 }
 
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
     pub slots: u32,
-    /// Offered load over capacity.
+    /// Offered load divided by the capacity.
     pub load: f64,
     pub controller: AdmissionConfig,
-    /// The share before and without exchanges; `None` for the even part.
+    /// Share before and without exchanges; `None` for an even share.
     pub share: Option<f64>,
     pub reports: Reports,
     pub budget: BudgetConfig,
-    /// Requests the server keeps waiting before it refuses.
+    /// Requests that the server queues before it refuses.
     pub backlog: usize,
-    /// Time a try may take before it is given up for a retry.
+    /// Time limit of an attempt, after which it is retried.
     pub progress: Option<Duration>,
-    /// How often a caller sends a failed request again, a second apart.
+    /// How often a client sends a failed request again, at intervals of a second.
     pub resends: u32,
-    /// What is sent or answered then is lost without a sign.
+    /// Period in which all requests and responses are lost.
     pub outage: Option<(Time, Time)>,
     pub end: Time,
     pub seed: u64,
--- a/crates/core/tests/overload/server.rs
+++ b/crates/core/tests/overload/server.rs
@@ -6,23 +6,23 @@
     std::{collections::VecDeque, mem::take, time::Duration},
 };
 
-/// Work of a request in seconds: a fixed part and an exponential one.
+/// Work of a request in seconds: a fixed part and the mean of an exponential one.
 pub const WORK_FIXED: f64 = 0.005;
 pub const WORK_RANDOM: f64 = 0.015;
-/// Added to the server's next work for each refusal.
+/// Work of the server for each refusal, added to the next request that it starts.
 const REFUSAL_WORK: Duration = Duration::from_micros(500);
 
-/// What becomes of a request that reached the server.
+/// Result of a request's arrival at the server.
 pub enum Arrival {
-    /// It works on it for so long.
+    /// The request runs for this time.
     Started(Duration),
-    /// It keeps it for later.
+    /// The request is queued.
     Queued,
-    /// It refuses it.
+    /// The request is refused.
     Refused,
 }
 
-/// Does not notice that a caller is gone: the worst case.
+/// A server that does not notice disconnected clients, which is the worst case.
 pub struct Server<T> {
     slots: u32,
     backlog_max: usize,
@@ -60,7 +60,7 @@
         Arrival::Refused
     }
 
-    /// A slot is free; the next kept request and its work.
+    /// Ends a request; returns the next queued one and its work.
     pub fn finish(&mut self) -> Option<(T, Duration)> {
         self.running -= 1;
         let next = self.backlog.pop_front()?;
--- a/crates/core/tests/overload/simulation.rs
+++ b/crates/core/tests/overload/simulation.rs
@@ -1,8 +1,8 @@
-//! Ten instances before one backend server, in virtual time.
+//! Simulation of ten instances and one backend server, in virtual time.
 
 use {
     crate::{
-        callers::{Callers, INSTANCES},
+        clients::{Clients, INSTANCES},
         scenario::{Reports, Scenario},
         server::{Arrival, Server},
         stats::Stats,
@@ -22,11 +22,11 @@
     std::{cmp::Reverse, collections::BinaryHeap, time::Duration},
 };
 
-/// One way between an instance and the server.
+/// Network delay between an instance and the server, one way.
 const NETWORK_DELAY: Duration = Duration::from_micros(250);
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Added to the seed for the callers' own random numbers.
-const CALLERS_SEED: u64 = 1_000;
+/// Added to the seed for the clients' own random numbers.
+const CLIENTS_SEED: u64 = 1_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
@@ -75,8 +75,8 @@
     retries: Vec<RetryPolicy>,
     requests: Vec<Request>,
     server: Server<(usize, AttemptNo)>,
-    callers: Callers,
-    /// Refused by the server and not back at a gate yet.
+    clients: Clients,
+    /// Requests that wait for a retry and are not queued at a controller.
     backing_off: usize,
     pub stats: Stats,
 }
@@ -95,9 +95,9 @@
             retries: (0..INSTANCES).map(retries).collect(),
             requests: Vec::new(),
             server: Server::new(scenario.slots, scenario.backlog, scenario.seed),
-            callers: Callers::new(
+            clients: Clients::new(
                 scenario.load * scenario.capacity(),
-                scenario.seed + CALLERS_SEED,
+                scenario.seed + CLIENTS_SEED,
             ),
             backing_off: 0,
             stats: Stats::new(INSTANCES, scenario.slots, scenario.capacity()),
@@ -121,7 +121,7 @@
             .push(Reverse((self.now + after, self.order, event)));
     }
 
-    /// Counts the slots that were idle while requests waited since the last event.
+    /// Advances the time, and counts the slots that were idle while requests waited.
     fn advance(&mut self, time: Time) {
         let waiting: usize = self
             .controllers
@@ -153,9 +153,9 @@
     }
 
     fn arrive(&mut self) {
-        let gap = self.callers.gap();
+        let gap = self.clients.gap();
         self.at(gap, SimEvent::Arrive);
-        let instance = self.callers.instance(self.now);
+        let instance = self.clients.instance(self.now);
         self.stats.offered(instance, self.now);
         self.request(instance, self.scenario.resends);
     }
@@ -296,7 +296,7 @@
         self.start_waiting(self.requests[id].instance);
     }
 
-    /// Frees the slot that a try holds; `false` if it was freed before.
+    /// Frees the slot of an attempt; `false` if it was freed before.
     fn release(&mut self, id: usize, no: AttemptNo, release: ReleaseReason) -> bool {
         let request = &self.requests[id];
         let RequestPlace::Server { no: open, since } = request.place else {
--- a/crates/core/tests/overload/stats.rs
+++ b/crates/core/tests/overload/stats.rs
@@ -1,4 +1,4 @@
-//! What a run of the bench measures.
+//! Measurements of a simulation run.
 
 use {
     citron_core::time::Time,
@@ -6,7 +6,7 @@
     std::{collections::BTreeMap, ops::Range, time::Duration},
 };
 
-/// Nothing before this counts for the sums.
+/// Time before which requests are left out of the totals.
 const WARMUP_END: Time = Time::from_micros(5_000_000);
 
 pub struct Stats {
@@ -72,12 +72,12 @@
         (self.last - WARMUP_END).as_secs_f64()
     }
 
-    /// Answers a second over the capacity.
+    /// Responses per second divided by the capacity.
     pub fn goodput(&self) -> f64 {
         self.good.iter().sum::<u64>() as f64 / self.span() / self.capacity
     }
 
-    /// Answers over new requests, of some seconds.
+    /// Responses divided by new requests, in a range of seconds.
     pub fn answered_part(&self, seconds: Range<u64>) -> f64 {
         let sum = |counts: &BTreeMap<u64, u64>| -> u64 {
             let window = counts.range(seconds.clone());
@@ -86,7 +86,7 @@
         sum(&self.answered) as f64 / sum(&self.arrived) as f64
     }
 
-    /// Idle slot time while requests waited, over all slot time.
+    /// Idle slot time while requests waited, divided by all slot time.
     pub fn idle_share(&self) -> f64 {
         self.idle / self.span() / f64::from(self.slots)
     }
@@ -95,17 +95,17 @@
         Duration::from_micros(self.latency.value_at_quantile(0.99))
     }
 
-    /// Requests refused over those offered.
+    /// Rejected requests divided by offered ones.
     pub fn refused_share(&self) -> f64 {
         self.refused as f64 / self.offered.iter().sum::<u64>() as f64
     }
 
-    /// The server's own refusals over the answers.
+    /// The server's own refusals divided by the responses.
     pub fn server_refused_share(&self) -> f64 {
         self.server_refused as f64 / self.good.iter().sum::<u64>() as f64
     }
 
-    /// Jain's index over the instances' parts of requests answered.
+    /// Jain's index over the instances' fractions of requests answered.
     pub fn fairness(&self) -> f64 {
         let pairs = self.good.iter().zip(&self.offered);
         let parts: Vec<f64> = pairs.map(|(g, o)| *g as f64 / *o as f64).collect();
