--- a/crates/core/src/slowstart/group.rs
+++ b/crates/core/src/slowstart/group.rs
@@ -1,4 +1,4 @@
-//! The instances among which requests to cold servers are divided.
+//! Instances among which the requests to cold servers are divided.
 
 use {
     crate::id::{DomainName, InstanceId, ServerName},
@@ -6,23 +6,22 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Instances that may send without having a share, as not all have heard of those that
-/// have just joined.
+/// Instances that may send without a share, as not all know the members that have just
+/// joined.
 const UNKNOWN_SENDERS: u32 = 2;
-/// Instances that send to a cold server which shares its work with others.
+/// Instances that send to a cold server whose service has no keys.
 const POOL_SENDERS: u32 = 2;
 
-/// All instances that one instance has ever heard of, by name, with their failure
-/// domains.
+/// All instances ever known to one instance, by name, with their failure domains.
 pub type GroupMembers = BTreeMap<InstanceId, DomainName>;
 
-/// Divides the requests that cold servers may get.
+/// Division of the requests that cold servers may get.
 ///
-/// Servers that share their work get requests of two instances of their own failure
-/// domain. Owners of keys are asked by callers of all instances: as many instances as the
-/// bound allows send one request a second each. Which ones they are follows from the names
-/// of the server and of the instances, whether these are there or not: instances that are
-/// cut off from the others must not take their shares over.
+/// Cold servers of a service without keys get requests from two instances of their
+/// failure domain. Owners of keys get requests from the clients of all instances: as many
+/// instances as the limit allows send one request per second each. The choice depends
+/// only on the names of the server and of the instances, whether these are reachable or
+/// not: instances that are cut off from others must not take over their shares.
 ///
 /// ```
 /// use citron_core::slowstart::SlowStartGroup;
@@ -39,8 +38,8 @@
 }
 
 impl SlowStartGroup {
-    /// The group of all members; `generation` tells it from those that this instance had
-    /// before.
+    /// Creates the group of all members. `generation` tells it from this instance's
+    /// former groups.
     pub fn new(own_id: InstanceId, members: GroupMembers, generation: u64) -> Self {
         Self {
             own_id,
@@ -49,18 +48,18 @@
         }
     }
 
-    /// Which of an instance's groups it is.
+    /// Generation of the group, unique on this instance.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Its members, this instance included.
+    /// Members of the group, this instance included.
     pub fn members(&self) -> &GroupMembers {
         &self.members
     }
 
-    /// Requests that this instance may send in any second to a cold server, in a
-    /// `domain`, that shares its work with others and takes `max_requests` in all.
+    /// Requests per second that this instance may send to a cold server in `domain` whose
+    /// service has no keys. `max_requests` is the server's total.
     pub fn pool_share(&self, server: &ServerName, domain: &DomainName, max_requests: u32) -> u32 {
         let is_near = |of: &DomainName| of == domain;
         match self.members.values().any(is_near) {
@@ -69,7 +68,8 @@
         }
     }
 
-    /// The same for a cold owner of keys.
+    /// Requests per second that this instance may send to a cold owner of keys.
+    /// `max_requests` is the server's total.
     pub fn owner_share(&self, server: &ServerName, max_requests: u32) -> u32 {
         let senders = max_requests.saturating_sub(UNKNOWN_SENDERS).max(1);
         self.share(server, |_| true, senders, max_requests)
@@ -100,7 +100,7 @@
     }
 }
 
-/// Rendezvous hashing: the instances with the highest scores have a share.
+/// Score of an instance in rendezvous hashing; those with the highest scores get a share.
 fn score(server: &ServerName, instance: &InstanceId) -> u64 {
     let seed = xxh3_64_with_seed(server.id().as_bytes(), 0);
     xxh3_64_with_seed(instance.as_str().as_bytes(), seed)
--- a/crates/core/src/slowstart/limit.rs
+++ b/crates/core/src/slowstart/limit.rs
@@ -1,27 +1,27 @@
-//! What operators allow for cold servers.
+//! Limits for cold servers.
 
 use {crate::admission::Rate, std::time::Duration};
 
-/// How the servers of a service warm up.
+/// Warm-up of a service's servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStart {
-    /// How long a server stays cold.
+    /// Time for which a server stays cold.
     pub duration: Duration,
-    /// Requests a second that it takes meanwhile, over all instances.
+    /// Requests per second that a cold server can take, over all instances.
     pub rate: Rate,
 }
 
-/// How far above [`SlowStart::rate`] a cold server may be loaded.
+/// Allowance above [`SlowStart::rate`] for the load of a cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// Factor of the rate.
+    /// Factor on the rate.
     pub factor: f64,
-    /// Requests added to that.
+    /// Requests added to the product.
     pub extra: f64,
 }
 
 impl ColdBound {
-    /// The most requests that a cold server may get in any second.
+    /// Largest number of requests that a cold server may get in any second.
     ///
     /// ```
     /// use citron_core::{admission::Rate, slowstart::{ColdBound, SlowStart}};
--- a/crates/core/src/slowstart/limiter.rs
+++ b/crates/core/src/slowstart/limiter.rs
@@ -1,4 +1,4 @@
-//! Counts what one instance sends to cold servers.
+//! Limit on the requests that one instance sends to cold servers.
 
 use {
     super::SlowStartGroup,
@@ -9,8 +9,9 @@
     },
 };
 
-/// The window of the bound, and some for requests that are held up on their way. An
-/// instance that has started does not know what it sent before.
+/// Window in which requests are counted: the second of the limit, and a margin for
+/// requests that are delayed on their way. A newly started instance does not know what it
+/// sent before and waits for as long.
 pub const COLD_WINDOW: Duration = Duration::from_millis(1_100);
 
 /// Keeps an instance within its share of the requests to cold servers.
@@ -28,13 +29,14 @@
 #[derive(Debug, Default)]
 pub struct SlowStartLimiter {
     sent: BTreeMap<ServerName, VecDeque<Time>>,
-    /// Shares by the group of this number.
+    /// Shares of this instance in the group of generation `group`.
     shares: BTreeMap<ServerName, u32>,
     group: u64,
 }
 
 impl SlowStartLimiter {
-    /// This instance's share in a server, worked out anew where the group has changed.
+    /// This instance's share of a server; `compute` is called again when the group has
+    /// changed.
     pub fn share(
         &mut self,
         group: &SlowStartGroup,
@@ -48,14 +50,14 @@
         *self.shares.entry(server.clone()).or_insert_with(compute)
     }
 
-    /// Whether a request may go to a cold server of which this instance has a share.
+    /// Whether a request may be sent to a cold server of which this instance has `share`.
     pub fn admits(&self, server: &ServerName, share: u32, now: Time) -> bool {
         let sent = self.sent.get(server).into_iter().flatten();
         let counted = sent.filter(|at| now - **at < COLD_WINDOW).count();
         counted < share as usize
     }
 
-    /// A request goes to a cold server.
+    /// Counts a request sent to a cold server.
     pub fn record(&mut self, server: &ServerName, now: Time) {
         self.sent.retain(|_, sent| {
             sent.retain(|at| now - *at < COLD_WINDOW);
--- a/crates/core/src/slowstart/mod.rs
+++ b/crates/core/src/slowstart/mod.rs
@@ -1,8 +1,8 @@
-//! How many requests backend servers get while they are cold.
+//! Limit on the requests that backend servers get while they are cold.
 //!
-//! A cold server crashes above a rate that counts over all instances together. There is
-//! no common counter: which instances may send to it, and how many requests each, follows
-//! from names that all of them know.
+//! A cold server crashes above a request rate that counts over all instances. There is no
+//! shared counter: which instances may send to a server, and how many requests each,
+//! follows from names that all instances know.
 
 mod group;
 mod limit;
--- a/crates/core/tests/slowstart.rs
+++ b/crates/core/tests/slowstart.rs
@@ -1,4 +1,4 @@
-//! What cold servers get from all instances together, in virtual time.
+//! Load on cold servers from all instances together, in virtual time.
 
 use {
     citron_core::{
@@ -16,17 +16,17 @@
 
 const DOMAINS: usize = 3;
 const SERVERS: usize = 6;
-/// The bound counts requests in any span of this length.
+/// Length of any window in which the limit counts requests.
 const SECOND: Duration = Duration::from_secs(1);
 const TIME_STEP: Duration = Duration::from_millis(20);
 const SIMULATED_TIME: Duration = Duration::from_secs(5);
 
-/// One instance, whose callers ask for each cold server all the time.
+/// An instance whose clients request every cold server all the time.
 struct Instance {
-    /// Its shares in the servers.
+    /// The instance's shares, by server.
     shares: Vec<u32>,
     limiter: SlowStartLimiter,
-    /// From when on it sends.
+    /// Time from which the instance sends.
     starts_at: Time,
 }
 
@@ -48,8 +48,9 @@
         .collect()
 }
 
-/// Plays greedy instances with these views of the members, some of which are started
-/// anew while they send; the most requests that a server got in any second.
+/// Largest number of requests that a server gets in any second, from instances that use
+/// their whole shares. `views` holds the members that each instance knows; some instances
+/// restart while they send.
 fn max_requests_per_second(
     views: Vec<GroupMembers>,
     max_requests: u32,
@@ -104,8 +105,8 @@
     sent.values().filter_map(busiest).max().unwrap_or(0)
 }
 
-/// What each of `count` instances knows of the others: all, but for two that have just
-/// joined, of which only some have heard.
+/// Members known to each of `count` instances: all but two that have just joined, which
+/// only some instances know.
 fn views(count: usize, rng: &mut ChaCha8Rng) -> Vec<GroupMembers> {
     let all: Vec<usize> = (0..count).collect();
     let joining: Vec<usize> = all.choose_multiple(rng, 2).copied().collect();
@@ -132,9 +133,9 @@
     cold_limit.max_requests(&slow)
 }
 
-/// Guards against cold servers that crash, as each of hundreds of instances sends them
-/// the little that it knows of: callers press, instances join unheard, and are started
-/// anew all at once.
+/// Guards against cold servers that crash because hundreds of instances each send a
+/// little. All instances send as much as they may, some members are not known to all, and
+/// many instances restart at once.
 #[test]
 fn no_draw_of_members_and_restarts_overloads_a_cold_server() {
     for seed in 0..60 {
@@ -152,8 +153,9 @@
     }
 }
 
-/// The same where instances take over from those they do not hear, and a third of them is
-/// cut off from one another: the pattern that membership by names answers.
+/// Shows why membership includes unreachable instances: if instances took over the shares
+/// of those that they cannot reach, isolating a third of them would overload a cold
+/// server.
 #[test]
 fn members_by_who_is_heard_would_overload_a_cold_server() {
     let max_requests = cold_limit(4.0);
@@ -165,13 +167,13 @@
         let busiest = max_requests_per_second(views.clone().collect(), max_requests, is_keyed, 1);
         assert!(
             busiest > max_requests as usize,
-            "the pattern is gone: {busiest}"
+            "expected an overload, got {busiest} requests"
         );
     }
 }
 
-/// Cold servers are of use: those that share their work get what warms them up, and
-/// owners of keys nearly all that they may.
+/// Guards against limits that starve cold servers: those without keys get enough to warm
+/// up, and owners of keys get nearly the whole limit.
 #[test]
 fn cold_servers_get_most_of_what_they_may() {
     let max_requests = cold_limit(4.0);
