--- a/crates/core/src/crash/fingerprint.rs
+++ b/crates/core/src/crash/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request sent again.
+//! Fingerprints that identify a request when it is sent again.
 
 use {
     crate::id::{ParseIdError, parse_hash},
@@ -6,7 +6,8 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// Stable 64-bit hash of what stays the same when a caller sends a request again.
+/// Stable 64-bit hash of the parts of a request that stay the same when a client sends it
+/// again.
 ///
 /// ```
 /// use citron_core::crash::Fingerprint;
@@ -19,9 +20,9 @@
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Hashes parts: method, path with query, `Idempotency-Key`, length of the
-    /// body, and as much of the body as is kept. Requests that differ in none of
-    /// the parts are taken for the same.
+    /// Hashes the given parts, such as method, path with query, `Idempotency-Key`, length
+    /// of the body, and as much of the body as is buffered. Requests with equal parts
+    /// count as the same.
     pub fn from_parts(parts: &[&[u8]]) -> Self {
         let mut hash = Xxh3::new();
         for part in parts {
--- a/crates/core/src/crash/mod.rs
+++ b/crates/core/src/crash/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the servers that run them.
+//! Quarantine of requests that crash the servers that run them.
 
 mod fingerprint;
 mod report;
--- a/crates/core/src/crash/report.rs
+++ b/crates/core/src/crash/report.rs
@@ -1,51 +1,51 @@
-//! What instances tell each other about crashes.
+//! Reports of crashes that instances exchange.
 
 use {super::Fingerprint, std::time::Duration};
 
-/// One fingerprint as one instance saw it.
+/// Crashes of one fingerprint that one instance counted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashCount {
-    /// Which requests.
+    /// Fingerprint of the requests.
     pub fingerprint: Fingerprint,
     /// Method and path, for operators.
     pub label: String,
-    /// Connections that died with such a request in flight.
+    /// Crashes with such a request in flight.
     pub crashes: u32,
     /// Time since the last crash.
     pub age: Duration,
 }
 
-/// That crashes up to some time do not count: an operator let the requests through
-/// again, or one of them was answered.
+/// End of a quarantine: crashes up to some time no longer count, as an operator lifted it
+/// or such a request was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lift {
-    /// Which requests.
+    /// Fingerprint of the requests.
     pub fingerprint: Fingerprint,
-    /// Time since.
+    /// Time since the lift.
     pub age: Duration,
 }
 
-/// All that one start of one instance has counted. A later report replaces an
-/// earlier one, so that a report that comes twice or late counts once.
+/// All crashes and lifts that one incarnation of an instance knows. A later report
+/// replaces an earlier one, so that duplicate or delayed reports count once.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CrashReport {
-    /// Counts the reports of one start.
+    /// Sequence number of the report within the incarnation.
     pub number: u64,
-    /// What it counted.
+    /// Crashes that the instance counted.
     pub counts: Vec<CrashCount>,
-    /// The lifts that it knows of.
+    /// Lifts that the instance knows.
     pub lifts: Vec<Lift>,
 }
 
-/// A fingerprint as an operator sees it.
+/// A fingerprint with its crashes, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashEntry {
-    /// Which requests.
+    /// Fingerprint of the requests.
     pub fingerprint: Fingerprint,
     /// Method and path.
     pub label: String,
     /// Crashes over all instances.
     pub crashes: u32,
-    /// How much longer such requests are refused; `None` if they are not.
+    /// Remaining time of the quarantine; `None` if such requests are not refused.
     pub refused: Option<Duration>,
 }
--- a/crates/core/src/crash/tracker.rs
+++ b/crates/core/src/crash/tracker.rs
@@ -1,4 +1,4 @@
-//! Counts crashes and refuses the requests behind them.
+//! Counts crashes and quarantines the requests that cause them.
 
 use {
     super::{CrashCount, CrashEntry, CrashReport, Fingerprint, Lift},
@@ -9,22 +9,23 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// When and for how long requests are refused.
+/// Settings of the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashConfig {
-    /// Crashes, over all instances together, that the requests are refused after.
+    /// Crashes over all instances from which requests are refused.
     pub crash_limit: u32,
-    /// How long a crash counts, and how long the requests are refused.
+    /// Time for which a crash counts, and for which requests are refused after their last
+    /// crash.
     pub retention: Duration,
-    /// Fingerprints that one instance counts; the oldest give way.
+    /// Largest number of fingerprints that one instance counts; the oldest are evicted.
     pub max_entries: usize,
-    /// Whether servers are named by their starts, each of which crashes once at
-    /// most: more losses at one of them are a cut, and no crash.
+    /// Whether each start of a server has its own name. Such a name crashes at most once:
+    /// further losses there are network failures.
     pub servers_are_starts: bool,
 }
 
 impl CrashConfig {
-    /// The defaults.
+    /// Default settings.
     pub const STANDARD: Self = Self {
         crash_limit: 3,
         retention: Duration::from_secs(600),
@@ -32,9 +33,9 @@
         servers_are_starts: false,
     };
 
-    /// For servers that are named by their starts. Half a minute outlasts three
-    /// crashes of one server after the other, each away for some seconds; a
-    /// request refused without reason should not be for long.
+    /// For servers with a new name at each start. Half a minute outlasts three crashes of
+    /// servers one after the other, each down for some seconds; a request that is refused
+    /// wrongly should not be refused for long.
     pub const PER_START: Self = Self {
         retention: Duration::from_secs(30),
         servers_are_starts: true,
@@ -42,9 +43,9 @@
     };
 }
 
-/// Deaths of connections to one server this close together are one crash.
+/// Connections to one server that die within this time count as one crash.
 const SAME_CRASH: Duration = Duration::from_millis(500);
-/// The longest label kept.
+/// Longest label that is kept, in characters.
 const LABEL_MAX: usize = 120;
 
 #[derive(Debug, Clone)]
@@ -62,13 +63,13 @@
     counts: BTreeMap<Fingerprint, CrashRecord>,
 }
 
-/// The crashes that one instance knows of, its own and those of others.
+/// Crashes that one instance knows, from itself and from other instances' reports.
 ///
-/// A request that crashes its server, sent again and again by its caller, takes
-/// down one server after the other, and every instance alone would see too few
-/// crashes to tell. Counts are therefore added up over the instances. Requests
-/// that were merely in flight on the crashing server are told apart by being
-/// answered elsewhere: one whole answer clears the crashes before it.
+/// A request that crashes its server and is retried by its client takes down one server
+/// after the other, and each instance alone would see too few crashes to detect it. The
+/// counts of all instances are therefore added up. Requests that were merely in flight on
+/// a crashing server are told apart by their responses elsewhere: one whole response
+/// clears the crashes before it.
 ///
 /// ```
 /// use {citron_core::{crash::*, time::Time}, std::time::Duration};
@@ -90,12 +91,12 @@
     number: u64,
     own: BTreeMap<Fingerprint, CrashRecord>,
     peers: BTreeMap<(InstanceId, Incarnation), PeerCrashes>,
-    /// Crashes that would be forgotten no later than this are void.
+    /// Crash records that expire no later than this time do not count.
     lifts: BTreeMap<Fingerprint, Time>,
 }
 
 impl CrashTracker {
-    /// Nothing counted.
+    /// Creates a tracker with no crashes.
     pub fn new(config: CrashConfig) -> Self {
         Self {
             config,
@@ -106,13 +107,14 @@
         }
     }
 
-    /// Whether there is nothing to compare requests with.
+    /// Whether no crash, report or lift is recorded, so that fingerprints need not be
+    /// computed.
     pub fn is_empty(&self) -> bool {
         self.own.is_empty() && self.peers.is_empty() && self.lifts.is_empty()
     }
 
-    /// A connection died after a part of the request was written to it. Timeouts
-    /// and refused connections are no crashes.
+    /// Counts a connection that died after part of the request was written to it.
+    /// Timeouts and refused connections do not count.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -142,8 +144,8 @@
         }
     }
 
-    /// A request was answered whole: those like it do not crash servers, and the
-    /// crashes so far had another cause.
+    /// Clears the crashes of a request that was answered whole, as they had another
+    /// cause.
     pub fn record_answer(&mut self, fingerprint: Fingerprint, now: Time) {
         if self.has_crash(fingerprint, now) {
             self.lift(fingerprint, now);
@@ -155,8 +157,8 @@
         self.counts(fingerprint, now).next().is_some()
     }
 
-    /// How much longer the request is refused; `None` if it may be sent. To be
-    /// asked before each try.
+    /// Remaining time of the quarantine; `None` if the request may be sent. To be checked
+    /// before each attempt.
     pub fn refused_for(&self, fingerprint: Fingerprint, now: Time) -> Option<Duration> {
         if self.own.is_empty() && self.peers.is_empty() {
             return None;
@@ -172,13 +174,13 @@
         counts.map(|count| count.expires - now).max()
     }
 
-    /// Lets requests through again until they reach the number of crashes anew;
-    /// the other instances hear of it by the next report.
+    /// Ends the quarantine until the crash limit is reached again. Other instances follow
+    /// with the next report.
     pub fn lift(&mut self, fingerprint: Fingerprint, now: Time) {
         self.apply_lift(fingerprint, now + self.config.retention);
     }
 
-    /// What to send to the other instances.
+    /// Creates the report for other instances.
     pub fn report(&mut self, now: Time) -> CrashReport {
         self.expire(now);
         self.number += 1;
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Takes in what another instance sent, in whatever order reports come.
+    /// Merges another instance's report; reports may arrive in any order.
     pub fn merge(&mut self, from: (InstanceId, Incarnation), report: CrashReport, now: Time) {
         self.expire(now);
         let retention = self.config.retention;
--- a/crates/core/tests/crash.rs
+++ b/crates/core/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers, over several instances.
+//! Quarantine of requests that crash servers, over several instances.
 
 use {
     citron_core::{
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// Every instance hears from every other one.
+/// Passes the report of every instance to all others.
 fn exchange_reports(trackers: &mut [CrashTracker], now: Time) {
     let reports: Vec<_> = trackers
         .iter_mut()
@@ -52,9 +52,9 @@
     }
 }
 
-/// A caller sends a request that crashes its server once a second, each time to
-/// another instance. No instance alone sees two crashes; together they refuse it
-/// everywhere after the named number. A request of the same key goes through.
+/// Guards against a crashing request that no instance detects alone. A client sends it
+/// once a second, each time to another instance; together the instances refuse it after
+/// the configured number of crashes. Another request for the same key is not refused.
 #[test]
 fn crashes_add_up_over_instances() {
     let mut trackers = trackers();
@@ -79,7 +79,8 @@
     assert!(remaining.is_some_and(|remaining| remaining > Duration::from_secs(500)));
 }
 
-/// Reports come twice, late and out of order. A crash still counts once.
+/// Guards against crashes counted more than once when reports are duplicated, delayed or
+/// reordered.
 #[test]
 fn a_report_counts_once_in_whatever_order() {
     let mut trackers = trackers();
@@ -95,8 +96,9 @@
     assert_eq!(trackers[1].refused_for(bad, at(2)), None);
 }
 
-/// A popular request is in flight whenever a server crashes for another reason.
-/// As it is answered in between, it is not refused; the one at fault is.
+/// Guards against the quarantine of a popular request that is in flight whenever a server
+/// crashes. It is answered in between and not refused; the request that causes the
+/// crashes is.
 #[test]
 fn requests_that_are_answered_are_innocent() {
     let mut trackers = trackers();
@@ -121,7 +123,7 @@
     );
 }
 
-/// One crash breaks several connections of one instance: it counts once.
+/// Guards against one crash counted several times because it breaks several connections.
 #[test]
 fn connections_that_die_together_are_one_crash() {
     let mut tracker = CrashTracker::new(CrashConfig::STANDARD);
@@ -131,8 +133,8 @@
     assert_eq!(tracker.entries(at(0))[0].crashes, 1);
 }
 
-/// An operator lists the refused requests on one instance and lets one through.
-/// All instances follow; if it crashes servers again, it is refused again.
+/// Guards against a lift that other instances ignore, and against one that is permanent:
+/// if the request crashes servers again, it is refused again.
 #[test]
 fn an_operator_lifts_an_entry_everywhere() {
     let mut trackers = trackers();
@@ -166,8 +168,8 @@
     );
 }
 
-/// The refusal ends by itself, and a restarted instance does not forget for the
-/// others what its earlier start has seen.
+/// Guards against a quarantine without end, and against a restart of one instance that
+/// clears it for the others.
 #[test]
 fn a_refusal_ends_and_outlives_a_restart() {
     let mut trackers = trackers();
@@ -183,8 +185,8 @@
     assert_eq!(trackers[4].refused_for(bad, at(600)), None);
 }
 
-/// A caller invents new requests without end, and all of them are let through
-/// again; instances are replaced all the time. The memory stays bounded.
+/// Guards against unbounded memory when a client sends new requests without end, all of
+/// them are lifted, and instances are replaced.
 #[test]
 fn memory_is_bounded() {
     let mut tracker = CrashTracker::new(CrashConfig::STANDARD);
@@ -203,10 +205,9 @@
     assert_eq!(other.entries(at(600)).len(), 0);
 }
 
-/// Servers are named by their starts. A failure domain is cut off, and requests
-/// for one busy key are lost at its owner again and again: a start crashes once,
-/// so that all these losses are one crash at most, and callers of the key are not
-/// refused for it. The same request at three starts is another matter.
+/// Guards against the quarantine of requests for a hot key whose owner is cut off by the
+/// network. Where servers have a new name at each start, repeated losses at one name are
+/// at most one crash; losses at three names are three.
 #[test]
 fn a_start_crashes_once() {
     let mut tracker = CrashTracker::new(CrashConfig::PER_START);
