--- a/crates/core/src/health/config.rs
+++ b/crates/core/src/health/config.rs
@@ -1,26 +1,26 @@
-//! Sizes of the outlier detection.
+//! Settings of the outlier detection.
 
 use std::time::Duration;
 
-/// When a server is an outlier, and how many may be taken out.
+/// Criteria for outliers, and limits on ejections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthConfig {
-    /// Failures in a row that eject a server.
+    /// Consecutive failures that eject a server.
     pub consecutive_failures: u32,
-    /// The largest part of a pool that is ejected.
+    /// Largest fraction of a pool that may be ejected.
     pub ejected_share_max: f64,
-    /// Latency over the pool's middle one that ejects a server.
+    /// Multiple of the pool's median latency that ejects a server.
     pub slow_factor: f64,
-    /// No server is slow below this latency.
+    /// Latency up to which no server counts as slow.
     pub slow_min: Duration,
-    /// Answers that a latency counts after.
+    /// Responses needed before a latency is used.
     pub samples_min: u32,
-    /// Probes answered in a row that take a server back.
+    /// Consecutive successful probes that restore a server.
     pub probes_required: u32,
 }
 
 impl HealthConfig {
-    /// The defaults.
+    /// Default settings.
     pub const STANDARD: Self = Self {
         consecutive_failures: 5,
         ejected_share_max: 0.3,
--- a/crates/core/src/health/connections.rs
+++ b/crates/core/src/health/connections.rs
@@ -1,42 +1,42 @@
-//! Which kept connections of one server can be trusted.
+//! Detection of dead idle connections to one server.
 
 use {crate::time::Time, std::time::Duration};
 
-/// How long after it last received bytes a connection may still take a request
+/// Longest time since the last read at which a connection may be reused for a request
 /// that is not idempotent.
 const NON_IDEMPOTENT_IDLE_MAX: Duration = Duration::from_secs(5);
-/// How long after it last received bytes a connection is kept at all.
+/// Longest time since the last read at which a connection may be reused at all.
 const IDLE_MAX: Duration = Duration::from_secs(60);
-/// A wait for an answer is a silence after this, at least.
+/// Lower bound of the silence timeout.
 const SILENCE_TIMEOUT_MIN: Duration = Duration::from_secs(1);
-/// And after so many times the usual high latency.
+/// Silence timeout as a multiple of the usual high latency.
 const SILENCE_FACTOR: u32 = 5;
 
-/// A kept connection's age.
+/// Times of an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionAge {
-    /// When it was opened.
+    /// Time at which the connection was opened.
     pub opened: Time,
-    /// When something was last read from it.
+    /// Time at which data was last read from the connection.
     pub last_read: Time,
 }
 
-/// What a silence tells against.
+/// Cause of a silent exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilenceCause {
-    /// Connections opened before; new ones are likely to work.
+    /// Connections opened before the exchange; new ones are likely to work.
     Connections,
-    /// The server: even a connection opened for the request is silent.
+    /// The server, as even a connection opened for the request is silent.
     Server,
 }
 
-/// Suspicion against the connections that one instance keeps to one server.
+/// Detects idle connections of one instance to one server that are dead.
 ///
-/// Something between the two ends can lose track of open connections: what is
-/// written to them vanishes without an error, while new ones work. The first
-/// silence casts suspicion on all connections that were opened before it and have
-/// shown no life since it began, so that the requests after it are not lost one
-/// by one. The server itself is not blamed.
+/// A middlebox can drop the state of open connections: writes to them are lost without an
+/// error, while new connections work. The first silence makes all connections suspect
+/// that were opened before it was detected and from which nothing was read since the
+/// silent exchange began. Later requests then avoid them instead of being lost one by
+/// one. The silence does not count against the server.
 ///
 /// ```
 /// use {citron_core::{health::*, time::Time}, std::time::Duration};
@@ -55,8 +55,8 @@
 }
 
 impl ConnectionHealth {
-    /// Nothing was read for too long, on a connection opened at `opened`, of an
-    /// exchange begun at `begun`.
+    /// Records that nothing was read before the silence timeout, in an exchange begun at
+    /// `begun` on a connection opened at `opened`.
     pub fn record_silence(&mut self, opened: Time, begun: Time, now: Time) -> SilenceCause {
         if opened >= begun {
             return SilenceCause::Server;
@@ -66,7 +66,7 @@
         SilenceCause::Connections
     }
 
-    /// Whether a connection is under suspicion; it is closed then.
+    /// Whether a connection is suspect and has to be closed.
     pub fn is_suspect(&self, connection: ConnectionAge) -> bool {
         let is_older = self
             .detected
@@ -74,7 +74,7 @@
         is_older && connection.last_read < self.begun
     }
 
-    /// Whether a request may be written to a kept connection.
+    /// Whether a request may be written to an idle connection.
     pub fn allows(&self, connection: ConnectionAge, idempotent: bool, now: Time) -> bool {
         let idle_max = if idempotent {
             IDLE_MAX
@@ -85,7 +85,7 @@
     }
 }
 
-/// How long an exchange may show no progress, given the usual high latency.
+/// Longest time without progress in an exchange, from the usual high latency.
 ///
 /// ```
 /// use {citron_core::health::silence_timeout, std::time::Duration};
--- a/crates/core/src/health/load.rs
+++ b/crates/core/src/health/load.rs
@@ -1,22 +1,22 @@
-//! Load measured here, and load that servers report.
+//! Comparison of servers by measured and reported load.
 
 use std::cmp::Ordering;
 
-/// Measured loads closer than this, in slots, count as equal.
+/// Difference in slots below which measured loads count as equal.
 const STEP: f64 = 0.5;
 
-/// The load of a server.
+/// Load of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MeasuredLoad {
-    /// Slots in use over its weight, as measured by instances.
+    /// Slots in use divided by the server's weight, as measured by instances.
     pub measured: f64,
-    /// What the server says, if it says anything.
+    /// Load that the server reports, if any.
     pub reported: Option<f64>,
 }
 
 impl MeasuredLoad {
-    /// Orders by the measured load; reports lag and mislead, and decide only
-    /// between servers that measure about the same.
+    /// Compares by the measured load. Reported loads are delayed and unreliable, and
+    /// decide only between servers with about the same measured load.
     ///
     /// ```
     /// use {citron_core::health::MeasuredLoad, std::cmp::Ordering};
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,4 +1,4 @@
-//! Servers and connections that do not behave, found by own measurements.
+//! Detection of failing servers and dead connections from measurements of this instance.
 
 mod config;
 mod connections;
--- a/crates/core/src/health/pool.rs
+++ b/crates/core/src/health/pool.rs
@@ -1,4 +1,4 @@
-//! Which servers of a service are outliers.
+//! Outlier detection among the servers of a service.
 
 use {
     super::{HealthConfig, HealthDecision, ServerHealth},
@@ -6,11 +6,11 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The servers of one service, as one instance measures them.
+/// Health of a service's servers, as one instance measures it.
 ///
-/// Only own measurements count: a server that freezes goes on reporting that it
-/// is well. As a fault of the instance or of its network makes all servers look
-/// bad, no more than a stated share of them is ever ejected.
+/// Only the instance's own measurements count: a frozen server goes on reporting that it
+/// is healthy. A failure of the instance or of its network makes all servers look
+/// unhealthy, so that no more than a configured fraction of them is ejected.
 ///
 /// ```
 /// use citron_core::{health::*, time::Time};
@@ -29,7 +29,7 @@
 }
 
 impl PoolHealth {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(config: HealthConfig) -> Self {
         Self {
             config,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Replaces the list of servers; those that stay keep their state.
+    /// Replaces the list of servers; known servers keep their state.
     pub fn set_servers(&mut self, names: impl Iterator<Item = ServerName>) {
         let mut previous = std::mem::take(&mut self.servers);
         for name in names {
@@ -46,14 +46,14 @@
         }
     }
 
-    /// The server answered after so long; whether it has just been taken back, so
-    /// that its gate begins cold.
+    /// Records a response with its latency. Returns whether the server has just been
+    /// restored, so that its warm-up starts.
     pub fn record_success(&mut self, name: &ServerName, latency: Duration, now: Time) -> bool {
         let is_slow = self.is_outlier(latency);
         let Some(server) = self.servers.get_mut(name) else {
             return false;
         };
-        // A slow server answers its probes too; slowly, they do not take it back.
+        // A slow server responds to probes as well; slow responses must not restore it.
         if server.is_ejected() && is_slow {
             server.record_failure(&self.config, now);
             return false;
@@ -66,15 +66,15 @@
         is_restored
     }
 
-    /// The server refused a request: it is busy, not dead.
+    /// Records a refusal: the server is busy but alive.
     pub fn record_alive(&mut self, name: &ServerName) {
         if let Some(server) = self.servers.get_mut(name) {
             server.record_alive();
         }
     }
 
-    /// The server gave no answer: it could not be reached, the connection died,
-    /// or one that was opened for the request stayed silent.
+    /// Records a failure: the server could not be reached, the connection died, or a
+    /// connection opened for the request stayed silent.
     pub fn record_failure(&mut self, name: &ServerName, now: Time) {
         let Some(server) = self.servers.get_mut(name) else {
             return;
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Whether a request may go to a server.
+    /// Decides whether a request may be sent to a server.
     pub fn check(&mut self, name: &ServerName, idempotent: bool, now: Time) -> HealthDecision {
         let server = self.servers.get_mut(name);
         server.map_or(HealthDecision::Pass, |server| server.check(idempotent, now))
     }
 
-    /// The servers that are ejected, for the planner to move their shards.
+    /// Ejected servers, for the planner to move their shards.
     pub fn ejected(&self) -> impl Iterator<Item = &ServerName> {
         let servers = self.servers.iter();
         let ejected_servers = servers.filter(|(_, server)| server.is_ejected());
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Whether one more may be ejected.
+    /// Whether one more server may be ejected.
     fn has_room(&self) -> bool {
         let max_ejected = self.config.ejected_share_max * self.servers.len() as f64;
         (self.ejected().count() + 1) as f64 <= max_ejected
     }
 
-    /// Whether a latency is far above the pool's middle one.
+    /// Whether a latency is far above the pool's median.
     fn is_outlier(&self, latency: Duration) -> bool {
         if latency <= self.config.slow_min {
             return false;
--- a/crates/core/src/health/server.rs
+++ b/crates/core/src/health/server.rs
@@ -1,23 +1,23 @@
-//! What one instance has measured of one server.
+//! Health of one server, as one instance measures it.
 
 use {super::HealthConfig, crate::time::Time, std::time::Duration};
 
-/// Weight of a new sample of the latency.
+/// Weight of a new sample in the moving average of the latency.
 const EWMA_WEIGHT: f64 = 0.05;
-/// The first wait of an ejected server for a probe; it doubles up to the longest.
+/// First interval between probes of an ejected server; it doubles up to the maximum.
 const PROBE_INTERVAL_MIN: Duration = Duration::from_secs(1);
 const PROBE_INTERVAL_MAX: Duration = Duration::from_secs(30);
 
-/// Whether a request may go to a server.
+/// Decision whether a request may be sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthDecision {
-    /// It may.
+    /// The request may be sent.
     Pass,
-    /// The server is ejected, and this request tells whether it has come back.
+    /// The server is ejected, and this request probes it.
     Probe,
-    /// The server is ejected until then; the request is answered at once.
+    /// The server is ejected, and the request is rejected.
     Refuse {
-        /// When the next probe is due.
+        /// Time until the next probe is due.
         wait: Duration,
     },
 }
@@ -39,7 +39,7 @@
 }
 
 impl ServerHealth {
-    /// Counts an answer; whether the server has just been taken back.
+    /// Records a response. Returns whether the server has just been restored.
     pub fn record_success(&mut self, latency: Duration, config: &HealthConfig) -> bool {
         self.failures = 0;
         let gain = if self.samples == 0 { 1.0 } else { EWMA_WEIGHT };
@@ -52,17 +52,17 @@
         if ejection.probes_passed < config.probes_required {
             return false;
         }
-        // What was measured before belongs to the trouble that is over.
+        // Measurements from before the restoration no longer apply.
         *self = Self::default();
         true
     }
 
-    /// Counts an answer that says nothing about the latency.
+    /// Records a response that says nothing about the latency.
     pub fn record_alive(&mut self) {
         self.failures = 0;
     }
 
-    /// Counts a failure; whether there are too many in a row.
+    /// Records a failure. Returns whether the limit of consecutive failures is reached.
     pub fn record_failure(&mut self, config: &HealthConfig, now: Time) -> bool {
         self.failures = self.failures.saturating_add(1);
         if let Some(ejection) = &mut self.ejection {
@@ -74,7 +74,7 @@
         self.failures >= config.consecutive_failures
     }
 
-    /// Takes the server out.
+    /// Ejects the server.
     pub fn eject(&mut self, now: Time) {
         self.ejection.get_or_insert(Ejection {
             probe_interval: PROBE_INTERVAL_MIN,
@@ -83,12 +83,12 @@
         });
     }
 
-    /// Whether a request may go to it. One probe goes at a time: the next one is
-    /// due after the wait.
+    /// Decides whether a request may be sent. Probes are sent one at a time; the next one
+    /// is due after the probe interval.
     ///
     /// A probe of a frozen server ends as `unknown` if it is not idempotent. Such a
-    /// request is taken only when no other came for another wait, since a service
-    /// that has no others would never get its server back.
+    /// request becomes a probe only if no idempotent one came for another interval, since
+    /// a service without idempotent requests would otherwise never get its server back.
     pub fn check(&mut self, idempotent: bool, now: Time) -> HealthDecision {
         let Some(ejection) = &mut self.ejection else {
             return HealthDecision::Pass;
@@ -106,12 +106,12 @@
         HealthDecision::Probe
     }
 
-    /// Whether it is taken out.
+    /// Whether the server is ejected.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// The smoothed latency, once enough was seen.
+    /// Moving average of the latency; `None` until there are enough samples.
     pub fn latency(&self, config: &HealthConfig) -> Option<Duration> {
         let enough = self.samples >= config.samples_min;
         enough.then(|| Duration::from_secs_f64(self.latency))
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, freeze, answer slowly or come back; connections gone silent.
+//! Detection of servers that fail, freeze, slow down or recover, and of dead connections.
 
 use {
     citron_core::{
@@ -33,8 +33,8 @@
     (0..times).for_each(|_| pool.record_failure(name, at(0)));
 }
 
-/// A server freezes. After some failures in a row, callers are told at once when
-/// to come back instead of waiting for their deadlines.
+/// Guards against clients that wait for their deadlines at a frozen server: after
+/// consecutive failures they get a time to retry at once.
 #[test]
 fn a_server_that_fails_in_a_row_is_ejected() {
     let names = names(6);
@@ -52,8 +52,8 @@
     assert_eq!(pool.check(&names[1], true, at(0)), HealthDecision::Pass);
 }
 
-/// The instance's own network fails, and every server looks bad. Ejecting them
-/// all would turn a passing fault into an outage.
+/// Guards against an outage by ejection of all servers when the instance's own network
+/// fails.
 #[test]
 fn no_more_than_the_stated_share_is_ejected() {
     for (servers, max) in [(1, 0), (3, 0), (4, 1), (6, 1), (10, 3), (20, 6)] {
@@ -66,7 +66,8 @@
     }
 }
 
-/// One server answers far slower than its pool, reporting that all is well.
+/// Guards against a server that responds far slower than its pool while it reports to be
+/// healthy.
 #[test]
 fn a_slow_server_is_ejected_by_own_measurements() {
     let names = names(6);
@@ -80,7 +81,7 @@
     assert_eq!(pool.ejected().collect::<Vec<_>>(), [&names[0]]);
 }
 
-/// All servers are slow alike, at a rush: none is an outlier.
+/// Guards against ejections when all servers are equally slow under high load.
 #[test]
 fn a_pool_that_is_slow_as_a_whole_keeps_its_servers() {
     let names = names(6);
@@ -93,8 +94,8 @@
     assert_eq!(pool.ejected().count(), 0);
 }
 
-/// An ejected server is probed by one request at a time, less and less often
-/// while it fails, and taken back after three answers.
+/// Guards against a full load on an ejected server: it gets one probe at a time, at
+/// growing intervals while it fails, and returns after three responses.
 #[test]
 fn an_ejected_server_is_probed_and_taken_back() {
     let names = names(6);
@@ -129,8 +130,8 @@
     );
 }
 
-/// The server of a service without idempotent requests is frozen. Its probes risk
-/// an `unknown`, but without any the server would stay out for good.
+/// Guards against a frozen server that never returns, as its service has no idempotent
+/// requests. Its probes may end as `unknown`.
 #[test]
 fn other_requests_probe_only_when_no_idempotent_one_does() {
     let names = names(6);
@@ -147,9 +148,9 @@
     );
 }
 
-/// Open connections go silent for good while new ones work. One request finds
-/// out; the others are not put on any connection that is as old, except one that
-/// has shown life since. The server is not blamed.
+/// Guards against requests lost one by one on dead connections. After the first loss, all
+/// connections as old are avoided, except those from which data was read since. The
+/// silence does not count against the server.
 #[test]
 fn suspicion_stays_with_old_connections() {
     let mut connections = ConnectionHealth::default();
@@ -182,8 +183,8 @@
     );
 }
 
-/// A purchase on a connection that has silently died would end as `unknown`. It
-/// goes only where life was seen a short while ago.
+/// Guards against a request that is not idempotent and ends as `unknown` on a dead
+/// connection: it uses only connections with recent reads.
 #[test]
 fn requests_that_are_not_idempotent_avoid_long_idle_connections() {
     let connections = ConnectionHealth::default();
