--- a/crates/core/src/health/load.rs
+++ b/crates/core/src/health/load.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-/// Difference in slots below which measured loads count as equal.
+/// Step in slots to which measured loads are rounded down before they are compared.
 const STEP: f64 = 0.5;
 
 /// Load of a server.
--- a/crates/core/src/health/server.rs
+++ b/crates/core/src/health/server.rs
@@ -6,6 +6,7 @@
 const EWMA_WEIGHT: f64 = 0.05;
 /// First interval between probes of an ejected server; it doubles up to the maximum.
 const PROBE_INTERVAL_MIN: Duration = Duration::from_secs(1);
+/// Longest interval between probes.
 const PROBE_INTERVAL_MAX: Duration = Duration::from_secs(30);
 
 /// Decision whether a request may be sent to a server.
--- a/crates/core/src/routing/attempt.rs
+++ b/crates/core/src/routing/attempt.rs
@@ -66,10 +66,10 @@
 /// let mut policy = RetryPolicy::new(BudgetConfig::STANDARD, 7);
 /// let deadline = Time::from_micros(1_000_000);
 /// let kind = RequestKind { idempotent: false, body: RequestBody::Buffered, deadline };
-/// let mut attempt = RetryState::new(kind, &mut policy);
-/// let Step::Send(send) = attempt.step(Event::Admitted, Time::ZERO, &mut policy) else { panic!() };
+/// let mut state = RetryState::new(kind, &mut policy);
+/// let Step::Send(send) = state.step(Event::Admitted, Time::ZERO, &mut policy) else { panic!() };
 /// let lost = Event::Lost(send.no, ExchangeStage::Written);
-/// let Step::Answer(response) = attempt.step(lost, Time::ZERO, &mut policy) else { panic!() };
+/// let Step::Answer(response) = state.step(lost, Time::ZERO, &mut policy) else { panic!() };
 /// assert_eq!((response.status, response.outcome, response.retry_after), (502, Outcome::Unknown, None));
 /// ```
 #[derive(Debug)]
--- a/crates/core/tests/overload/limits.rs
+++ b/crates/core/tests/overload/limits.rs
@@ -92,7 +92,7 @@
         reports: strategy.reports,
         budget: BudgetConfig::STANDARD,
         backlog,
-        progress: None,
+        attempt_timeout: None,
         resends: 0,
         outage: None,
         end: Time::from_micros(65_000_000),
--- a/crates/core/tests/overload/outage.rs
+++ b/crates/core/tests/overload/outage.rs
@@ -93,7 +93,7 @@
         },
         budget: case.budget,
         backlog: 10_000,
-        progress: Some(Duration::from_millis(250)),
+        attempt_timeout: Some(Duration::from_millis(250)),
         resends: case.resends,
         outage: Some((second(OUTAGE_S.0), second(OUTAGE_S.1))),
         end: second(END_S),
--- a/crates/core/tests/overload/scenario.rs
+++ b/crates/core/tests/overload/scenario.rs
@@ -30,7 +30,7 @@
     /// Requests that the server queues before it refuses.
     pub backlog: usize,
     /// Time limit of an attempt, after which it is retried.
-    pub progress: Option<Duration>,
+    pub attempt_timeout: Option<Duration>,
     /// How often a client sends a failed request again, at intervals of a second.
     pub resends: u32,
     /// Period in which all requests and responses are lost.
--- a/crates/core/tests/overload/simulation.rs
+++ b/crates/core/tests/overload/simulation.rs
@@ -36,7 +36,7 @@
     Worked(usize, AttemptNo),
     Reply(usize, AttemptNo, Reply),
     Retry(usize, AttemptNo),
-    Progress(usize, AttemptNo),
+    AttemptTimeout(usize, AttemptNo),
     Deadline(usize),
     Wake(usize),
     Exchange,
@@ -53,14 +53,14 @@
     Queue,
     Server { no: AttemptNo, since: Time },
     Backoff,
-    Over,
+    Ended,
 }
 
 struct Request {
     instance: usize,
     created: Time,
     deadline: Time,
-    attempt: RetryState,
+    state: RetryState,
     no: AttemptNo,
     place: RequestPlace,
     resends: u32,
@@ -145,7 +145,7 @@
             SimEvent::Worked(id, no) => self.worked(id, no),
             SimEvent::Reply(id, no, reply) => self.reply(id, no, reply),
             SimEvent::Retry(id, no) => self.retry(id, no),
-            SimEvent::Progress(id, no) => self.attempt_timed_out(id, no),
+            SimEvent::AttemptTimeout(id, no) => self.attempt_timed_out(id, no),
             SimEvent::Deadline(id) => self.deadline(id),
             SimEvent::Wake(instance) => self.start_waiting(instance),
             SimEvent::Exchange => self.exchange(),
@@ -172,9 +172,9 @@
             instance,
             created: self.now,
             deadline,
-            attempt: RetryState::new(kind, &mut self.retries[instance]),
+            state: RetryState::new(kind, &mut self.retries[instance]),
             no: AttemptNo(0),
-            place: RequestPlace::Over,
+            place: RequestPlace::Ended,
             resends,
         });
         self.at(Duration::from_secs(1), SimEvent::Deadline(id));
@@ -203,7 +203,7 @@
     fn step(&mut self, id: usize, event: Event) {
         let request = &mut self.requests[id];
         let retries = &mut self.retries[request.instance];
-        match request.attempt.step(event, self.now, retries) {
+        match request.state.step(event, self.now, retries) {
             Step::Send(send) if send.delay.is_zero() => {
                 request.no = send.no;
                 self.send(id, send.no);
@@ -216,7 +216,7 @@
             }
             Step::Answer(_) => self.failed(id),
             Step::Forward(_) => {
-                request.place = RequestPlace::Over;
+                request.place = RequestPlace::Ended;
                 let latency = self.now - request.created;
                 self.stats.good(request.instance, latency, self.now);
             }
@@ -226,7 +226,7 @@
 
     fn failed(&mut self, id: usize) {
         let request = &mut self.requests[id];
-        request.place = RequestPlace::Over;
+        request.place = RequestPlace::Ended;
         self.stats.refused(self.now);
         if request.resends > 0 {
             let (instance, resends_left) = (request.instance, request.resends - 1);
@@ -246,8 +246,8 @@
             since: self.now,
         };
         self.at(NETWORK_DELAY, SimEvent::Reach(id, no));
-        if let Some(progress) = self.scenario.progress {
-            self.at(progress, SimEvent::Progress(id, no));
+        if let Some(attempt_timeout) = self.scenario.attempt_timeout {
+            self.at(attempt_timeout, SimEvent::AttemptTimeout(id, no));
         }
     }
 
@@ -287,7 +287,7 @@
         if !self.release(id, no, release) {
             return;
         }
-        self.requests[id].place = RequestPlace::Over;
+        self.requests[id].place = RequestPlace::Ended;
         let wait = None;
         match reply {
             Reply::Answered => self.step(id, Event::Answered(no)),
@@ -320,7 +320,7 @@
         if !self.release(id, no, ReleaseReason::TimedOut) {
             return;
         }
-        self.requests[id].place = RequestPlace::Over;
+        self.requests[id].place = RequestPlace::Ended;
         self.step(id, Event::TimedOut(no, ExchangeStage::Written));
         self.start_waiting(self.requests[id].instance);
     }
@@ -333,7 +333,7 @@
             wait: Duration::from_secs(1),
         };
         match request.place {
-            RequestPlace::Over => return,
+            RequestPlace::Ended => return,
             RequestPlace::Queue => self.controllers[instance].cancel(Ticket(id as u64), deadline),
             RequestPlace::Server { no, .. } => {
                 self.release(id, no, ReleaseReason::TimedOut);
