--- a/crates/core/src/dispatch/concurrency.rs
+++ b/crates/core/src/dispatch/concurrency.rs
@@ -39,7 +39,7 @@
 /// old as a request takes and cover only some of the instances. When demand exceeds
 /// capacity, every instance sees capacity that others are using as well, and all
 /// responses are late. With 84 instances and a demand of 1.3 times the capacity, 49 of
-/// 100 responses are on time with reports alone and 70 with this limit (`tests/stale`).
+/// 100 responses are on time with reports alone and 70 with this limit (`tests/stale_reports`).
 /// Response times need no reports: the limit follows them, and requests above it are
 /// rejected at once.
 ///
