--- a/crates/core/src/ownership/assignment.rs
+++ b/crates/core/src/ownership/assignment.rs
@@ -1,21 +1,21 @@
-//! The owner of one shard or of one key that was taken out of its shard.
+//! The assignment of a scope to a backend server.
 
 use crate::id::{Epoch, ServerName};
 
-/// Where an assignment stands between two owners.
+/// State of an assignment between two owners.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// The owner runs requests of the shard.
+    /// The owner runs requests of the scope.
     Owned,
-    /// The owner gets no new request; `to` owns the shard once it is certain
-    /// that the old owner runs nothing more.
+    /// The owner gets no new requests. `to` becomes the owner once the old owner is
+    /// certain to run none of the scope's requests any more.
     Releasing {
-        /// The owner to be.
+        /// The next owner.
         to: ServerName,
     },
 }
 
-/// Who owns a shard.
+/// Assignment of a scope to a backend server.
 ///
 /// ```
 /// use citron_core::{id::Epoch, ownership::{Assignment, Phase}};
@@ -26,16 +26,17 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// The backend server that owns the shard.
+    /// The backend server that owns the scope.
     pub owner: ServerName,
-    /// Fencing token of this phase; a release already carries the next one.
+    /// Fencing token of this phase. A release already carries the epoch under which the
+    /// next owner will own the scope.
     pub epoch: Epoch,
-    /// Where the shard stands between two owners.
+    /// Whether the scope is owned or being released.
     pub phase: Phase,
 }
 
 impl Assignment {
-    /// An assignment at rest.
+    /// Creates an assignment without a move in progress.
     pub fn owned(owner: ServerName, epoch: Epoch) -> Self {
         Self {
             owner,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Who owns the scope once no move is under way.
+    /// Returns the owner once the current move, if any, is complete.
     pub fn next_owner(&self) -> &ServerName {
         match &self.phase {
             Phase::Owned => &self.owner,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Whether requests may be sent to the owner.
+    /// Returns whether requests may be sent to the owner.
     pub fn is_routable(&self) -> bool {
         self.phase == Phase::Owned
     }
--- a/crates/core/src/ownership/begin_move.rs
+++ b/crates/core/src/ownership/begin_move.rs
@@ -11,14 +11,14 @@
     },
 };
 
-/// The commit that begins to move a scope to a server; a [`super::Mover`] does
-/// the rest. A shard that nobody has owned yet is simply assigned. A key that
-/// is still in its shard is taken out of it, and the shard's epoch is raised
-/// with the same commit, so that late requests for the key under the shard's
-/// old epoch are refused.
+/// Returns the commit that begins to move a scope to a server; a [`super::Mover`]
+/// completes the move. A shard without an owner is assigned directly. For a key that is
+/// still part of its shard, the same commit extracts the key and raises the shard's
+/// epoch, so that servers refuse late requests for the key under the shard's old epoch.
 ///
 /// # Errors
-/// [`MoveError`]; nothing is to be committed then.
+///
+/// [`MoveError`] if the move cannot begin; nothing is to be committed then.
 pub fn begin_move(
     table: &Table,
     service: &ServiceName,
@@ -28,9 +28,10 @@
     begin_move_with::<ProductionRules>(table, service, scope, to)
 }
 
-/// [`begin_move`] under other rules, for the model check.
+/// Same as [`begin_move`], with the given rules. Used by the model check.
 ///
 /// # Errors
+///
 /// As [`begin_move`].
 pub fn begin_move_with<R: ProtocolRules>(
     table: &Table,
@@ -141,8 +142,8 @@
             next,
         });
     }
-    // Above every epoch that an earlier service of this name can have used, as
-    // each change of owner takes a commit.
+    // Higher than every epoch of a deleted service of the same name, as each change of
+    // owner takes a commit and so raises the revision.
     let epoch = Epoch(table.revision().0 + 1);
     let new = Assignment::owned(to.clone(), epoch);
     let scope = Scope::Shard(shard);
--- a/crates/core/src/ownership/error.rs
+++ b/crates/core/src/ownership/error.rs
@@ -9,75 +9,76 @@
     thiserror::Error,
 };
 
-/// Why a move cannot begin; nothing is changed.
+/// Reason why a move cannot begin. The table is unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MoveError {
     /// The table has no such service.
     #[error("there is no service {service}")]
     UnknownService {
-        /// The service that was named.
+        /// The requested service.
         service: ServiceName,
     },
     /// The table has no such backend server.
     #[error("there is no server {server}")]
     UnknownServer {
-        /// The server that was named.
+        /// The requested server.
         server: ServerName,
     },
-    /// The target serves another service.
-    #[error("server {server} serves {found}, not {service}")]
+    /// The target belongs to another service.
+    #[error("server {server} belongs to service {found}, not {service}")]
     WrongService {
-        /// The server that was named.
+        /// The requested server.
         server: ServerName,
-        /// The service it serves.
+        /// The service that the server belongs to.
         found: ServiceName,
         /// The service of the scope.
         service: ServiceName,
     },
-    /// The target takes no keys.
-    #[error("server {server} takes no keys: it is {state:?}")]
+    /// The target is not active and cannot own keys.
+    #[error("server {server} cannot own keys: its state is {state:?}")]
     NotActive {
-        /// The server that was named.
+        /// The requested server.
         server: ServerName,
-        /// Its state.
+        /// The server's state.
         state: ServerState,
     },
-    /// The scope is on its way already.
+    /// A move of the scope is already in progress.
     #[error("{scope} of {service} is already moving to {to}")]
     AlreadyMoving {
-        /// The service.
+        /// The service of the scope.
         service: ServiceName,
-        /// The scope.
+        /// The scope to be moved.
         scope: Scope,
-        /// Where it goes.
+        /// The target of the move in progress.
         to: ServerName,
     },
-    /// The target owns the scope already.
+    /// The target already owns the scope.
     #[error("server {server} already owns {scope}")]
     AlreadyOwner {
-        /// The server that was named.
+        /// The requested server.
         server: ServerName,
-        /// The scope.
+        /// The scope to be moved.
         scope: Scope,
     },
     /// The service has no such shard.
-    #[error("{service} has shards 0 to {last}, there is no {scope}")]
+    #[error("{service} has no {scope}: its shards are 0 to {last}")]
     UnknownShard {
-        /// The service.
+        /// The service of the scope.
         service: ServiceName,
-        /// The scope that was named.
+        /// The requested scope.
         scope: Scope,
-        /// The service's last shard.
+        /// The number of the service's last shard.
         last: u32,
     },
-    /// Nobody owns the scope, and those before it in its block are unowned too.
+    /// The scope has no owner, and neither have the shards before it in its block. Shards
+    /// of a block are first assigned in order.
     #[error(
-        "nobody owns {scope} of {service} yet; the next to be assigned in its block is shard:{next}"
+        "{scope} of {service} has no owner yet; the next shard to assign in its block is shard:{next}"
     )]
     Unowned {
-        /// The service.
+        /// The service of the scope.
         service: ServiceName,
-        /// The scope that was named.
+        /// The requested scope.
         scope: Scope,
         /// The first shard of the block without an owner.
         next: u32,
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -1,4 +1,4 @@
-//! What a mover hears and what it asks for.
+//! Events that a mover takes and actions that it returns.
 
 use {
     super::Grant,
@@ -8,80 +8,80 @@
     },
 };
 
-/// An instance's word that it will route nothing of a scope under a revision
-/// before `revision`, and that nothing that it sent so is still unanswered. It
-/// gives it only once [`crate::membership::RelayedLeases::is_settled`] says so, too.
+/// Acknowledgement of an instance: it sends no more requests of the scope by revisions
+/// before `revision`, and all that it has sent by them are answered. It acknowledges only
+/// once [`crate::membership::RelayedLeases::is_settled`] holds too.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ack {
-    /// The instance.
+    /// The acknowledging instance.
     pub instance: InstanceId,
-    /// The start of it that speaks.
+    /// The incarnation of the instance that acknowledges.
     pub incarnation: Incarnation,
-    /// The revision in force there.
+    /// The revision that the instance routes by.
     pub revision: Revision,
 }
 
-/// What happened; the table itself is handed over with every step.
+/// Input of a mover. The current table is passed to every step separately.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MoveEvent {
     /// Time has passed, or the table may have changed.
     Tick,
-    /// An instance has acknowledged.
+    /// An instance has acknowledged the release.
     Acked(Ack),
-    /// The old owner has accepted the revocation. Only for a server that checks
-    /// epochs, and only once it runs nothing of the scope any more.
+    /// The old owner has accepted the revocation. Reported only for a server that checks
+    /// epochs, and only once the server runs no request of the scope any more.
     Revoked {
-        /// The epoch that it was revoked under.
+        /// The epoch of the revocation.
         epoch: Epoch,
     },
-    /// The old owner's process is surely gone, as an operator has stated or the
-    /// server's host has shown. A refused connection does not show it: a
-    /// server that drains closes its listener while it still runs requests.
+    /// The old owner's process has certainly ended, as stated by an operator or shown by
+    /// the server's host. A refused connection is no proof: a draining server closes its
+    /// listener while it still runs requests.
     OwnerTerminated,
-    /// The commit that was asked for has ended, with whatever answer or none.
+    /// The requested commit has ended, with any answer or none.
     CommitEnded,
-    /// The table was read from the platform, by a read begun after the commit
-    /// had ended.
+    /// The table was read from the platform, by a read that started after the commit had
+    /// ended.
     Reread,
 }
 
-/// What the driver is to do.
+/// Action that the caller of a mover has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MoveAction {
-    /// Send these orders to the old owner, without a lease.
+    /// Send these grants to the old owner, without a lease.
     Revoke {
         /// The old owner.
         server: ServerName,
-        /// The orders, all of them to be accepted.
+        /// The revocations. The server must accept all of them.
         grants: Vec<Grant>,
     },
-    /// Ask an instance to acknowledge.
+    /// Ask an instance to acknowledge the release.
     RequestAck {
         /// The instance.
         instance: InstanceId,
-        /// The start of it that is listed.
+        /// The listed incarnation of the instance.
         incarnation: Incarnation,
-        /// The revision that it must have reached.
+        /// The revision that the instance must have reached.
         revision: Revision,
     },
     /// Commit this, then report [`MoveEvent::CommitEnded`].
     Commit(Commit),
     /// Read the table from the platform, then report [`MoveEvent::Reread`].
     Reread,
-    /// Grant the scope to its new owner; the move is already certain.
+    /// Grant the scope to its new owner. The table already shows the new owner.
     Grant {
         /// The new owner.
         server: ServerName,
-        /// The order.
+        /// The grant.
         grant: Grant,
     },
-    /// The last commit was read back; the operator may be told.
+    /// The last commit was read back, so the move may be reported as done.
     Done {
         /// The new owner.
         owner: ServerName,
-        /// Its epoch.
+        /// The epoch under which the new owner owns the scope.
         epoch: Epoch,
     },
-    /// The scope has moved on, under a later epoch; this mover has no more to do.
+    /// The table shows a later epoch of the scope. This mover has nothing more to do.
     Superseded,
 }
--- a/crates/core/src/ownership/grant.rs
+++ b/crates/core/src/ownership/grant.rs
@@ -1,4 +1,4 @@
-//! Fenced grants to backend servers that check them.
+//! Fenced grants to backend servers that check epochs.
 
 use {
     super::Scope,
@@ -6,65 +6,65 @@
     std::time::Duration,
 };
 
-/// Tells two starts of a backend server apart: a restarted one has forgotten
-/// its grants, so a late grant meant for its earlier start must not count.
+/// Identifies one process of a backend server. A restarted server has lost its grants, so
+/// a delayed grant meant for its previous process must not count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct BootId(pub u64);
 
-/// Whether a grant gives or takes.
+/// Whether a grant gives or withdraws ownership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum GrantKind {
     /// The server owns the scope under this epoch.
     Own,
-    /// The server runs nothing of the scope below this epoch or under it.
+    /// The server runs no request of the scope under this epoch or a lower one.
     Revoke,
 }
 
-/// One order to a backend server. It keeps the highest epoch it has seen of a
-/// scope, and refuses a grant below that.
+/// Grant or revocation of one scope, sent to a backend server. The server keeps the
+/// highest epoch that it has seen of each scope and refuses grants with a lower one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// The service.
+    /// The service that the scope belongs to.
     pub service: ServiceName,
-    /// What is granted or revoked.
+    /// The scope that is granted or revoked.
     pub scope: Scope,
     /// The fencing token.
     pub epoch: Epoch,
-    /// Whether the order gives or takes.
+    /// Whether ownership is given or withdrawn.
     pub kind: GrantKind,
 }
 
-/// Until when a server may run requests under all its grants.
+/// Lease under which a server may run requests of all scopes granted to it.
 ///
-/// The end is a reading of the server's own clock, worked out from one that the
-/// server sent before: however long the order is under way, it ends no later.
+/// The end is a reading of the server's own clock, computed from an earlier reading that
+/// the server sent. A delayed order therefore does not extend the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ServerLease {
-    /// The start of the server that the clock reading belongs to.
+    /// The server process that the clock reading belongs to.
     pub boot: BootId,
-    /// The end, since the origin of the server's clock.
+    /// The end of the lease, measured from the origin of the server's clock.
     pub until: Duration,
 }
 
-/// What a server makes of one grant.
+/// A server's answer to one grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantResult {
-    /// It is in force.
+    /// The grant is in force.
     Accepted,
     /// The server has seen a higher epoch of the scope.
     Stale {
-        /// The highest epoch it has seen.
+        /// The highest epoch seen.
         seen: Epoch,
     },
 }
 
-/// A server's answer to orders.
+/// A server's answer to an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantReply {
-    /// The server's start.
+    /// The server process that answers.
     pub boot: BootId,
-    /// The server's clock when it answered, since its origin.
+    /// The server's clock at the time of the answer, measured from its origin.
     pub clock: Duration,
-    /// One result a grant, in the order of the grants.
+    /// One result for each grant, in the order of the grants.
     pub results: Vec<GrantResult>,
 }
--- a/crates/core/src/ownership/granter.rs
+++ b/crates/core/src/ownership/granter.rs
@@ -1,4 +1,4 @@
-//! Orders of one instance to one backend server that checks epochs.
+//! Grant orders from one instance to one backend server that checks epochs.
 
 use {
     super::{
@@ -14,41 +14,43 @@
     std::{marker::PhantomData, time::Duration},
 };
 
-/// One order: the grants are taken before the lease, both in one step.
+/// Order to a backend server. The server applies the grants before the lease, both in one
+/// step.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GrantOrder {
-    /// The start of the server that it is meant for; `None` only asks for the
-    /// server's clock.
+    /// The server process that the order is meant for; `None` only asks for the server's
+    /// clock.
     pub boot: Option<BootId>,
-    /// What changed hands since the last order that was answered.
+    /// Grants that have changed since the last order that was answered.
     pub grants: Vec<Grant>,
-    /// Until when the server may run requests.
+    /// The lease under which the server may run requests.
     pub lease: Option<ServerLease>,
-    /// The revision that the grants bring the server up to.
+    /// The revision whose assignments the server knows after the order.
     pub revision: Revision,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct ServerSession {
     boot: BootId,
-    /// When this start was first seen.
+    /// When this server process was first seen.
     first_seen: Time,
-    /// The server's clock.
+    /// The latest reading of the server's clock.
     clock: Duration,
-    /// When its answer was heard.
+    /// When that reading was received.
     received_at: Time,
-    /// The revision that this start has accepted all grants of, from here.
+    /// The revision up to which the server process has accepted all grants from this
+    /// instance.
     synced_revision: Option<Revision>,
 }
 
-/// Keeps one server's grants and lease up to date, from one instance.
+/// Keeps the grants and the lease of one server up to date, from one instance.
 ///
-/// A lease lets the server run requests under every grant it still holds. A
-/// server that was out of the mover's reach when a scope was moved away would,
-/// with a fresh lease from another instance, run late requests of that scope.
-/// So an order that carries a lease also carries what changed hands up to the
-/// giver's revision; a giver that knows no better is before the release, and
-/// its lease ends with its leave, which the mover waits for.
+/// A lease lets the server run requests under every grant that it still holds. If a
+/// server could not be reached by the mover while a scope was moved away from it, a new
+/// lease from another instance would let the server run late requests of that scope.
+/// Every order with a lease therefore carries all changes of ownership up to the granting
+/// instance's revision. An instance with a revision from before the release grants a
+/// lease that ends with the instance's own routing lease, which the mover waits for.
 ///
 /// ```
 /// use {citron_core::{ownership::Granter, table::Table}, std::time::Duration};
@@ -70,7 +72,7 @@
 }
 
 impl<R: ProtocolRules> Granter<R> {
-    /// A granter that has not spoken with the server yet.
+    /// Creates a granter that has not contacted the server yet.
     pub fn new(durations: LeaseDurations) -> Self {
         Self {
             durations,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes the answer to an order.
+    /// Records the answer to an order.
     pub fn record_reply(&mut self, order: &GrantOrder, reply: &GrantReply, now: Time) {
         let known = self.session.filter(|old| old.boot == reply.boot);
         let mut session = known.unwrap_or(ServerSession {
@@ -93,16 +95,16 @@
             session.clock = reply.clock;
             session.received_at = now;
         }
-        // A stale grant is as good as an accepted one here: the server has
-        // seen a later epoch of the scope.
+        // A stale grant counts like an accepted one: the server has seen a later epoch of
+        // the scope.
         if order.boot == Some(reply.boot) {
             session.synced_revision = session.synced_revision.max(Some(order.revision));
         }
         self.session = Some(session);
     }
 
-    /// The next order, under the table in force and its confirmation; `lease_end`
-    /// is [`RoutingLease::end`] for this server and its service's grace.
+    /// Returns the next order, from the table in force and its routing lease. `lease_end`
+    /// is [`RoutingLease::end`] for this server and the grace period of its service.
     pub fn next_order(
         &self,
         table: &Table,
@@ -141,9 +143,9 @@
         }
     }
 
-    /// A lease that ends before the giver's own leave does, on any clock: the
-    /// server's reading was taken before it was heard, and the span is cut by
-    /// what the two clocks may run apart.
+    /// Returns a lease that ends before this instance's own routing lease on any clock:
+    /// the server read its clock before the answer was received, and the duration is
+    /// reduced by the margin for clock drift.
     fn next_lease(&self, session: &ServerSession, lease_end: Time) -> Option<ServerLease> {
         let span = R::subtract_clock_margin(R::server_lease(
             lease_end - session.received_at,
@@ -155,8 +157,8 @@
     }
 }
 
-/// What the server must know of the scopes of its service that were written
-/// after `synced_revision`.
+/// Grants and revocations for the scopes of the server's service that were written after
+/// `synced_revision`.
 fn grants_since(
     table: &Table,
     server: &ServerRow,
@@ -169,8 +171,8 @@
         }
         match &row.value {
             Row::Block(block) if block.service == server.service => {
-                let first_seen = block.block.first_shard().0;
-                for (shard, owner) in (first_seen..).zip(&block.shards) {
+                let first = block.block.first_shard().0;
+                for (shard, owner) in (first..).zip(&block.shards) {
                     grants.push(scope_grant(server, Scope::Shard(ShardId(shard)), owner));
                 }
             }
@@ -188,9 +190,9 @@
     let (kind, epoch) = match owner.phase {
         Phase::Owned if is_owner => (GrantKind::Own, owner.epoch),
         Phase::Releasing { .. } if is_owner => (GrantKind::Revoke, owner.epoch),
-        // Whatever it held of the scope was under an earlier epoch. The epoch
-        // of a release that goes to this very server must stay open: it is the
-        // one that the server is to own the scope under.
+        // Anything that the server held of the scope was under an earlier epoch. The
+        // current epoch must not be revoked: if the scope is being released to this
+        // server, the server will own it under this epoch.
         _ => (GrantKind::Revoke, Epoch(owner.epoch.0.saturating_sub(1))),
     };
     Grant {
--- a/crates/core/src/ownership/lease_durations.rs
+++ b/crates/core/src/ownership/lease_durations.rs
@@ -1,15 +1,17 @@
-//! The fixed spans of ownership.
+//! Fixed lease durations of the ownership protocol.
 
 use std::time::Duration;
 
-/// Spans that every instance must agree on: an instance with a longer
-/// [`LeaseDurations::routing`] than a mover's would route after its leave is over for
-/// the mover. They change with a version of the program, not by setting.
+/// Lease durations that every instance must agree on. An instance with a longer
+/// [`LeaseDurations::routing`] than that of the instance running a move would still route
+/// to the old owner after the move has stopped waiting for it. They are constants of the
+/// program version, not settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseDurations {
-    /// How long a read of the platform confirms a revision, from its begin.
+    /// Duration of an instance's routing lease for servers in any failure domain, from
+    /// the start of the platform read that it is based on.
     pub routing: Duration,
-    /// The longest lease of a backend server that checks epochs.
+    /// Longest lease of a backend server that checks epochs.
     pub server: Duration,
 }
 
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -1,4 +1,5 @@
-//! Who owns which shard, and how a shard changes hands.
+//! Shard ownership: assignments, the protocol that moves a scope between backend servers,
+//! and the grants and leases sent to servers that check epochs.
 
 mod assignment;
 mod begin_move;
--- a/crates/core/src/ownership/mover.rs
+++ b/crates/core/src/ownership/mover.rs
@@ -1,4 +1,4 @@
-//! Brings one scope from its old owner to its new one.
+//! State machine that completes the move of one scope.
 
 use {
     super::{
@@ -15,7 +15,7 @@
     std::{marker::PhantomData, time::Duration},
 };
 
-/// What this mover saw released.
+/// The release that a mover completes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Release {
     owner: ServerName,
@@ -25,25 +25,26 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Stage {
-    /// The old owner may still run requests.
+    /// Instances may still route to the old owner, or the old owner may still run
+    /// requests.
     Waiting,
-    /// The last commit is under way.
+    /// The last commit is in progress.
     Committing,
-    /// The last commit has ended; the table read from now on tells how.
+    /// The last commit has ended; a read of the table has to show whether it took effect.
     Rereading,
     Done,
 }
 
-/// Finishes the move of one scope that the table shows as releasing.
+/// State machine that completes the move of a scope whose assignment is being released.
 ///
-/// It needs nothing but the table, so that any instance can take over a move
-/// that another left; its waits then begin anew on its own clock, from when it
-/// saw the release. Two movers of one scope do no harm: the last commit is
-/// conditional on the version of the row, and either finds the same row after.
+/// Its whole input is the table, so any instance can resume a move that another instance
+/// left unfinished; the waits then start again on its own clock, from when it saw the
+/// release. Two movers of one scope are safe: the last commit is conditional on the row's
+/// version, and both read the same row afterwards.
 ///
-/// Feed it with [`Self::step`] on every event and at least at
-/// [`Self::next_wakeup`], with a table that was read from the platform or relayed;
-/// never with the driver's own commit applied by itself.
+/// Call [`Self::step`] on every event and no later than [`Self::next_wakeup`], with a
+/// table that was read from the platform or relayed by another instance, never with one
+/// to which the caller has applied its own commit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Mover<R: ProtocolRules = ProductionRules> {
     service: ServiceName,
@@ -55,8 +56,9 @@
 }
 
 impl<R: ProtocolRules> Mover<R> {
-    /// Takes up the move of a scope, `None` if the table shows none; `now` is
-    /// when the table had been read. Returns the first actions too.
+    /// Creates a mover for a scope that the table shows as being released, and returns it
+    /// with its first actions; `None` if no move is in progress. `now` is a time at which
+    /// the table had been read.
     pub fn resume(
         table: &Table,
         service: &ServiceName,
@@ -91,7 +93,8 @@
         Some((mover, actions))
     }
 
-    /// Takes an event, the newest table and the time; tells what to do next.
+    /// Applies an event, with the newest table and the time, and returns the next
+    /// actions.
     pub fn step(&mut self, table: &Table, event: MoveEvent, now: Time) -> Vec<MoveAction> {
         if self.stage == Stage::Done {
             return Vec::new();
@@ -108,7 +111,8 @@
         self.advance(table, &found, now)
     }
 
-    /// The table may only show this release, or what it led to.
+    /// Whether the table still shows this release or its result, rather than a later
+    /// move.
     fn is_current(&self, found: &Assignment) -> bool {
         found.epoch == self.release.epoch
     }
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Whether the old owner surely runs nothing more of the scope.
+    /// Whether the old owner is certain to run no request of the scope any more.
     fn is_released(&self, now: Time) -> bool {
         self.wait.is_over::<R>(now)
     }
@@ -188,8 +192,8 @@
             .collect()
     }
 
-    /// The orders to the old owner, if it checks epochs. The driver sends them
-    /// again until they are accepted or the move is done.
+    /// Returns the revocations for the old owner, if it checks epochs. The caller repeats
+    /// them until they are accepted or the move is done.
     pub fn revoke(&self, table: &Table) -> Vec<MoveAction> {
         if !self.wait.is_fenced {
             return Vec::new();
@@ -200,8 +204,9 @@
         vec![MoveAction::Revoke { server, grants }]
     }
 
-    /// A key that was just taken out of its shard is asked for by late requests
-    /// under the shard's epoch; the owner must have seen the shard's new one.
+    /// Grant or revocation of the key's shard, for a move that has just extracted a key.
+    /// Late requests for the key carry the shard's old epoch, so the old owner must have
+    /// seen the shard's new epoch to refuse them.
     fn shard_grant(&self, table: &Table) -> Option<Grant> {
         let Scope::Key(key) = self.scope else {
             return None;
@@ -226,24 +231,25 @@
         }
     }
 
-    /// When time alone may next bring the move on; `None` if it cannot.
+    /// Returns when the passing of time alone may next advance the move; `None` if it
+    /// cannot.
     pub fn next_wakeup(&self) -> Option<Time> {
         let is_waiting = self.stage == Stage::Waiting;
         is_waiting.then(|| self.wait.end::<R>())
     }
 
-    /// The listed instances that have not acknowledged.
+    /// Returns the listed instances that have not acknowledged the release.
     pub fn unacknowledged(&self) -> Vec<Member> {
         self.wait.unacknowledged()
     }
 
-    /// Whether the move needs no more steps.
+    /// Returns whether the move needs no more steps.
     pub fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 }
 
-/// The spans that the service's row sets, beside the fixed ones.
+/// Combines the fixed lease durations with the service's settings.
 fn wait_limits(table: &Table, service: &ServiceName, durations: LeaseDurations) -> WaitLimits {
     let (grace, deadline) = match table.service(service) {
         Some(row) => (row.grace, row.deadline),
--- a/crates/core/src/ownership/release_wait.rs
+++ b/crates/core/src/ownership/release_wait.rs
@@ -1,4 +1,4 @@
-//! How long the old owner of a scope may still run requests.
+//! The wait until the old owner of a released scope has stopped running its requests.
 
 use {
     super::{Ack, LeaseDurations, Member, ProtocolRules},
@@ -10,53 +10,54 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The spans that the waits are made of.
+/// Durations that the wait is computed from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct WaitLimits {
-    /// The fixed ones.
+    /// The fixed lease durations.
     pub durations: LeaseDurations,
-    /// The service's grace.
+    /// The service's grace period.
     pub grace: Duration,
-    /// The longest that a request of the service may take.
+    /// The service's request deadline: the longest that one of its requests may run.
     pub deadline: Duration,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct InstanceWait {
-    /// When its leave to route under the old revision has surely run out.
+    /// When the instance's routing lease under the old revision has certainly ended.
     lease_end: Time,
-    /// When its acknowledgement was heard; for an owner that does not check
-    /// epochs it does not matter when, and it is the begin of the wait.
+    /// When the acknowledgement was received. For an owner that does not check epochs the
+    /// time does not matter, and it is set to the start of the wait.
     acked_at: Option<Time>,
 }
 
-/// The instances that could still route a released scope to its old owner.
+/// Wait for the instances that may still route a released scope to its old owner.
 ///
-/// An instance that neither acknowledges nor answers is waited for until its
-/// leave has run out. The leave rests on a read of the platform that was begun
-/// before the release was committed, and so before this mover saw it: the span
-/// is counted from then, on the mover's own clock.
+/// An instance that neither acknowledges nor answers is waited for until its routing
+/// lease has ended. The lease is based on a platform read that started before the release
+/// was committed, and therefore before this mover saw the release, so the duration is
+/// counted from then on the mover's own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct ReleaseWait {
-    /// The release: revisions from this one on show it.
+    /// The first revision that shows the release.
     pub release_revision: Revision,
     /// Whether the old owner checks epochs.
     pub is_fenced: bool,
-    /// The old owner has accepted the revocation.
+    /// Whether the old owner has accepted the revocation.
     pub is_revoked: bool,
-    /// The old owner's process is surely gone.
+    /// Whether the old owner's process has certainly ended.
     pub is_owner_terminated: bool,
     seen_at: Time,
     owner_domain: Option<DomainName>,
     limits: WaitLimits,
     members: BTreeMap<Member, InstanceWait>,
-    /// When leases given by instances that are listed no more have run out.
+    /// When server leases have ended that were granted by instances which are no longer
+    /// listed.
     unlisted_leases_end: Time,
 }
 
 impl ReleaseWait {
-    /// Waits from when the release was seen; `owner` is the old owner's row, if
-    /// the table still has it.
+    /// Starts the wait at `seen_at`, when the release was seen. `owner` is the row of the
+    /// old owner, if the table still has it.
     pub fn new<R: ProtocolRules>(
         release_revision: Revision,
         seen_at: Time,
@@ -76,10 +77,10 @@
         }
     }
 
-    /// Takes over the instances of the table. One whose row is gone has either
-    /// left, and stopped before, or was expelled, and its leave had run out
-    /// before the row went; one in a domain that an operator has stated to be
-    /// lost runs no more.
+    /// Updates the instances to wait for from the table. An instance whose row is gone
+    /// has either stopped before it removed the row, or was expelled and its lease had
+    /// ended before the row was removed. An instance in a failure domain that an operator
+    /// has declared lost no longer runs.
     pub fn update_members<R: ProtocolRules>(&mut self, table: &Table, now: Time) {
         let mut listed = BTreeMap::new();
         for row in table.instances() {
@@ -115,7 +116,7 @@
         self.seen_at + R::add_clock_margin(lease)
     }
 
-    /// Counts an acknowledgement of a listed start of an instance.
+    /// Records an acknowledgement from a listed incarnation.
     pub fn ack<R: ProtocolRules>(&mut self, ack: &Ack, now: Time) {
         let at = if self.is_fenced { now } else { self.seen_at };
         for (member, wait) in &mut self.members {
@@ -126,19 +127,19 @@
         }
     }
 
-    /// The instances that have not acknowledged.
+    /// Returns the listed instances that have not acknowledged.
     pub fn unacknowledged(&self) -> Vec<Member> {
         let unacknowledged = self.members.iter().filter(|(_, w)| w.acked_at.is_none());
         unacknowledged.map(|(member, _)| member.clone()).collect()
     }
 
-    /// Whether the old owner surely runs nothing more of the scope.
+    /// Returns whether the old owner is certain to run no request of the scope any more.
     pub fn is_over<R: ProtocolRules>(&self, now: Time) -> bool {
         let is_stopped = self.is_fenced && (self.is_revoked || self.is_owner_terminated);
         is_stopped || now >= self.end::<R>()
     }
 
-    /// When time alone ends the wait, given what was heard so far.
+    /// Returns when the wait ends by time alone, given the acknowledgements so far.
     pub fn end<R: ProtocolRules>(&self) -> Time {
         let ends = self.members.values().map(|wait| match self.is_fenced {
             true => self.end_fenced::<R>(wait),
@@ -152,18 +153,20 @@
         ends.max().unwrap_or(floor).max(floor)
     }
 
-    /// A silent owner that checks epochs stops with its lease: the last one
-    /// under the old revision was given before the giver acknowledged, and
-    /// never outlives the giver's own leave.
+    /// End of the wait for one instance and an owner that checks epochs: such an owner,
+    /// if it does not answer, stops when its lease ends. The last lease under the old
+    /// revision was granted before the granting instance acknowledged, and never outlasts
+    /// that instance's own routing lease.
     fn end_fenced<R: ProtocolRules>(&self, wait: &InstanceWait) -> Time {
         let lease = R::add_clock_margin(self.limits.durations.server);
         let acked_at = wait.acked_at.map(|at| at + lease);
         acked_at.map_or(wait.lease_end, |end| end.min(wait.lease_end))
     }
 
-    /// An owner that does not check is done with what an instance sent when the
-    /// instance says so; otherwise it is given the service's deadline for the
-    /// last request that could be written.
+    /// End of the wait for one instance and an owner that does not check epochs. An
+    /// acknowledgement states that all requests which the instance sent are answered.
+    /// Without one, the last request that the instance could send is given the service's
+    /// deadline.
     fn end_unfenced<R: ProtocolRules>(&self, wait: &InstanceWait) -> Time {
         let last = wait.lease_end + R::add_clock_margin(self.limits.deadline);
         wait.acked_at.map_or(last, |at| at.min(last))
--- a/crates/core/src/ownership/rows.rs
+++ b/crates/core/src/ownership/rows.rs
@@ -1,4 +1,4 @@
-//! Where the table keeps the assignment of a scope.
+//! Reading and writing assignments in the table.
 
 use {
     super::{Assignment, Scope},
@@ -8,8 +8,8 @@
     },
 };
 
-/// The assignment of a scope, and the version of the row that holds it;
-/// `None` if nobody owns it.
+/// Returns the assignment of a scope with the version of the row that holds it; `None` if
+/// the scope has no owner.
 pub fn assignment(
     table: &Table,
     service: &ServiceName,
@@ -28,8 +28,9 @@
     Some(Versioned { version, value })
 }
 
-/// A write that replaces the assignment of an owned scope, or appends that of
-/// the first unowned shard of a block; conditional on `expect`.
+/// Returns a write that replaces the assignment of an owned scope, or appends the
+/// assignment of the first unowned shard of a block. The write is conditional on version
+/// `expect` of the row.
 pub(super) fn assignment_write(
     table: &Table,
     service: &ServiceName,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The row that holds a scope's assignment.
+/// Returns the key of the row that holds a scope's assignment.
 pub fn row_key(service: &ServiceName, scope: Scope) -> RowKey {
     match scope {
         Scope::Shard(shard) => RowKey::Block(service.clone(), BlockId::from_shard(shard)),
@@ -70,7 +71,7 @@
     }
 }
 
-/// The version of a row; 0 if there is none.
+/// Returns the version of a row; 0 if the row does not exist.
 pub(super) fn row_version(table: &Table, key: &RowKey) -> Revision {
     table.get(key).map_or(Revision(0), |found| found.version)
 }
--- a/crates/core/src/ownership/rules.rs
+++ b/crates/core/src/ownership/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that keep a scope from having two owners, one method each.
+//! The safety rules that keep a scope from having two owners, one method for each.
 
 use {
     super::Ack,
@@ -9,108 +9,115 @@
     std::{fmt, hash::Hash, time::Duration},
 };
 
-/// Clocks may run apart by one part in this many while a wait lasts.
+/// Largest clock drift allowed for, as a divisor: two clocks may differ by 1/100 of an
+/// interval that both measure.
 const CLOCK_DRIFT_DIVISOR: u32 = 100;
 
-/// The decisions that ownership rests on. The processes use [`ProductionRules`]; the
-/// model check replaces one method at a time to show that it is needed.
+/// Safety rules of the ownership protocol. Production code uses [`ProductionRules`]; the
+/// model check overrides one method at a time to show that the rule is needed.
 pub trait ProtocolRules: fmt::Debug + Clone + Eq + Hash {
-    /// The epoch of a release. Raised, so that a request or a grant from before
-    /// it can be told from one after the move.
+    /// Returns the epoch of a release. It is higher than the epoch before, so that
+    /// requests and grants from before the release can be told from those after the move.
     fn release_epoch(epoch: Epoch) -> Epoch {
         Epoch(epoch.0 + 1)
     }
 
-    /// How long to wait until a span has surely passed on another clock.
-    /// Without the margin an instance with a slow clock would still route.
+    /// Returns how long to wait until `span` has certainly passed on another clock.
+    /// Without the margin an instance with a slow clock would still route after the wait.
     fn add_clock_margin(span: Duration) -> Duration {
         span + span / CLOCK_DRIFT_DIVISOR
     }
 
-    /// What may be promised of a span that another clock will measure: the
-    /// other side of [`Self::add_clock_margin`].
+    /// Returns how much of `span` may be promised to a holder that measures it on another
+    /// clock. Counterpart of [`Self::add_clock_margin`].
     fn subtract_clock_margin(span: Duration) -> Duration {
         span - span / CLOCK_DRIFT_DIVISOR
     }
 
-    /// Whether an acknowledgement ends the wait for a listed start of an
-    /// instance. One of another start must not: the start that is listed may be
-    /// paused and wake up with the old map.
+    /// Returns whether an acknowledgement ends the wait for the listed incarnation of an
+    /// instance. An acknowledgement from another incarnation does not count: the process
+    /// of the listed one may be paused and resume with the old map.
     fn accepts_ack(ack: &Ack, listed: Incarnation, release: Revision) -> bool {
         ack.incarnation == listed && ack.revision >= release
     }
 
-    /// Whether a scope may change hands while somebody is still waited for.
+    /// Returns whether the new owner is committed while instances may still route to the
+    /// old one.
     fn skips_wait() -> bool {
         false
     }
 
-    /// Whether a move counts as done once its last commit has ended, however.
-    /// It must be read back: a commit whose answer was lost may never have
-    /// taken effect.
+    /// Returns whether a move counts as done as soon as its last commit has ended,
+    /// whatever the answer. The row must be read back instead: a commit whose answer was
+    /// lost may never have taken effect.
     fn skips_reread() -> bool {
         false
     }
 
-    /// The version that the last commit of a move is conditional on: that of
-    /// the row it was built from. A mover that was paused would otherwise undo
-    /// the moves that came after its own.
+    /// Returns the row version that the last commit of a move is conditional on: that of
+    /// the row which the commit was built from. Otherwise a mover that was paused would
+    /// undo later moves of the scope.
     fn final_commit_version(row_version: Revision) -> Revision {
         row_version
     }
 
-    /// From when a read of the platform confirms a revision: its begin. What
-    /// was committed while the answer was under way is not in the answer.
+    /// Returns when a routing lease from a platform read starts: at the start of the
+    /// read. Changes committed while the answer was on its way are not in the answer.
     fn lease_start(started: Time, answered: Time) -> Time {
         let _ = answered;
         started
     }
 
-    /// What a relay passes on of its own leave: no more than what is left.
+    /// Returns how much of its own routing lease an instance relays: at most what remains
+    /// of it. `full` is the duration of a new lease.
     fn relayed_lease(remaining: Duration, full: Duration) -> Duration {
         let _ = full;
         remaining
     }
 
-    /// How old a relay says its last read of the platform is. Grace is counted
-    /// from that read, however often the leave was passed on since.
+    /// Returns the age of the platform read that a relayed lease is based on. The grace
+    /// period is counted from that read, however many times the lease has been relayed.
     fn relayed_age(age: Duration) -> Duration {
         age
     }
 
-    /// Whether leave that was passed on to an unlisted start under an older
-    /// revision holds back an acknowledgement of `requested`.
+    /// Returns whether a lease relayed to an unlisted incarnation with revision
+    /// `relayed`, and valid until `until`, prevents an acknowledgement of revision
+    /// `requested`.
     fn blocks_ack(relayed: Revision, requested: Revision, until: Time, now: Time) -> bool {
         relayed < requested && now < until
     }
 
-    /// How long a lease may be, of what is left of the giver's leave. A longer
-    /// one would outlast the mover's wait for the giver.
+    /// Returns the duration of a server lease, given what remains of the routing lease of
+    /// the instance that grants it. A longer server lease would outlast the wait of a
+    /// move for that instance.
     fn server_lease(remaining: Duration, full: Duration) -> Duration {
         remaining.min(full)
     }
 
-    /// Whether every order with a lease brings the server up to date, and not
-    /// the first one only.
+    /// Returns whether every order with a lease carries the grants that have changed,
+    /// rather than the first order only.
     fn sends_changed_grants() -> bool {
         true
     }
 
-    /// How long an expelled instance's row stays in the table.
+    /// Returns how long the row of an expelled instance stays in the table. `longest` is
+    /// the longest routing lease of any instance.
     fn expulsion_wait(longest: Duration) -> Duration {
         Self::add_clock_margin(longest)
     }
 
-    /// Whether a start of a server that was first seen at `first_seen` may be given
-    /// grants under a table that was confirmed by a read begun at `read_started`.
-    /// A restarted server has forgotten its revocations; a read begun after the
-    /// restart was seen knows every release that the earlier start accepted.
+    /// Returns whether grants may be sent to a server process that was first seen at
+    /// `first_seen`, from a table confirmed by a platform read that started at
+    /// `read_started`. A restarted server has lost its revocations. A read that started
+    /// after the restart was seen includes every release that the previous process
+    /// accepted.
     fn may_grant_boot(first_seen: Time, read_started: Time) -> bool {
         read_started > first_seen
     }
 }
 
-/// The rules in force.
+/// The rules used in production.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ProductionRules;
 
--- a/crates/core/src/ownership/scope.rs
+++ b/crates/core/src/ownership/scope.rs
@@ -1,11 +1,12 @@
-//! What an owner owns.
+//! The unit of ownership.
 
 use {
     crate::id::{KeyHash, ShardId},
     std::fmt,
 };
 
-/// What an assignment, an epoch or a grant belongs to, within a service.
+/// Unit of ownership within a service: assignments, epochs and grants each belong to one
+/// scope.
 ///
 /// ```
 /// use citron_core::{id::ShardId, ownership::Scope};
@@ -13,9 +14,9 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
-    /// All keys of a shard, but for those taken out of it.
+    /// All keys of a shard, except the keys that have an assignment of their own.
     Shard(ShardId),
-    /// One key that was taken out of its shard.
+    /// One key with an assignment of its own, apart from its shard.
     Key(KeyHash),
 }
 
