--- a/crates/core/src/placement/draft.rs
+++ b/crates/core/src/placement/draft.rs
@@ -1,4 +1,4 @@
-//! A service while a plan is made.
+//! Working copy of a service's placement while moves are planned.
 
 use {
     super::{Candidate, MoveReason, Proposal, ServiceView, rendezvous::rendezvous_score},
@@ -6,13 +6,13 @@
     std::{cmp::Reverse, collections::BTreeMap},
 };
 
-/// Full means 1,000: a server with just its share.
+/// Fullness in permille of a server that holds exactly its share.
 const FULL_PERMILLE: u128 = 1_000;
-/// An idle scope counts as this part of the mean scope, so that idle scopes are
+/// An idle scope is given the mean scope load divided by this, so that idle scopes are
 /// spread evenly too.
 const IDLE_DIVISOR: u64 = 100;
 
-/// One server on the board.
+/// A server with the load and the request rate of the scopes placed on it.
 struct DraftServer<'a> {
     candidate: &'a Candidate,
     weight: u64,
@@ -20,7 +20,7 @@
     rate: u64,
 }
 
-/// One scope on the board.
+/// A scope with the index of the server that it is placed on.
 struct DraftScope {
     scope: Scope,
     server: Option<usize>,
@@ -29,15 +29,15 @@
     is_moving: bool,
 }
 
-/// A move that could be made on the board.
+/// A possible move: the index of a scope and that of its target server.
 pub(super) struct DraftMove {
-    pub scope: usize,
+    pub entry: usize,
     pub server: usize,
-    /// How full the target would be.
+    /// Fullness of the target after the move, in permille.
     target_fullness: u128,
 }
 
-/// The service while a plan is made: pieces are moved on it one by one.
+/// Placement of a service's scopes, to which planned moves are applied one by one.
 pub(super) struct Draft<'a> {
     servers: Vec<DraftServer<'a>>,
     entries: Vec<DraftScope>,
@@ -88,7 +88,7 @@
         draft
     }
 
-    /// Whether there is no server to own anything.
+    /// Returns whether the service has no server that may own scopes.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
@@ -102,8 +102,8 @@
         }
     }
 
-    /// How full a seat would be with more on it, by load or by its cap,
-    /// whichever is more; in permille.
+    /// Returns the fullness of a server with additional load and rate, in permille: by
+    /// load or by its rate cap, whichever is higher.
     fn fullness(&self, server: usize, load: u64, rate: u64) -> u128 {
         self.load_fullness(server, load)
             .max(self.cap_fullness(server, rate))
@@ -134,7 +134,8 @@
         proposals
     }
 
-    /// The best suited seat within the bound; the emptiest if there is none.
+    /// Returns the server with the highest rendezvous score of those that stay within the
+    /// bound, or the least full server if none does.
     fn choose_server(&self, index: usize, bound_permille: u64) -> usize {
         let entry = &self.entries[index];
         let indices = 0..self.servers.len();
@@ -172,8 +173,8 @@
         }
     }
 
-    /// The fullest seat by load; a cap keeps others from their share, which is
-    /// no imbalance that a move could mend.
+    /// Returns the fullest server by load. Rate caps are left out: load that a capped
+    /// server cannot take raises the load of the others, and no move corrects that.
     fn fullest_server(&self) -> usize {
         let indices = 0..self.servers.len();
         indices
@@ -201,29 +202,31 @@
         capped.or_else(|| self.relieve_load(self.fullest_server()))
     }
 
-    /// The move off a seat over its cap that fills the other end least.
+    /// Returns the move from a server over its rate cap that leaves the target least
+    /// full.
     fn relieve_cap(&self, from: usize) -> Option<DraftMove> {
         let moves = self.candidate_moves(from).filter(|candidate_move| {
-            let rate = self.entries[candidate_move.scope].rate;
+            let rate = self.entries[candidate_move.entry].rate;
             rate > 0 && self.cap_fullness(candidate_move.server, rate) <= FULL_PERMILLE
         });
         moves.min_by_key(|candidate_move| candidate_move.target_fullness)
     }
 
-    /// The move off a seat that leaves the fuller of both ends emptiest; `None`
-    /// if every move would only pass the excess on.
+    /// Returns the move from a server that minimizes the fullness of the fuller of both
+    /// servers; `None` if no move makes the fuller one less full than the source is now.
     fn relieve_load(&self, from: usize) -> Option<DraftMove> {
         let before = self.load_fullness(from, 0);
         let worse_fullness = |candidate_move: &DraftMove| {
             candidate_move
                 .target_fullness
-                .max(self.source_fullness(from, candidate_move.scope))
+                .max(self.source_fullness(from, candidate_move.entry))
         };
         let best = self.candidate_moves(from).min_by_key(worse_fullness)?;
         (worse_fullness(&best) < before).then_some(best)
     }
 
-    /// Every piece of a seat with the seat that it would fill least.
+    /// Returns every scope of a server that is not moving, with the target that would be
+    /// least full.
     fn candidate_moves(&self, from: usize) -> impl Iterator<Item = DraftMove> {
         let entries = self.entries.iter().enumerate();
         let own = entries.filter(move |(_, entry)| entry.server == Some(from) && !entry.is_moving);
@@ -233,7 +236,7 @@
                 targets.map(|server| (self.fullness(server, entry.load, entry.rate), server));
             let (target_fullness, server) = target_fullness.min()?;
             Some(DraftMove {
-                scope: index,
+                entry: index,
                 server,
                 target_fullness,
             })
--- a/crates/core/src/placement/hot_keys.rs
+++ b/crates/core/src/placement/hot_keys.rs
@@ -1,4 +1,4 @@
-//! Which keys are hot enough to be owned on their own.
+//! Selection of the keys that are hot enough to be assigned apart from their shard.
 
 use {
     super::Load,
@@ -6,17 +6,18 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// When keys are taken out of their shard and put back.
+/// Limits for extracting keys from their shard and returning them to it.
 #[derive(Debug, Clone)]
 pub struct HotKeyLimits {
-    /// Load of a key, in percent of a mean server's, that takes it out.
+    /// Load from which a key is extracted, in percent of the mean load of a server.
     pub extract_percent: u64,
-    /// Load below which it goes back; well below `is_extracted`, so that a key at the
-    /// limit does not go to and fro.
+    /// Load below which a key is returned, in percent of the mean load of a server. It is
+    /// well below `extract_percent`, so that a key near the limit does not change back
+    /// and forth.
     pub return_percent: u64,
-    /// How long either has to last.
+    /// How long a key must stay beyond its limit before it is extracted or returned.
     pub hold: Duration,
-    /// The most keys taken out of one service.
+    /// Maximum number of extracted keys of one service.
     pub max_keys: usize,
 }
 
@@ -31,25 +32,25 @@
     }
 }
 
-/// A key whose place should change.
+/// Recommended change for one key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HotKeyChange {
-    /// It should be owned alone.
+    /// Assign the key apart from its shard.
     Extract(KeyHash),
-    /// It should go back into its shard.
+    /// Return the key to its shard.
     Return(KeyHash),
 }
 
-/// Follows the load of single keys.
+/// Tracks the load of the hottest keys of one service.
 #[derive(Debug, Default)]
 pub struct HotKeyTracker {
     limits: HotKeyLimits,
-    /// Since when a key has been on the other side of its limit.
+    /// When each key passed its limit.
     crossed_since: BTreeMap<KeyHash, Time>,
 }
 
 impl HotKeyTracker {
-    /// With limits of its own.
+    /// Creates a tracker with the given limits.
     pub fn new(limits: HotKeyLimits) -> Self {
         let crossed_since = BTreeMap::new();
         Self {
@@ -58,8 +59,9 @@
         }
     }
 
-    /// The changes due now. `keys` holds the measured hottest keys and every key
-    /// that is out; `mean_load` is the mean load of a server.
+    /// Returns the changes that are due. `keys` holds the hottest keys measured and every
+    /// extracted key, each with its load and whether it is extracted; `mean_load` is the
+    /// mean load of a server.
     pub fn update(
         &mut self,
         keys: &[(KeyHash, Load, bool)],
--- a/crates/core/src/placement/load.rs
+++ b/crates/core/src/placement/load.rs
@@ -1,11 +1,12 @@
-//! How much work something is.
+//! Amount of work.
 
 use {
     crate::id::ParseIdError,
     std::{fmt, str::FromStr},
 };
 
-/// Busy slot time: microseconds of slot time taken in a second of time.
+/// Load, as microseconds of busy slot time in a second. A server slot runs one request at
+/// a time.
 ///
 /// ```
 /// use citron_core::placement::Load;
@@ -26,7 +27,7 @@
     }
 }
 
-/// Reads the number of microseconds.
+/// Parses a number of microseconds.
 impl FromStr for Load {
     type Err = ParseIdError;
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Which backend server should own which shard.
+//! Placement of shards and hot keys on backend servers.
 //!
-//! Nothing moves without a reason: an owner that is lost or leaving, or an
-//! imbalance that has lasted. A lost owner's shards go by weighted rendezvous
-//! hashing with bounded load; balance takes the fewest shards that help.
+//! Scopes move only if their owner is lost or leaving, or if an imbalance has lasted. The
+//! scopes of a lost owner are placed by weighted rendezvous hashing with bounded loads;
+//! balancing moves as few scopes as it needs.
 
 mod draft;
 mod hot_keys;
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! Which shards should move now.
+//! Planning of moves.
 
 use {
     super::{ServiceView, TokenBucket, draft::Draft},
@@ -9,11 +9,11 @@
 /// Limits of the planner.
 #[derive(Debug, Clone)]
 pub struct PlannerLimits {
-    /// How long an imbalance has to last before anything moves for it; shorter
-    /// ones cost more warm state than they are worth.
+    /// How long an imbalance must last before scopes move for it. Moving for shorter ones
+    /// costs more in lost server caches than it gains.
     pub imbalance_hold: Duration,
-    /// How full a new owner may become by the scopes of a lost one, in permille
-    /// of its share.
+    /// Fullness up to which a new owner may be filled with scopes of a lost one, in
+    /// permille of its share.
     pub load_bound_permille: u64,
 }
 
@@ -26,23 +26,23 @@
     }
 }
 
-/// Why a scope should move.
+/// Reason for a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveReason {
-    /// It has no owner that may keep it.
+    /// The scope has no owner that may keep it.
     Unassigned,
-    /// Its owner has had too much work for too long.
+    /// The owner has been overloaded for too long.
     Balance,
 }
 
-/// A scope that should move.
+/// A proposed move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Which.
+    /// The scope to move.
     pub scope: Scope,
-    /// Its next owner.
+    /// The next owner.
     pub to: ServerName,
-    /// Why.
+    /// The reason for the move.
     pub reason: MoveReason,
 }
 
@@ -51,12 +51,12 @@
 pub struct Planner {
     limits: PlannerLimits,
     budget: TokenBucket,
-    /// Since when the imbalance has lasted.
+    /// When the imbalance began.
     uneven_since: Option<Time>,
 }
 
 impl Planner {
-    /// A planner with limits of its own.
+    /// Creates a planner with the given limits.
     pub fn new(limits: PlannerLimits) -> Self {
         Self {
             limits,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The moves to begin now: all orphans, and for balance as many as the
-    /// budget allows once the imbalance has lasted.
+    /// Returns the moves to begin now: those of all unassigned scopes and, once an
+    /// imbalance has lasted, as many for balance as the move budget allows.
     pub fn plan(&mut self, view: &ServiceView, now: Time) -> Vec<Proposal> {
         let mut draft = Draft::new(view);
         if draft.is_empty() {
@@ -82,7 +82,7 @@
             {
                 break;
             }
-            proposals.push(draft.move_scope(next.scope, next.server, MoveReason::Balance));
+            proposals.push(draft.move_scope(next.entry, next.server, MoveReason::Balance));
         }
         proposals
     }
--- a/crates/core/src/placement/service_view.rs
+++ b/crates/core/src/placement/service_view.rs
@@ -1,4 +1,4 @@
-//! What the planner looks at.
+//! Input of the planner.
 
 use {
     super::Load,
@@ -11,52 +11,52 @@
     std::time::Duration,
 };
 
-/// How long a cold server takes to get its whole share.
+/// How long a server that was started is given less than its whole share.
 const WARMUP_TIME: Duration = Duration::from_secs(60);
-/// The share that a cold server begins with, in percent of its weight.
+/// Share of a server at its start, in percent of its weight.
 const COLD_SHARE_PERCENT: u64 = 20;
 
-/// A server that may own shards: reachable, active and not leaving.
+/// A server that may own scopes: it is reachable, active and not leaving.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Its name.
+    /// The server's name.
     pub name: ServerName,
-    /// Its share.
+    /// The server's weight, which sets its share of the load.
     pub weight: Weight,
-    /// How much of its share it may get yet, in percent; see [`warmup_percent`].
+    /// Part of its share that the server may get, in percent; see [`warmup_percent`].
     pub warmup_percent: u64,
-    /// Requests a second it may get.
+    /// The requests per second that the server may get, if limited.
     pub rate_cap: Option<u32>,
 }
 
-/// One shard or hot key, and the work it makes.
+/// A shard or hot key with its measured load.
 #[derive(Debug, Clone)]
 pub struct ScopeLoad {
-    /// Which.
+    /// The shard or hot key.
     pub scope: Scope,
-    /// Its owner, if it has one.
+    /// The current owner, if any.
     pub owner: Option<ServerName>,
-    /// Measured work.
+    /// Measured load.
     pub load: Load,
-    /// Measured requests a second.
+    /// Measured requests per second.
     pub rate: u32,
-    /// Whether it is changing hands already.
+    /// Whether a move of the scope is in progress.
     pub is_moving: bool,
 }
 
-/// One service as it is now. The order of servers and scopes does not matter.
+/// Current state of one service. The order of servers and scopes does not matter.
 #[derive(Debug, Clone)]
 pub struct ServiceView {
-    /// Servers that may own.
+    /// The servers that may own scopes.
     pub servers: Vec<Candidate>,
     /// All shards and hot keys of the service.
     pub scopes: Vec<ScopeLoad>,
-    /// How fast shards may move for balance.
+    /// Limits of the moves for balance.
     pub move_budget: MoveBudget,
 }
 
-/// How much of its share a server may get, in percent, so that a cold one is
-/// not flooded.
+/// Returns the part of its share that a server may get, in percent. It grows from the
+/// server's start, so that a cold server is not overloaded.
 ///
 /// ```
 /// use {citron_core::{placement::warmup_percent, time::Time}, std::time::Duration};
--- a/crates/core/src/placement/token_bucket.rs
+++ b/crates/core/src/placement/token_bucket.rs
@@ -1,10 +1,10 @@
-//! How many shards may still move for balance.
+//! Rate limit for moves that balance load.
 
 use {crate::time::Time, std::time::Duration};
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A token bucket that holds one minute's moves.
+/// Token bucket that holds at most the moves of one minute. It is full at first use.
 ///
 /// ```
 /// use {citron_core::{placement::TokenBucket, time::Time}, std::time::Duration};
@@ -16,12 +16,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct TokenBucket {
     refilled_at: Option<Time>,
-    /// Moves times the microseconds of a minute.
+    /// Available moves, multiplied by the microseconds of a minute.
     tokens: u128,
 }
 
 impl TokenBucket {
-    /// Takes one move of `per_minute` a minute, if there is one.
+    /// Takes one move if available, at a rate of `per_minute` moves a minute.
     pub fn try_take(&mut self, per_minute: u32, now: Time) -> bool {
         let cost = MINUTE.as_micros();
         let full = u128::from(per_minute) * cost;
