--- a/crates/core/src/membership/error.rs
+++ b/crates/core/src/membership/error.rs
@@ -1,28 +1,30 @@
-//! Errors of joining.
+//! Errors of joining the instance list.
 
 use {
     crate::id::{Incarnation, InstanceId},
     thiserror::Error,
 };
 
-/// Why an instance cannot be listed now; nothing is changed.
+/// Reason why an instance cannot be listed now. The table is unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum JoinError {
-    /// Another start holds the id. If its process is known to be gone, it can
-    /// be expelled; if not, two instances were given one id.
+    /// Another incarnation with the same id is listed. It can be expelled if its process
+    /// is known to have ended; otherwise two instances are configured with one id.
     #[error("instance {instance} is listed with incarnation {found}, which has not left")]
     IdInUse {
-        /// The id.
+        /// The instance id.
         instance: InstanceId,
-        /// The start that is listed.
+        /// The listed incarnation.
         found: Incarnation,
     },
-    /// The former start is expelled, but may still act on its last leave.
-    #[error("instance {instance}: incarnation {found} is expelled, but its leave has not run out")]
+    /// The previous incarnation is expelled, but its routing lease may still be valid.
+    #[error(
+        "instance {instance}: incarnation {found} is expelled, but its routing lease has not expired"
+    )]
     LeaseNotExpired {
-        /// The id.
+        /// The instance id.
         instance: InstanceId,
-        /// The start that is listed.
+        /// The listed incarnation.
         found: Incarnation,
     },
 }
--- a/crates/core/src/membership/instances.rs
+++ b/crates/core/src/membership/instances.rs
@@ -1,4 +1,4 @@
-//! The instances that the table lists.
+//! Membership of instances in the table.
 
 use {
     super::{JoinError, Member},
@@ -11,13 +11,13 @@
     std::{collections::BTreeMap, marker::PhantomData, time::Duration},
 };
 
-/// Joining, leaving and being expelled, from the rows of instances.
+/// Joining, leaving and expulsion of instances, by their rows in the table.
 ///
-/// A mover waits for every listed start of an instance, and for no other. So a
-/// start must be listed before it routes on reads of its own, and its row may
-/// only go once it can route no more: it has stopped by itself, or it was
-/// marked as expelled and its leave has run out since. An expelled start that
-/// sees its row stops at once.
+/// A mover waits for every listed incarnation of an instance, and for no other. An
+/// incarnation must therefore be listed before it routes by its own platform reads. Its
+/// row may be removed only once it routes no more: it has stopped, or it was marked as
+/// expelled and its routing lease has ended since. An expelled incarnation that reads its
+/// row stops at once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Membership<R: ProtocolRules = ProductionRules> {
     durations: LeaseDurations,
@@ -27,7 +27,7 @@
 }
 
 impl<R: ProtocolRules> Membership<R> {
-    /// A roster that has seen no table yet.
+    /// Creates a membership that has seen no table yet.
     pub fn new(durations: LeaseDurations) -> Self {
         Self {
             durations,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Notes which expulsions the table shows; call it with each newer table.
+    /// Records the expulsions that the table shows. To be called with each newer table.
     pub fn observe(&mut self, table: &Table, now: Time) {
         let mut expelled = BTreeMap::new();
         for row in table.instances() {
@@ -49,8 +49,8 @@
         self.expelled = expelled;
     }
 
-    /// Whether this start is listed, and so may route on reads of its own under
-    /// this table. An unlisted one may route on relayed time only.
+    /// Returns whether an incarnation is listed, and so may route by its own platform
+    /// reads under this table. An unlisted one may route only by relayed leases.
     pub fn is_listed(table: &Table, member: &Member) -> bool {
         let row = instance(table, &member.instance).map(|(_, row)| row);
         row.is_some_and(|row| {
@@ -58,10 +58,11 @@
         })
     }
 
-    /// The commit that lists an instance.
+    /// Returns the commit that lists an instance.
     ///
     /// # Errors
-    /// [`JoinError`] if another start holds the id and may still act.
+    ///
+    /// [`JoinError`] if another incarnation has the id and may still route.
     pub fn join(&self, table: &Table, row: InstanceRow, now: Time) -> Result<Commit, JoinError> {
         let Some((version, old)) = instance(table, &row.id) else {
             return Ok(write(&row.id.clone(), Revision(0), Some(row)));
@@ -81,24 +82,28 @@
         Ok(write(&row.id.clone(), version, Some(row)))
     }
 
-    /// The commit that says that a start takes no more callers.
+    /// Returns the commit that marks an incarnation as leaving: it takes no new
+    /// connections from callers.
     pub fn leave(table: &Table, member: &Member) -> Option<Commit> {
         Self::set_state(table, member, InstanceState::Leaving)
     }
 
-    /// The commit by which a start that has stopped routing strikes itself off.
+    /// Returns the commit that removes the row of an incarnation which has stopped
+    /// routing.
     pub fn remove(table: &Table, member: &Member) -> Option<Commit> {
         let (version, row) = instance(table, &member.instance)?;
         let is_same = row.incarnation == member.incarnation;
         is_same.then(|| write(&member.instance, version, None))
     }
 
-    /// The commit that expels a start, for instance one that is surely lost.
+    /// Returns the commit that expels an incarnation, for instance one that is certainly
+    /// lost.
     pub fn expel(table: &Table, member: &Member) -> Option<Commit> {
         Self::set_state(table, member, InstanceState::Expelled)
     }
 
-    /// The commits that strike off expelled starts whose leave has run out.
+    /// Returns the commits that remove expelled incarnations whose routing lease has
+    /// ended.
     pub fn remove_expelled(&self, table: &Table, now: Time) -> Vec<Commit> {
         let is_over = |member: &&Member| self.is_lease_over(table, member, now);
         let members = self.expelled.keys().filter(is_over);
@@ -124,7 +129,8 @@
     }
 }
 
-/// The longest that any instance may route after its last read of the platform.
+/// Returns the longest time for which any instance may route after its last platform
+/// read.
 pub fn longest_lease(table: &Table, durations: LeaseDurations) -> Duration {
     let graces = table.services().map(|row| row.grace);
     graces.fold(durations.routing, Duration::max)
--- a/crates/core/src/membership/member.rs
+++ b/crates/core/src/membership/member.rs
@@ -1,22 +1,22 @@
-//! One start of one instance.
+//! Identity of an instance process.
 
 use crate::{
     id::{Incarnation, InstanceId},
     table::InstanceRow,
 };
 
-/// Names one start of an instance: a restarted one has forgotten what it
-/// acknowledged, and its former start may still be alive.
+/// One incarnation of an instance. A restarted instance has lost its acknowledgements,
+/// and its previous process may still run, so the two are distinct members.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
     /// The instance.
     pub instance: InstanceId,
-    /// The start of it.
+    /// The incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
 impl Member {
-    /// The start that a row lists.
+    /// Returns the incarnation that a row lists.
     pub fn from_row(row: &InstanceRow) -> Self {
         Self {
             instance: row.id.clone(),
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which instances there are, and until when each may route.
+//! Membership of instances, and the routing leases that limit until when each may route.
 
 mod error;
 mod instances;
--- a/crates/core/src/membership/relayed_leases.rs
+++ b/crates/core/src/membership/relayed_leases.rs
@@ -1,4 +1,4 @@
-//! Leave that an instance has passed on to others.
+//! Routing leases that an instance has relayed to others.
 
 use {
     super::{Member, RemainingLease, RoutingLease},
@@ -12,19 +12,19 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct RelayedLease {
-    /// The oldest revision that the asker may still have in force.
+    /// The oldest revision that the other instance may still route by.
     revision: Revision,
     until: Time,
 }
 
-/// What an instance gave to starts that the table does not list.
+/// Routing leases relayed to incarnations that the table does not list.
 ///
-/// A mover waits for the listed ones only. One that started while the platform
-/// was down routes on relayed time, unknown to the mover: if its giver
-/// acknowledged a release meanwhile, the scope would change hands while the
-/// unlisted one still routes to the old owner. So the giver holds back its own
-/// acknowledgement until the unlisted ones have acknowledged to it, or until
-/// what it gave them has run out.
+/// A mover waits for listed incarnations only. An instance that started while the
+/// platform was unavailable routes by a relayed lease, unknown to the mover. If the
+/// instance that relayed the lease acknowledged a release in the meantime, the scope
+/// would get its new owner while the unlisted instance still routes to the old one. The
+/// relaying instance therefore delays its acknowledgement until the unlisted instances
+/// have acknowledged to it, or until the leases relayed to them have ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RelayedLeases<R: ProtocolRules = ProductionRules> {
     durations: LeaseDurations,
@@ -33,7 +33,7 @@
 }
 
 impl<R: ProtocolRules> RelayedLeases<R> {
-    /// Nothing was given yet.
+    /// Creates a record without relayed leases.
     pub fn new(durations: LeaseDurations) -> Self {
         Self {
             durations,
@@ -42,8 +42,9 @@
         }
     }
 
-    /// What an asker is given of the confirmation of `revision`, the map in
-    /// force here; `longest` is the longest leave of any service.
+    /// Returns what remains of the routing lease of `revision`, the revision in force
+    /// here, and records it if the asking instance is unlisted. `longest` is the longest
+    /// routing lease of any service.
     pub fn relay(
         &mut self,
         asker: &Member,
@@ -62,21 +63,24 @@
         Some(remaining)
     }
 
-    /// An earlier answer may be all that the asker has, as the later may be
-    /// lost: the older revision stays until the asker says otherwise.
+    /// Records a relayed lease. The answer may be lost, so that an earlier one is all
+    /// that the asking instance has: the older revision is kept until the instance
+    /// acknowledges a newer one.
     fn record(&mut self, asker: &Member, new: RelayedLease) {
         let relayed = self.unlisted.entry(asker.clone()).or_insert(new);
         relayed.until = relayed.until.max(new.until);
     }
 
-    /// An unlisted asker has acknowledged a revision, as to a mover.
+    /// Records an acknowledgement from an unlisted instance, which it gives as it would
+    /// to a mover.
     pub fn record_ack(&mut self, asker: &Member, revision: Revision) {
         if let Some(relayed) = self.unlisted.get_mut(asker) {
             relayed.revision = relayed.revision.max(revision);
         }
     }
 
-    /// Whether nobody routes on leave from here under a revision before this.
+    /// Returns whether no instance routes by a lease relayed from here under a revision
+    /// before this one.
     pub fn is_settled(&self, revision: Revision, now: Time) -> bool {
         let mut relayed = self.unlisted.values();
         !relayed.any(|relayed| R::blocks_ack(relayed.revision, revision, relayed.until, now))
--- a/crates/core/src/membership/report.rs
+++ b/crates/core/src/membership/report.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of their load and of crashes.
+//! Reports of load and crashes between instances.
 
 use {
     super::Member,
@@ -6,14 +6,14 @@
     std::collections::BTreeMap,
 };
 
-/// All that one start of an instance tells the others, again and again; a later
-/// report replaces an earlier one.
+/// Report that an incarnation sends to the other instances at intervals. A later report
+/// replaces an earlier one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InstanceReport {
-    /// Whose report it is.
+    /// The incarnation that sent the report.
     pub sender: Member,
     /// Its requests, by backend server.
     pub demands: BTreeMap<ServerName, Demand>,
-    /// The crashes that it counted.
+    /// The crashes that it has counted.
     pub crashes: CrashReport,
 }
--- a/crates/core/src/membership/routing_lease.rs
+++ b/crates/core/src/membership/routing_lease.rs
@@ -1,4 +1,4 @@
-//! Until when an instance may route under the revision it knows.
+//! Routing lease of an instance.
 
 use {
     crate::{
@@ -8,13 +8,15 @@
     std::time::Duration,
 };
 
-/// A domain's end that never comes: grace alone limits the domain's routing.
+/// Value of [`RoutingLease::own_domain_until`] without a limit by confirmers; the grace
+/// period alone limits the lease.
 const NEVER: Time = Time::from_micros(u64::MAX);
 
-/// Ends of an instance's leave to route, on its own monotonic clock.
+/// Lease under which an instance may route by its table revision, in times of its own
+/// monotonic clock.
 ///
-/// It always travels together with the map it confirms: a newer confirmation
-/// with an older map would let a request follow an owner that has been replaced.
+/// A lease is always kept together with the map that it confirms. A newer lease with an
+/// older map would allow a request to an owner that has been replaced.
 ///
 /// ```
 /// use {citron_core::{membership::RoutingLease, time::Time}, std::time::Duration};
@@ -29,26 +31,27 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct RoutingLease {
-    /// Until then it may route to servers in any failure domain.
+    /// End of the lease for servers in any failure domain.
     pub any_domain_until: Time,
-    /// When the last read of the platform that it rests on was begun.
+    /// Start of the platform read that the lease is based on.
     pub read_started: Time,
-    /// Until then its own domain's confirmers stand by the revision.
+    /// Until when the confirmers of the instance's own failure domain confirm the
+    /// revision.
     pub own_domain_until: Time,
 }
 
-/// What one instance passes on of its confirmation to another: spans only, as
-/// two clocks are never compared.
+/// What remains of a routing lease, relayed to another instance. It consists of durations
+/// only, as clocks of two instances are never compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RemainingLease {
-    /// What is left of the leave to route anywhere.
+    /// Remaining duration of the lease for servers in any failure domain.
     pub any_domain: Duration,
-    /// How long ago the read of the platform was begun.
+    /// Time since the start of the platform read.
     pub age: Duration,
 }
 
 impl RoutingLease {
-    /// From a read of the platform that was begun and answered at these times.
+    /// Creates a lease from a platform read with these start and answer times.
     ///
     /// ```
     /// use citron_core::{membership::RoutingLease, ownership::LeaseDurations, time::Time};
@@ -60,7 +63,7 @@
         Self::from_read_with::<ProductionRules>(started, answered, durations)
     }
 
-    /// [`Self::from_read`] under other rules.
+    /// Same as [`Self::from_read`], with the given rules.
     pub fn from_read_with<R: ProtocolRules>(
         started: Time,
         answered: Time,
@@ -74,12 +77,12 @@
         }
     }
 
-    /// What may be passed on at `now`; `None` if it rests on no read.
+    /// Returns what may be relayed at `now`; `None` if the lease is not based on a read.
     pub fn remaining(&self, now: Time, durations: LeaseDurations) -> Option<RemainingLease> {
         self.remaining_with::<ProductionRules>(now, durations)
     }
 
-    /// [`Self::remaining`] under other rules.
+    /// Same as [`Self::remaining`], with the given rules.
     pub fn remaining_with<R: ProtocolRules>(
         &self,
         now: Time,
@@ -92,9 +95,9 @@
         })
     }
 
-    /// From another instance's answer to a question that was sent at `sent`.
-    /// The other measured its spans later than that, so that counting them from
-    /// `sent` ends no later than the other's own.
+    /// Creates a lease from another instance's answer to a question sent at `sent`. The
+    /// other instance measured the durations after `sent`, so counting them from `sent`
+    /// ends the lease no later than the other instance's own.
     ///
     /// ```
     /// use {citron_core::{membership::{RoutingLease, RemainingLease}, time::Time}, std::time::Duration};
@@ -112,9 +115,9 @@
         }
     }
 
-    /// The later of two, each end by itself. Both must be of the map in force
-    /// or of an older one: whatever an older revision's confirmation rules out
-    /// until its end, a newer revision's does too.
+    /// Returns the later of each of both leases' times. Both leases must belong to the
+    /// map in force or to an older one: any owner change that an older revision's lease
+    /// excludes until its end, a newer revision's lease excludes too.
     pub fn merge(self, other: Self) -> Self {
         Self {
             any_domain_until: self.any_domain_until.max(other.any_domain_until),
@@ -123,8 +126,8 @@
         }
     }
 
-    /// When the leave ends; `is_own_domain` says that the server is in the instance's own
-    /// failure domain, `grace` is the service's.
+    /// Returns the end of the lease. `is_own_domain` states whether the server is in the
+    /// instance's own failure domain; `grace` is the service's grace period.
     pub fn end(&self, is_own_domain: bool, grace: Duration) -> Time {
         let own_domain_until = self.own_domain_until.min(self.read_started + grace);
         match is_own_domain {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Whether a request may be written now.
+    /// Returns whether a request may be sent now.
     pub fn allows(&self, now: Time, is_own_domain: bool, grace: Duration) -> bool {
         now < self.end(is_own_domain, grace)
     }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -1,23 +1,24 @@
-//! What instances tell each other of themselves.
+//! Status that instances send to each other.
 
 use {
     super::RemainingLease,
     crate::id::{DomainName, Incarnation, InstanceId, Revision},
 };
 
-/// Where an instance stands.
+/// Status of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// Its name.
+    /// The instance's id.
     pub instance: InstanceId,
-    /// Which start of it.
+    /// The incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: DomainName,
-    /// The revision that its traffic is routed by.
+    /// The revision that the instance routes by.
     pub revision: Revision,
-    /// What it passes on of its confirmation; `None` if it rests on no read.
+    /// What the instance relays of its routing lease; `None` if the lease is not based on
+    /// a read.
     pub remaining: Option<RemainingLease>,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     pub is_leaving: bool,
 }
