--- a/crates/core/tests/model/actors.rs
+++ b/crates/core/tests/model/actors.rs
@@ -1,4 +1,4 @@
-//! Instances, servers and movers of the model.
+//! Actors of the model: instances, servers and movers.
 
 use {
     super::{
@@ -16,26 +16,26 @@
     std::time::Duration,
 };
 
-/// One process of an instance. It forgets everything when it ends.
+/// One process of an instance. All its state is lost when it ends.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Process<R: ProtocolRules> {
-    /// Its instance's number.
+    /// The number of its instance.
     pub number: usize,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Its copy of the table; `None` before the first.
+    /// Its copy of the table; `None` before the first read.
     pub table: Option<TableId>,
-    /// Its leave to route.
+    /// Its routing lease.
     pub lease: RoutingLease,
-    /// A read of the platform on its way back: when it was begun, what it found.
+    /// A platform read whose answer is on its way: start time and table read.
     pub pending_read: Option<(Time, TableId)>,
-    /// When it last asked another for leave.
+    /// When it last asked another instance for a routing lease.
     pub lease_asked_at: Option<Time>,
-    /// What it gave to unlisted starts.
+    /// Leases that it has relayed to unlisted incarnations.
     pub relayed_leases: RelayedLeases<R>,
-    /// Its orders to the first owner.
+    /// Its grant orders to the first owner.
     pub granter: Granter<R>,
-    /// Its view of expulsions.
+    /// The expulsions that it has seen.
     pub membership: Membership<R>,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Its name in acknowledgements.
+    /// Its identity in acknowledgements.
     pub fn member(&self) -> Member {
         Member {
             instance: INSTANCES[self.number].parse().unwrap(),
@@ -64,11 +64,11 @@
     }
 }
 
-/// A backend server; its check of grants is the contract that operators' servers
-/// keep. The model has one scope.
+/// A backend server. It checks grants by the contract that operators' servers implement.
+/// The model has one scope.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Server {
-    /// Its start.
+    /// Identity of the server process.
     pub boot: BootId,
     /// The end of its lease, on its own clock.
     pub lease_end: Duration,
@@ -77,7 +77,7 @@
 }
 
 impl Server {
-    /// A start that holds nothing.
+    /// A server process without grants.
     pub fn new(boot: u64) -> Self {
         Self {
             boot: BootId(boot),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes an order at its own clock.
+    /// Applies an order at a time of the server's own clock.
     pub fn apply_order(&mut self, order: &GrantOrder, clock: Duration) -> GrantReply {
         if order.boot == Some(self.boot) {
             for grant in &order.grants {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes one grant; whether it was accepted.
+    /// Applies one grant. Returns whether it was accepted.
     pub fn apply_grant(&mut self, epoch: Epoch, kind: GrantKind) -> bool {
         let (seen, last) = self.last_grant.unwrap_or((Epoch(0), GrantKind::Own));
         let undone = epoch == seen && last == GrantKind::Revoke && kind == GrantKind::Own;
@@ -113,27 +113,27 @@
         true
     }
 
-    /// Whether it runs a request.
+    /// Whether the server runs a request.
     pub fn allows(&self, epoch: Epoch, clock: Duration) -> bool {
         self.last_grant == Some((epoch, GrantKind::Own)) && clock < self.lease_end
     }
 }
 
-/// A process that finishes moves. It may be left at any point.
+/// A process that completes moves. It may stop at any point.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Driver<R: ProtocolRules> {
     /// Its copy of the table.
     pub table: TableId,
-    /// The move it works on.
+    /// The move in progress.
     pub mover: Option<Mover<R>>,
     /// Its last commit, which may take effect at any later time.
     pub commit: Option<CommitId>,
-    /// Whether it has heard, or given up on, the commit's answer.
+    /// Whether it has received the commit's answer or stopped waiting for it.
     pub commit_ended: bool,
 }
 
 impl<R: ProtocolRules> Driver<R> {
-    /// A driver with nothing to do.
+    /// A driver without a move.
     pub fn new() -> Self {
         Self {
             table: TableId(0),
@@ -149,29 +149,29 @@
 pub struct Request {
     /// The process that sent it.
     pub sender: usize,
-    /// The server.
+    /// The number of the target server.
     pub server: usize,
-    /// The epoch it carries.
+    /// The epoch that it carries.
     pub epoch: Epoch,
-    /// The tick it was sent at.
+    /// The tick at which it was sent.
     pub sent_at: u8,
 }
 
 /// An order on its way to a server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DelayedOrder {
-    /// The server.
+    /// The number of the target server.
     pub server: usize,
     /// The order.
     pub order: GrantOrder,
 }
 
-/// The first tick as a server's clock.
+/// A tick as a reading of a server's clock.
 pub fn server_time(tick: u8) -> Duration {
     time(tick) - Time::ZERO
 }
 
-/// The tick before the first, when granters first met the servers.
+/// The tick before the first one, at which granters first contacted the servers.
 pub fn first_contact() -> Time {
     time(START_TICK - 1)
 }
--- a/crates/core/tests/model/checks.rs
+++ b/crates/core/tests/model/checks.rs
@@ -1,6 +1,6 @@
-//! Exhaustive check of the ownership protocol at small bounds: no run within
-//! them lets two owners run requests, loses a move that was reported done, or
-//! reuses an epoch. The snapshots hold the numbers of states.
+//! Exhaustive check of the ownership protocol within small bounds: no run lets two owners
+//! run requests, loses a move that was reported as done, or reuses an epoch. The
+//! snapshots hold the numbers of states.
 
 use {
     super::{search::search, setup::Setup},
@@ -8,12 +8,12 @@
     insta::assert_snapshot,
 };
 
-/// States of an exhaustive run, or the run that breaks a promise.
+/// The number of states of an exhaustive search, or the run that violates an invariant.
 fn search_report(setup: Setup) -> String {
     let found = search::<ProductionRules>(setup);
     let report = match found.violation {
         None => format!(
-            "{}: no promise broken in {} states",
+            "{}: no invariant violated in {} states",
             setup.name, found.states
         ),
         Some((violated, run)) => format!("{}: {violated:?} by {run:?}", setup.name),
--- a/crates/core/tests/model/events.rs
+++ b/crates/core/tests/model/events.rs
@@ -1,4 +1,4 @@
-//! What may happen next: time, and what instances do.
+//! Transitions of the model: the passing of time, and the actions of instances.
 
 use {
     super::{
@@ -16,18 +16,18 @@
     std::cell::RefCell,
 };
 
-/// Generates the states that follow a state.
+/// Generates the successors of a state.
 #[derive(Debug)]
 pub struct Model {
     pub setup: Setup,
     pub interner: RefCell<Interner>,
 }
 
-/// The states that follow, as they are found.
+/// The successors found so far.
 pub type Successors<R> = Vec<SearchNode<R>>;
 
 impl Model {
-    /// A model within bounds.
+    /// A model with the given bounds.
     pub fn new(setup: Setup) -> Self {
         let interner = RefCell::new(Interner::new(&setup));
         Self { setup, interner }
@@ -56,8 +56,8 @@
         next
     }
 
-    /// Whether nothing can go wrong any more: the table stays as it is, and
-    /// nothing is under way that knows an older one.
+    /// Whether no violation can follow any more: the table does not change, and no actor,
+    /// request or commit is left that is based on an older one.
     fn is_quiescent<R: ProtocolRules>(&self, state: &State<R>) -> bool {
         let is_idle = |d: &super::actors::Driver<R>| d.mover.is_none() && d.commit.is_none();
         let is_current = |p: &super::actors::Process<R>| p.table == Some(state.table);
@@ -77,17 +77,18 @@
         let mut later = state.clone();
         later.now += 1;
         if state.remaining.missed_ticks > 0 {
-            for party in 0..=state.processes.len() {
+            for actor in 0..=state.processes.len() {
                 let mut slow = later.clone();
-                slow.clock_lag[party] += 1;
+                slow.clock_lag[actor] += 1;
                 slow.remaining.missed_ticks -= 1;
-                push(next, "miss a tick", party, self.wake_drivers(slow));
+                push(next, "miss a tick", actor, self.wake_drivers(slow));
             }
         }
         push(next, "tick", 0, self.wake_drivers(later));
     }
 
-    /// Movers are woken by time; one that is late does no more than commit late.
+    /// Steps all movers at each tick. A mover that is stepped later would only commit
+    /// later.
     fn wake_drivers<R: ProtocolRules>(&self, state: State<R>) -> State<R> {
         let mut state = self.drop_expired(state);
         self.refresh_leases(&mut state);
@@ -97,22 +98,23 @@
         state
     }
 
-    /// Whoever holds the newest table can read it again at any time, and more
-    /// leave only allows more: let it have read just now.
+    /// Lets every process with the newest table read it again now. It could do so at any
+    /// time, and a longer lease only allows more runs.
     fn refresh_leases<R: ProtocolRules>(&self, state: &mut State<R>) {
-        for party in 0..state.processes.len() {
-            if state.processes[party].table == Some(state.table) {
-                let now = state.clock(party);
-                self.apply_read(state, party, now, state.table);
+        for actor in 0..state.processes.len() {
+            if state.processes[actor].table == Some(state.table) {
+                let now = state.clock(actor);
+                self.apply_read(state, actor, now, state.table);
             }
         }
     }
 
-    /// What has run out makes no difference any more; dropping it merges states.
+    /// Drops what has expired. It makes no difference any more, and dropping it merges
+    /// states.
     fn drop_expired<R: ProtocolRules>(&self, mut state: State<R>) -> State<R> {
-        for party in 0..state.processes.len() {
-            let now = state.clock(party);
-            let process = &mut state.processes[party];
+        for actor in 0..state.processes.len() {
+            let now = state.clock(actor);
+            let process = &mut state.processes[actor];
             let relays_leases = self.setup.relays_leases;
             if !self.setup.is_fenced && !relays_leases && process.lease.end(true, GRACE) <= now {
                 process.lease = RoutingLease::default();
@@ -123,8 +125,8 @@
         state
     }
 
-    /// Sends a request to the owner, if the leave allows; the check and the
-    /// write are one step.
+    /// Sends a request to the owner, if the lease allows; checking the lease and sending
+    /// are one step.
     fn send_request<R: ProtocolRules>(
         &self,
         state: &State<R>,
@@ -153,7 +155,7 @@
             let mut delayed = state.clone();
             delayed.remaining.delayed_requests -= 1;
             delayed.delayed_request = Some(request);
-            push(next, "request held up", process, delayed);
+            push(next, "request delayed", process, delayed);
         }
     }
 
@@ -162,7 +164,7 @@
         usize::from(state.processes[process].number == 1 && !self.setup.is_same_domain)
     }
 
-    /// Passes leave on to the unlisted start, and takes its acknowledgements.
+    /// Relays leases to the unlisted incarnation, and takes its acknowledgements.
     fn relay_leases<R: ProtocolRules>(
         &self,
         state: &State<R>,
@@ -177,7 +179,7 @@
         if state.processes[unlisted].lease_asked_at != Some(now) {
             let mut asked = state.clone();
             asked.processes[unlisted].lease_asked_at = Some(now);
-            push(next, "ask for leave", unlisted, asked);
+            push(next, "ask for lease", unlisted, asked);
         }
         self.relay_lease(state, (process, unlisted), next);
         let revision = self.revision(state.processes[unlisted].table);
@@ -224,7 +226,7 @@
         unlisted.lease = unlisted
             .lease
             .merge(RoutingLease::from_relay(asked, remaining));
-        push(next, "give leave", process, relayed);
+        push(next, "relay lease", process, relayed);
     }
 
     /// Whether an instance may acknowledge a revision.
@@ -246,7 +248,7 @@
         !is_unanswered && relayed_leases.is_settled(revision, state.clock(process))
     }
 
-    /// Expels the second instance, and strikes it off.
+    /// Expels the second instance and removes its row.
     fn expel_instance<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
         if !self.setup.expels {
             return;
@@ -267,12 +269,12 @@
             let write = self.interner.borrow_mut().intern_commit(commit);
             let mut changed = state.clone();
             self.commit(&mut changed, write);
-            push(next, "change the roster", 0, changed);
+            push(next, "change membership", 0, changed);
         }
     }
 }
 
-/// Adds a state.
+/// Adds a successor.
 pub fn push<R: ProtocolRules>(
     next: &mut Successors<R>,
     event_name: &'static str,
--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! A model of the processes around the ownership protocol. Every decision in it
-//! is the production code's; the model adds the platform, the servers' check of
-//! grants, messages that are late or lost, and time in ticks.
+//! Model check of the ownership protocol. All decisions are those of the production code.
+//! The model adds the platform, the servers' check of grants, late and lost messages, and
+//! time in ticks.
 
 mod actors;
 mod checks;
--- a/crates/core/tests/model/mutants.rs
+++ b/crates/core/tests/model/mutants.rs
@@ -1,4 +1,4 @@
-//! The rules with one of them left out or bent.
+//! Mutants of the protocol rules, each with one rule left out or changed.
 
 use {
     citron_core::{
@@ -22,105 +22,107 @@
 }
 
 mutant!(
-    /// Commits the new owner without waiting for anybody.
+    /// Commits the new owner without waiting for any instance.
     SkipWait,
     fn skips_wait() -> bool {
         true
     }
 );
 mutant!(
-    /// An acknowledgement counts whatever start it comes from.
+    /// Counts an acknowledgement from any incarnation.
     AnyIncarnation,
     fn accepts_ack(ack: &Ack, _: Incarnation, since: Revision) -> bool {
         ack.revision >= since
     }
 );
 mutant!(
-    /// An acknowledgement counts whatever revision it is of.
+    /// Counts an acknowledgement of any revision.
     AnyRevision,
     fn accepts_ack(ack: &Ack, listed: Incarnation, _: Revision) -> bool {
         ack.incarnation == listed
     }
 );
 mutant!(
-    /// An expelled instance's row is struck off at once.
+    /// Removes the row of an expelled instance at once.
     RemoveAtOnce,
     fn expulsion_wait(_: Duration) -> Duration {
         Duration::ZERO
     }
 );
 mutant!(
-    /// A read confirms from when its answer came.
+    /// Starts a routing lease when the answer of the read arrives.
     LeaseFromAnswer,
     fn lease_start(_: Time, answered: Time) -> Time {
         answered
     }
 );
 mutant!(
-    /// A relay passes on the full span.
+    /// Relays the full duration of a lease.
     FullRelayedLease,
     fn relayed_lease(_: Duration, full: Duration) -> Duration {
         full
     }
 );
 mutant!(
-    /// A relayed leave counts as a fresh read of the platform for the grace.
+    /// Counts the grace period of a relayed lease from the relay instead of the platform
+    /// read.
     GraceFromRelay,
     fn relayed_age(_: Duration) -> Duration {
         Duration::ZERO
     }
 );
 mutant!(
-    /// The end of a commit counts as its success.
+    /// Takes the end of a commit as its success.
     NoReread,
     fn skips_reread() -> bool {
         true
     }
 );
 mutant!(
-    /// The last commit is made whatever the row is by then.
+    /// Makes the last commit whatever the row's version is.
     UnconditionalCommit,
     fn final_commit_version(_: Revision) -> Revision {
         super::tables::ANY_VERSION
     }
 );
 mutant!(
-    /// A release keeps the epoch.
+    /// Keeps the epoch at a release.
     SameEpoch,
     fn release_epoch(epoch: Epoch) -> Epoch {
         epoch
     }
 );
 mutant!(
-    /// A wait has no margin for clocks that run apart.
+    /// Waits without a margin for clock drift.
     NoClockMargin,
     fn add_clock_margin(span: Duration) -> Duration {
         span
     }
 );
 mutant!(
-    /// A restarted server is given grants under a table read before.
+    /// Grants to a restarted server from a table that was read before.
     GrantUnderOldRead,
     fn may_grant_boot(_: Time, _: Time) -> bool {
         true
     }
 );
 mutant!(
-    /// Leave that was passed on to an unlisted start is forgotten.
+    /// Ignores leases relayed to an unlisted incarnation.
     IgnoreRelayedLeases,
     fn blocks_ack(_: Revision, _: Revision, _: Time, _: Time) -> bool {
         false
     }
 );
 mutant!(
-    /// A lease is as long as a lease may be, whatever the giver's leave.
+    /// Grants a server lease of full duration, whatever remains of the granting
+    /// instance's routing lease.
     FullServerLease,
     fn server_lease(_: Duration, full: Duration) -> Duration {
         full
     }
 );
 mutant!(
-    /// A lease is renewed without what changed hands since.
+    /// Renews a server lease without the grants that have changed since.
     LeaseWithoutGrants,
     fn sends_changed_grants() -> bool {
         false
--- a/crates/core/tests/model/mutations.rs
+++ b/crates/core/tests/model/mutations.rs
@@ -1,5 +1,5 @@
-//! The model check bites: each rule, once bent, is caught by a run that breaks
-//! a promise. The snapshot holds the shortest such run.
+//! Checks the model check itself: for each mutant of the rules it finds a run that
+//! violates an invariant. The snapshots hold the shortest such run.
 
 use {
     super::{
@@ -12,13 +12,13 @@
     std::fmt::Write,
 };
 
-/// The promise that the mutated rules break, the number of steps, and the run.
-/// [`super::checks`] shows that the same bounds are clean under the rules in
-/// force, so that the mutation is what was caught.
+/// The invariant that the mutant violates, the number of steps, and the run.
+/// [`super::checks`] shows that the same bounds have no violation under the production
+/// rules, so the mutation is what was found.
 fn shortest_violation<R: ProtocolRules>(setup: Setup) -> String {
     let SearchResult { violation, .. } = search::<R>(setup);
     let Some((violated, run)) = violation else {
-        return "not caught".to_string();
+        return "no violation found".to_string();
     };
     let mut report = format!("{violated:?} in {} steps:", run.len());
     for (event, who) in run {
--- a/crates/core/tests/model/platform.rs
+++ b/crates/core/tests/model/platform.rs
@@ -1,4 +1,4 @@
-//! What may happen next: commits to the table, and reads of it.
+//! Transitions of the model: commits to the table, and reads of it.
 
 use {
     super::{
@@ -16,8 +16,8 @@
 };
 
 impl Model {
-    /// Operators begin moves; each is decided by the table as it was when the
-    /// operator looked, and may be committed much later.
+    /// Begins moves, as operators do. Each is based on the table at the time that the
+    /// operator read it, and may be committed much later.
     pub fn begin_moves<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
         if let Some(write) = state.pending_begin {
             let mut later = state.clone();
@@ -25,8 +25,8 @@
             self.commit(&mut later, write);
             push(next, "begin commits", 0, later);
         }
-        // The first move is begun at once: only what follows it matters, and
-        // within a tick everything may come in any order.
+        // The first move begins in the first tick: only what follows it matters, and
+        // events of one tick may come in any order.
         let is_first = state.remaining.moves == self.setup.moves;
         let is_late = is_first && state.now > START_TICK && !self.setup.begins_late;
         if state.remaining.moves == 0 || state.pending_begin.is_some() || is_late {
@@ -52,7 +52,8 @@
         push(next, "begin", 0, later);
     }
 
-    /// Commits if the versions allow, and checks what a commit can break.
+    /// Applies a commit if the row versions match, and checks the invariants that a
+    /// commit may violate.
     pub fn commit<R: ProtocolRules>(&self, state: &mut State<R>, write: CommitId) {
         let after = self.interner.borrow_mut().commit(state.table, write);
         let Some(after) = after else { return };
@@ -69,7 +70,8 @@
         self.check_done(state);
     }
 
-    /// What was reported done is still there, or was built upon.
+    /// Checks that the last move reported as done is still in the table or was followed
+    /// by a later one.
     pub fn check_done<R: ProtocolRules>(&self, state: &mut State<R>) {
         let (epoch, owner, is_routable) = self.owner(state.table);
         let (done, to) = state.last_done;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Epoch, owner and whether it takes requests, in a table.
+    /// Epoch and owner in a table, and whether the owner gets requests.
     pub fn owner(&self, table: TableId) -> (Epoch, usize, bool) {
         let interner = self.interner.borrow();
         let service = "balances".parse().unwrap();
@@ -93,8 +95,8 @@
         table.map_or(Revision(0), |id| interner.table(id).revision())
     }
 
-    /// Reads the platform; the answer may be held up. The worst answer is what
-    /// the table was when the read was begun.
+    /// Reads the platform; the answer may be delayed. In the worst case the answer is the
+    /// table at the start of the read.
     pub fn read_platform<R: ProtocolRules>(
         &self,
         state: &State<R>,
--- a/crates/core/tests/model/random_walks.rs
+++ b/crates/core/tests/model/random_walks.rs
@@ -1,4 +1,5 @@
-//! Long random runs with everything in them that the exhaustive ones have apart.
+//! Long random runs that combine all events, which the exhaustive searches check
+//! separately.
 
 use {
     super::mutants::SkipWait,
@@ -11,14 +12,14 @@
     proptest::{collection::vec, prelude::*},
 };
 
-/// The longest run.
+/// Maximum number of steps of a run.
 const MAX_STEPS: usize = 150;
-/// Runs of each test; a run of the bent rules is found within far fewer.
+/// Runs of each test. For the mutant of the rules, a violation is found within far fewer.
 const WALKS: u32 = 300;
 
-/// Everything at once.
+/// All events at once.
 const ALL_EVENTS: Setup = Setup {
-    name: "wide",
+    name: "all events",
     is_same_domain: true,
     has_unlisted: true,
     relays_leases: true,
@@ -67,7 +68,7 @@
     vec(any::<u16>(), MAX_STEPS)
 }
 
-/// The same runs on every machine.
+/// A configuration with a fixed seed, so that the runs are the same on every machine.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: WALKS,
--- a/crates/core/tests/model/search.rs
+++ b/crates/core/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! The exhaustive search.
+//! Exhaustive breadth-first search.
 
 use {
     super::{
@@ -11,12 +11,12 @@
     std::cell::Cell,
 };
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug)]
 pub struct SearchResult {
-    /// States that were reached.
+    /// Number of states reached.
     pub states: usize,
-    /// The shortest run that breaks a promise, and the promise.
+    /// The shortest run that violates an invariant, and the invariant.
     pub violation: Option<(Violation, Vec<(&'static str, usize)>)>,
 }
 
--- a/crates/core/tests/model/servers.rs
+++ b/crates/core/tests/model/servers.rs
@@ -1,4 +1,4 @@
-//! What may happen next: servers and movers.
+//! Transitions of the model: servers and movers.
 
 use {
     super::{
@@ -16,11 +16,11 @@
     std::time::Duration,
 };
 
-/// Parties before the servers, and before the drivers.
+/// Indexes in the clocks of a state of the first server and of the first driver.
 const FIRST_SERVER_CLOCK: usize = 3;
 const FIRST_DRIVER_CLOCK: usize = 5;
-/// A request that reached the first owner before it froze. It may be run again
-/// and again: running it once is no worse.
+/// A request that reached the first owner before its process was paused. It may be run
+/// repeatedly, which is no worse than once.
 const QUEUED_REQUEST: Request = Request {
     sender: 0,
     server: 0,
@@ -34,7 +34,7 @@
     lease: None,
     revision: Revision(0),
 };
-/// The epoch that the first owner starts with.
+/// The epoch of the first owner at the start.
 const FIRST_EPOCH: Epoch = Epoch(1);
 
 impl Model {
@@ -42,7 +42,7 @@
         server_time(state.now - state.clock_lag[FIRST_SERVER_CLOCK + server])
     }
 
-    /// A request reaches its server.
+    /// Delivers a request to its server.
     pub fn run_request<R: ProtocolRules>(&self, state: &mut State<R>, request: Request) {
         let server = request.server;
         let runs = match self.setup.is_fenced && server == 0 {
@@ -57,13 +57,13 @@
         if overlaps {
             state.violation = Some(Violation::TwoOwners);
         }
-        // Nothing can be older than the first epoch, so that it need not be told.
+        // No epoch is lower than the first one, so it need not be recorded.
         if request.epoch > FIRST_EPOCH {
             state.last_run = (request.epoch, server);
         }
     }
 
-    /// What was held up arrives, or a server restarts.
+    /// Delivers what was delayed, or restarts the first server.
     pub fn deliver_delayed<R: ProtocolRules>(&self, state: &State<R>, next: &mut Successors<R>) {
         if self.setup.is_fenced {
             let mut ran = state.clone();
@@ -91,8 +91,8 @@
         }
     }
 
-    /// An instance asks the first owner for its clock and brings it up to date;
-    /// the order, or its answer, may be late.
+    /// An instance asks the first owner for its clock and sends the grants that have
+    /// changed. The order or its answer may be late.
     pub fn send_orders<R: ProtocolRules>(
         &self,
         state: &State<R>,
@@ -118,7 +118,7 @@
                 server: 0,
                 order: order.clone(),
             });
-            push(next, "order held up", process, delayed);
+            push(next, "order delayed", process, delayed);
         }
         self.exchange(&mut asked, process, &order);
         push(next, "order", process, asked);
@@ -147,7 +147,7 @@
         )
     }
 
-    /// What a mover does and hears.
+    /// Events of one mover.
     pub fn run_driver<R: ProtocolRules>(
         &self,
         state: &State<R>,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The commit takes effect, or its sender gives up on the answer.
+    /// Applies the commit, or lets its sender stop waiting for the answer.
     fn finish_commit<R: ProtocolRules>(
         &self,
         state: &State<R>,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// The old owner is revoked; its answer may be lost.
+    /// Revokes the old owner; its answer may be lost.
     fn revoke_owner<R: ProtocolRules>(
         &self,
         state: &State<R>,
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Steps a mover and does what it asks for.
+    /// Steps a mover and carries out its actions.
     pub fn step_mover<R: ProtocolRules>(
         &self,
         state: &mut State<R>,
@@ -306,8 +306,8 @@
                     slot.mover = None;
                     slot.commit_ended = true;
                 }
-                // Acknowledgements and revocations are events of their own;
-                // instances grant what their tables say.
+                // Acknowledgements and revocations are separate events; instances grant
+                // what their tables show.
                 _ => {}
             }
         }
--- a/crates/core/tests/model/setup.rs
+++ b/crates/core/tests/model/setup.rs
@@ -1,19 +1,18 @@
-//! Bounds of one exhaustive run.
+//! Bounds of an exhaustive search.
 
 use {
     citron_core::{ownership::LeaseDurations, time::Time},
     std::time::Duration,
 };
 
-/// The tick that a run starts at, so that there is a past.
+/// The tick at which a run starts, so that there are earlier times.
 pub const START_TICK: u8 = 10;
-/// Confirmation from the platform: one tick. Fixed spans of the production code
-/// are longer, in the same proportions.
+/// Lease durations of one tick. Those of the production code are longer.
 pub const DURATIONS: LeaseDurations = LeaseDurations {
     routing: Duration::from_secs(1),
     server: Duration::from_secs(1),
 };
-/// Grace of the service.
+/// Grace period of the service.
 pub const GRACE: Duration = Duration::from_secs(2);
 
 /// The time at a tick of one second.
@@ -21,55 +20,55 @@
     Time::from_micros(u64::from(tick) * 1_000_000)
 }
 
-/// What may happen in a run, and how often.
+/// Events that may happen in a run, and how often.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
     /// Name in the report.
     pub name: &'static str,
-    /// Ticks that may pass.
+    /// Number of ticks that may pass.
     pub max_ticks: u8,
     /// Whether the servers check epochs.
     pub is_fenced: bool,
-    /// Listed instances at the start: 1 or 2.
+    /// Instances listed at the start: 1 or 2.
     pub instances: usize,
     /// Whether the second instance is in the first owner's domain too.
     pub is_same_domain: bool,
     /// The service's deadline, in ticks.
     pub deadline_ticks: u8,
-    /// Whether a further start of the second instance comes up, unlisted, while
-    /// the first start, if listed, is still there.
+    /// Whether a further incarnation of the second instance runs unlisted, while the
+    /// first incarnation, if listed, is still running.
     pub has_unlisted: bool,
-    /// Whether instances pass on leave to the unlisted start.
+    /// Whether instances relay leases to the unlisted incarnation.
     pub relays_leases: bool,
-    /// Whether the second instance's first start may be expelled.
+    /// Whether the first incarnation of the second instance may be expelled.
     pub expels: bool,
-    /// Whether the first owner is within the movers' reach.
+    /// Whether movers can reach the first owner.
     pub can_revoke: bool,
-    /// Whether a mover may give up on its commit, which takes effect later, or
-    /// not hear of one that has.
+    /// Whether a mover may stop waiting for a commit that takes effect later, or miss the
+    /// answer of one that has taken effect.
     pub loses_answers: bool,
-    /// Whether the first move may be begun later than at the first tick.
+    /// Whether the first move may begin later than at the first tick.
     pub begins_late: bool,
     /// Moves that operators may begin.
     pub moves: u8,
-    /// Movers that work at once.
+    /// Number of movers.
     pub movers: usize,
-    /// Ticks that clocks may miss, all together.
+    /// Total of ticks that clocks may miss.
     pub missed_ticks: u8,
     /// Restarts of the first owner.
     pub restarts: u8,
-    /// Requests that may be held up on their way.
+    /// Requests that may be delayed.
     pub delayed_requests: u8,
-    /// Orders to the first owner, each of which may be held up on its way.
+    /// Orders to the first owner, each of which may be delayed.
     pub orders: u8,
-    /// Reads of the platform that may be held up on their way.
+    /// Platform reads that may be delayed.
     pub delayed_reads: u8,
 }
 
 impl Setup {
-    /// One move, two instances, nothing else.
+    /// One move and two instances, nothing else.
     pub const ONE_MOVE: Self = Self {
-        name: "plain",
+        name: "one move",
         loses_answers: true,
         max_ticks: 5,
         is_fenced: false,
@@ -90,10 +89,10 @@
         delayed_reads: 0,
     };
 
-    /// Both instances in the owner's domain; late reads and a slow clock.
+    /// Both instances in the owner's domain, late reads and a slow clock.
     pub const SLOW_CLOCK: Self = Self {
         loses_answers: false,
-        name: "clocks",
+        name: "slow clock",
         is_same_domain: true,
         deadline_ticks: 0,
         missed_ticks: 1,
@@ -102,10 +101,10 @@
         ..Self::ONE_MOVE
     };
 
-    /// A restarted instance whose former process is still there.
+    /// A restarted instance whose previous process still runs.
     pub const RESTARTED_INSTANCE: Self = Self {
         loses_answers: false,
-        name: "twin",
+        name: "restarted instance",
         is_same_domain: true,
         deadline_ticks: 0,
         has_unlisted: true,
@@ -113,10 +112,10 @@
         ..Self::ONE_MOVE
     };
 
-    /// An instance that started while the platform was down.
+    /// An instance that started while the platform was unavailable.
     pub const RELAYED_LEASES: Self = Self {
         loses_answers: false,
-        name: "relays",
+        name: "relayed leases",
         instances: 1,
         has_unlisted: true,
         relays_leases: true,
@@ -127,10 +126,10 @@
         ..Self::ONE_MOVE
     };
 
-    /// An instance is expelled while a scope moves.
+    /// An instance that is expelled while a scope moves.
     pub const EXPELLED_INSTANCE: Self = Self {
         loses_answers: false,
-        name: "expel",
+        name: "expelled instance",
         is_same_domain: true,
         deadline_ticks: 0,
         expels: true,
@@ -139,8 +138,8 @@
         ..Self::ONE_MOVE
     };
 
-    /// An owner that checks epochs and that instances reach, but no mover does;
-    /// it freezes, and gets late orders and requests.
+    /// An owner that checks epochs and that instances can reach, but no mover. Its
+    /// process is paused and gets late orders and requests.
     pub const FENCED: Self = Self {
         loses_answers: false,
         name: "fenced",
@@ -154,7 +153,7 @@
 
     /// The same with a clock that misses a tick.
     pub const FENCED_SLOW_CLOCK: Self = Self {
-        name: "drift",
+        name: "fenced, slow clock",
         orders: 1,
         missed_ticks: 1,
         ..Self::FENCED
@@ -162,7 +161,7 @@
 
     /// An owner that checks epochs and restarts.
     pub const RESTARTED_SERVER: Self = Self {
-        name: "reboot",
+        name: "restarted server",
         can_revoke: true,
         orders: 1,
         restarts: 1,
@@ -170,9 +169,9 @@
         ..Self::FENCED
     };
 
-    /// Two movers, and a second move right behind the first.
+    /// Two movers, and a second move right after the first.
     pub const TWO_MOVERS: Self = Self {
-        name: "race",
+        name: "two movers",
         moves: 2,
         movers: 2,
         loses_answers: true,
--- a/crates/core/tests/model/state.rs
+++ b/crates/core/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! All that the model knows at one moment.
+//! States of the model.
 
 use {
     super::{
@@ -15,18 +15,18 @@
     std::hash::{Hash, Hasher},
 };
 
-/// A broken promise.
+/// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Violation {
-    /// A request ran at an owner after one had run at a later owner.
+    /// A request ran at an owner after a request had run at a later owner.
     TwoOwners,
-    /// A move that was reported done is not in the table.
+    /// A move that was reported as done is not in the table.
     MoveLost,
-    /// Two owners were committed under one epoch, or an epoch went back.
+    /// Two owners were committed under one epoch, or an epoch decreased.
     EpochReused,
 }
 
-/// What is left of the run's bounds.
+/// Numbers of events that may still happen in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RunLimits {
     pub moves: u8,
@@ -37,8 +37,8 @@
     pub delayed_reads: u8,
 }
 
-/// One state. Parties 0 to 2 are processes, then 2 servers, then drivers; each
-/// has its own count of ticks that its clock missed.
+/// One state. Actors 0 to 2 are processes, 3 and 4 servers, the others drivers; each
+/// clock has its own number of missed ticks.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State<R: ProtocolRules> {
     pub now: u8,
@@ -50,18 +50,19 @@
     pub delayed_request: Option<Request>,
     pub delayed_order: Option<DelayedOrder>,
     pub clock_lag: [u8; 7],
-    /// The last epoch that a request ran under, and where.
+    /// Epoch and server of the last request that ran.
     pub last_run: (Epoch, usize),
-    /// The highest owner that was committed.
+    /// Epoch and server of the last owner committed.
     pub last_owner: (Epoch, usize),
-    /// The last move that was reported done.
+    /// Epoch and target of the last move reported as done.
     pub last_done: (Epoch, usize),
     pub remaining: RunLimits,
     pub violation: Option<Violation>,
 }
 
 impl<R: ProtocolRules> State<R> {
-    /// Both instances have just read the table; servers are granted.
+    /// The initial state: all listed instances have just read the table, and the first
+    /// owner has its grant.
     pub fn initial(setup: &Setup) -> Self {
         let mut processes: Vec<_> = (0..setup.instances)
             .map(|n| initial_process(setup, n))
@@ -94,9 +95,9 @@
         }
     }
 
-    /// A party's own clock.
-    pub fn clock(&self, party: usize) -> Time {
-        time(self.now - self.clock_lag[party])
+    /// Time on an actor's own clock.
+    pub fn clock(&self, actor: usize) -> Time {
+        time(self.now - self.clock_lag[actor])
     }
 }
 
@@ -120,7 +121,7 @@
     process
 }
 
-/// The order by which the first owner was brought up to the first table.
+/// The order that brought the first owner up to date with the first table.
 fn initial_order() -> GrantOrder {
     GrantOrder {
         boot: Some(BootId(1)),
@@ -138,7 +139,7 @@
     }
 }
 
-/// A state and the event that led to it; only the state counts.
+/// A state and the event that led to it; only the state is compared.
 #[derive(Debug, Clone)]
 pub struct SearchNode<R: ProtocolRules> {
     pub event: (&'static str, usize),
--- a/crates/core/tests/model/tables.rs
+++ b/crates/core/tests/model/tables.rs
@@ -1,4 +1,4 @@
-//! Tables and commits, kept once and named by number in the states.
+//! Interned tables and commits, which states refer to by number.
 
 use {
     super::setup::{GRACE, Setup},
@@ -20,7 +20,7 @@
 pub const SERVERS: [&str; 2] = ["server-a", "server-b"];
 /// The instances by number.
 pub const INSTANCES: [&str; 2] = ["instance-0", "instance-1"];
-/// A version that the model's platform takes for "whatever is there".
+/// A version that matches any version in the model's platform.
 pub const ANY_VERSION: Revision = Revision(u64::MAX);
 
 /// Number of a table.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CommitId(pub usize);
 
-/// All tables and commits met so far.
+/// All tables and commits that have occurred.
 #[derive(Debug, Default)]
 pub struct Interner {
     tables: Vec<Table>,
@@ -41,7 +41,7 @@
 }
 
 impl Interner {
-    /// A world with the first table as number 0.
+    /// An interner with the first table as number 0.
     pub fn new(setup: &Setup) -> Self {
         let mut interner = Self::default();
         let rows = initial_rows(setup).into_iter();
@@ -57,12 +57,12 @@
         interner
     }
 
-    /// A table by its number.
+    /// The table with a number.
     pub fn table(&self, id: TableId) -> &Table {
         &self.tables[id.0]
     }
 
-    /// Names a commit.
+    /// Returns the number of a commit.
     pub fn intern_commit(&mut self, commit: Commit) -> CommitId {
         let text = format!("{commit:?}");
         if let Some(&id) = self.ids.get(&text) {
@@ -83,7 +83,7 @@
         TableId(self.tables.len() - 1)
     }
 
-    /// The table after a commit; `None` if a version does not match.
+    /// The table after a commit; `None` if a row version does not match.
     pub fn commit(&mut self, at: TableId, write: CommitId) -> Option<TableId> {
         if let Some(&after) = self.outcomes.get(&(at, write)) {
             return after;
@@ -117,7 +117,7 @@
     }
 }
 
-/// The row of one start of an instance.
+/// The row of one incarnation of an instance.
 fn instance_row(setup: &Setup, number: usize, incarnation: u64) -> InstanceRow {
     let is_remote = number == 1 && !setup.is_same_domain;
     let address = "127.0.0.1:1".parse().unwrap();
@@ -169,7 +169,7 @@
         rate_cap: None,
         slots: "4".parse().unwrap(),
         max_connections: 4,
-        // The second owner runs whatever it is given, which is the worst.
+        // The second owner runs every request that it gets, which is the worst case.
         fencing: match setup.is_fenced && !is_remote {
             true => Fencing::Checked,
             false => Fencing::Unchecked,
--- a/crates/core/tests/ownership_rows.rs
+++ b/crates/core/tests/ownership_rows.rs
@@ -1,4 +1,4 @@
-//! First commits of moves, the roster and the wait for owners, case by case.
+//! Cases of the first commit of a move, of membership and of the wait for the old owner.
 
 use {
     citron_core::{
@@ -69,7 +69,8 @@
     })
 }
 
-/// Shard 0 owned by `a`, shard 1 on its way, shards 2 and 3 never owned.
+/// A table with shard 0 owned by `a`, shard 1 moving from `a` to `b`, and shards 2 and 3
+/// never assigned.
 fn table(fencing: Fencing) -> Table {
     let owned = Assignment::owned("a".parse().unwrap(), Epoch(4));
     let moving = Assignment {
@@ -175,10 +176,11 @@
     text
 }
 
-/// How long a mover waits, from when it saw the release, for which instances
-/// and owners. An instance in the owner's domain may go on for the grace, one
-/// elsewhere for the confirmation; an owner that checks epochs for its lease;
-/// a silent one that does not gets the deadline for the last request.
+/// Checks how long a mover waits after it saw the release, by the instances that have
+/// acknowledged and by whether the old owner checks epochs. The wait covers: for an
+/// instance in the owner's domain the grace period, for one elsewhere the routing lease;
+/// for an owner that checks epochs its server lease; for one that does not, and that does
+/// not answer, the deadline of the last request.
 #[test]
 fn waits_of_a_mover() {
     let cases: [(Fencing, &[&str]); 6] = [
@@ -214,9 +216,10 @@
     Mover::resume(table, &service, scope, LeaseDurations::default(), now).unwrap()
 }
 
-/// The caller's keys move although nobody answers: an operator states that the
-/// domain is lost. Its instances are not waited for and its server counts as
-/// gone, so that the move goes on at once, for a server that checks epochs.
+/// Guards against a move that never completes because neither instances nor the owner
+/// answer. An operator has declared the domain lost: its instances are not waited for,
+/// and its server counts as terminated. If the server checks epochs, the move goes on at
+/// once.
 #[test]
 fn a_lost_domain_ends_the_wait() {
     let mut table = table(Fencing::Checked);
@@ -241,8 +244,9 @@
     assert!(matches!(actions.as_slice(), [MoveAction::Commit(_)]));
 }
 
-/// A restarted instance finds its former start listed. It may join only once
-/// that one is expelled and its last leave has run out, however sure it is.
+/// Guards against a restarted instance that joins while its previous incarnation may
+/// still route. It may join only once that incarnation is expelled and its routing lease
+/// has ended.
 #[test]
 fn joining_again() {
     let mut table = table(Fencing::Checked);
@@ -276,9 +280,9 @@
     assert!(Membership::<ProductionRules>::expel(&table, &old).is_none());
 }
 
-/// The next owner would never run a request: while a shard is on its way to it,
-/// its granters bring it up to date, and a revocation under the epoch that it is
-/// about to own the shard under would make it refuse the grant for good.
+/// Guards against a next owner that can never run a request. While a shard moves to a
+/// server, granters keep that server up to date. A revocation under the epoch that the
+/// server is about to own the shard under would make it refuse the later grant for good.
 #[test]
 fn orders_leave_the_next_epoch_open() {
     let table = table(Fencing::Checked);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement at today's sizes: 20 servers, 1,024 shards, zipf 0.99 load.
+//! Placement with 20 servers, 1,024 shards and load by a Zipf distribution with exponent
+//! 0.99.
 
 use {
     citron_core::{
@@ -32,7 +33,7 @@
     (0..count).map(make).collect()
 }
 
-/// Load of the keys by rank, zipf with exponent 0.99.
+/// Load of the keys by rank, by a Zipf distribution with exponent 0.99.
 fn key_loads() -> Vec<(KeyHash, Load)> {
     let weights: Vec<f64> = (1..=KEYS).map(|rank| (rank as f64).powf(-0.99)).collect();
     let sum: f64 = weights.iter().sum();
@@ -46,7 +47,8 @@
     view_with_bits(10, servers, extracted)
 }
 
-/// A service whose keys in `extracted` are owned alone; nothing has an owner yet.
+/// A service of 2^`bits` shards whose keys in `extracted` are assigned apart from their
+/// shards; no scope has an owner yet.
 fn view_with_bits(bits: u8, servers: usize, extracted: &[KeyHash]) -> ServiceView {
     let bits = ShardBits::new(bits).unwrap();
     let shards = (0..bits.shard_count()).map(|shard| (Scope::Shard(ShardId(shard)), 0));
@@ -85,7 +87,7 @@
     }
 }
 
-/// Load of the fullest server over the mean, in percent.
+/// Load of the fullest server as a percentage of the mean.
 fn imbalance(view: &ServiceView) -> u64 {
     let mut loads: BTreeMap<&ServerName, u64> = view
         .servers
@@ -116,7 +118,7 @@
     all
 }
 
-/// The keys that the tracker takes out after the hold time.
+/// The keys that the tracker extracts after the hold time.
 fn hot_keys() -> Vec<KeyHash> {
     let loads = key_loads();
     let mean = Load(TOTAL_LOAD as u64 / SERVERS as u64);
@@ -130,15 +132,15 @@
     let changes = tracker.update(&tracked, mean, Time::ZERO + Duration::from_secs(10));
     let extracted = changes.iter().map(|change| match change {
         HotKeyChange::Extract(key) => *key,
-        HotKeyChange::Return(_) => panic!("nothing is out yet"),
+        HotKeyChange::Return(_) => panic!("no key has been extracted yet"),
     });
     extracted.collect()
 }
 
-/// Imbalance by shard count, with hot keys left in their shards or owned alone.
-/// With 20 servers the hottest key alone is more than a server's share: that is
-/// the floor. With 8 servers the aim of 1.10 is met at each shard count, and taking
-/// hot keys out makes little difference to it.
+/// Imbalance by number of shards, with hot keys left in their shards and with hot keys
+/// extracted. With 20 servers the hottest key alone exceeds a server's share, which is
+/// the lower bound. With 8 servers the imbalance stays within the objective of 1.10 for
+/// each number of shards, and extracting hot keys makes little difference.
 #[test]
 fn imbalance_at_zipf_load() {
     let extracted = hot_keys();
@@ -149,7 +151,7 @@
         imbalance(&view)
     };
     let mut lines = vec![format!(
-        "keys out {}, floor of 20 servers {hottest}%",
+        "extracted keys: {}; lower bound with 20 servers: {hottest}%",
         extracted.len()
     )];
     for (bits, servers) in [(6, 8), (8, 8), (10, 8), (12, 8), (6, 20), (8, 20), (10, 20)] {
@@ -157,7 +159,7 @@
         let in_overrides = settled_imbalance(bits, servers, &extracted);
         let shards = 1 << bits;
         lines.push(format!(
-            "{servers} servers, {shards} shards: in {in_shards}%, alone {in_overrides}%"
+            "{servers} servers, {shards} shards: {in_shards}%, hot keys extracted {in_overrides}%"
         ));
         if servers == 8 {
             assert!(in_overrides <= 110 && in_shards <= 110);
@@ -167,8 +169,8 @@
     assert!(settled_imbalance(10, SERVERS, &extracted) <= hottest);
 }
 
-/// One server is lost. Its shards get new owners at once, whatever the budget;
-/// no shard of another server moves for it.
+/// Guards against needless moves after a server is lost: its shards get new owners at
+/// once, regardless of the move budget, and no shard of another server moves.
 #[test]
 fn a_lost_server_moves_only_its_own_shards() {
     let mut view = view(SERVERS, &[]);
@@ -193,8 +195,9 @@
     );
 }
 
-/// A weight is halved and set back within the hold time: nothing moves. Set back
-/// later, no shard moves more than once on the way back.
+/// Guards against shards that move back and forth. If a weight is halved and restored
+/// within the hold time, nothing moves. If it is restored later, no shard moves more than
+/// once on the way back.
 #[test]
 fn a_weight_set_back_moves_nothing_twice() {
     let extracted = hot_keys();
@@ -221,9 +224,9 @@
     assert!(imbalance(&view) <= 110);
 }
 
-/// An imbalance that lasts is mended no faster than the budget allows: a new
-/// server joins, nothing moves for the hold time, then a minute's moves at once
-/// and one more every 15 seconds.
+/// Guards against balancing faster than the move budget. After a server joins, nothing
+/// moves for the hold time; then the moves of one minute begin at once, and one more
+/// every 15 seconds.
 #[test]
 fn balance_keeps_to_its_budget() {
     let extracted = hot_keys();
@@ -241,7 +244,7 @@
     assert_eq!(counts, [0, 0, 4, 1, 1, 2]);
 }
 
-/// A capped server is over its cap although its load is small.
+/// A server may be over its rate cap although its load is small; its scopes must move.
 #[test]
 fn a_cap_moves_load_away() {
     let mut view = view(4, &[]);
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Which servers count as serving, leaving or ended.
+//! States of servers in the registry: serving, leaving or ended.
 
 use {
     citron_core::{
@@ -32,9 +32,9 @@
     (registry, "s-1".parse().unwrap())
 }
 
-/// The store was away, and entries lapsed although their servers serve. Taken at
-/// their word, the whole service would be gone; servers are back in the list
-/// within two seconds, and only who is missing after that has left.
+/// Guards against losing a whole service after an outage of the store, during which
+/// entries expire although their servers still run. Servers are listed again within two
+/// seconds; only a server that is missing after that has left.
 #[test]
 fn entries_that_lapse_with_the_store_are_given_time() {
     let (mut registry, name) = registry();
@@ -49,8 +49,8 @@
     assert_eq!(registry.state(&name), OwnerState::Serving);
 }
 
-/// While the store answers, an entry that vanishes means what it says: some
-/// servers leave without another word, and must get no new requests.
+/// Guards against requests to a server whose entry was removed while the store was
+/// available: some servers leave without any other notice.
 #[test]
 fn an_entry_that_vanishes_otherwise_is_a_server_that_leaves() {
     let (mut registry, name) = registry();
@@ -59,8 +59,8 @@
     assert_eq!(registry.get(&name).unwrap().leaving_since, Some(at(500)));
 }
 
-/// The time to drain counts from the first news. A server that writes its leaving
-/// again and again, as its entry changes, does not get more time each time.
+/// Guards against a drain time that restarts with every update of a leaving server's
+/// entry: it counts from the first one that reports that the server leaves.
 #[test]
 fn leaving_counts_from_the_first_news() {
     let (mut registry, name) = registry();
@@ -78,9 +78,9 @@
     registry.state(&name.parse().unwrap())
 }
 
-/// A server crashes and starts again at its address, or another service's server
-/// gets the address, and both tell when they started: the former start has surely
-/// ended and holds nothing. That its entry vanished would not prove it.
+/// A server process has ended once another process, of the same or of another service, is
+/// listed at its address with a later start time. The removal of its entry alone does not
+/// prove that.
 #[test]
 fn a_later_start_at_the_address_proves_the_end() {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
@@ -92,10 +92,10 @@
     assert_eq!(state(&registry, "s-2@5000"), OwnerState::Serving);
 }
 
-/// A server crashes behind a cut and starts again at its address. A heartbeat of
-/// the former start, held up on its way, is written after the first one of the
-/// new start. Taken for proof that the new start has ended, it would free the
-/// keys of a server that runs requests on them.
+/// A server crashes during a network partition and restarts at its address. A heartbeat
+/// of the old process is delayed and written after the first one of the new process.
+/// Taken as proof that the new process has ended, it would free the keys of a server that
+/// runs requests on them.
 #[test]
 fn a_late_heartbeat_of_a_former_start_proves_nothing() {
     let (mut registry, _) = registry();
@@ -112,9 +112,9 @@
     );
 }
 
-/// Another writer puts an entry with a living server's address into the list.
-/// Nothing tells which of the two lives, so neither counts as ended: whoever got
-/// the keys of the living one would run requests on them beside it.
+/// Another writer lists an entry with the address of a running server. Nothing shows
+/// which of the two is alive, so neither counts as ended: a new owner of the running
+/// server's keys would run requests on them at the same time.
 #[test]
 fn an_entry_with_a_servers_address_does_not_free_its_keys() {
     let (mut registry, _) = registry();
@@ -123,9 +123,9 @@
     assert_ne!(state(&registry, "s-9"), OwnerState::Ended);
 }
 
-/// A server starts again under the id that it had, and its former heartbeats come
-/// late. It holds nothing of before, so that the former start counts as ended, and
-/// an older entry neither brings that one back nor ends the new one.
+/// A server restarts under its previous id, and heartbeats of the old process arrive
+/// late. The new process holds no keys of the old one, which counts as ended. An older
+/// entry must neither bring the old process back nor end the new one.
 #[test]
 fn a_start_under_the_same_id_is_another_server() {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
@@ -140,8 +140,8 @@
     assert_eq!(state(&registry, "s-1@5000"), OwnerState::Serving);
 }
 
-/// The whole list holds a late entry of a former start. The new start, whose id is
-/// listed, has not vanished.
+/// A complete list contains a late entry of the old process. The new process, whose id is
+/// listed, must not count as removed.
 #[test]
 fn a_late_entry_in_the_whole_list_does_not_remove_the_new_start() {
     let mut registry = Registry::new(RegistryTimes::STANDARD);
@@ -150,9 +150,9 @@
     assert_eq!(state(&registry, "s-1@5000"), OwnerState::Serving);
 }
 
-/// Another writer overwrites a server's entry with bytes that cannot be read. The
-/// server writes the next one a heartbeat later and has not left; one that does
-/// not write again has, and keeps its place no longer than after an outage.
+/// Another writer overwrites a server's entry with unreadable bytes. A server that writes
+/// its next heartbeat in time has not left; one that does not has left, and is kept no
+/// longer than after an outage of the store.
 #[test]
 fn an_entry_that_turned_unreadable_is_given_time() {
     let (mut registry, _) = registry();
@@ -168,10 +168,10 @@
     assert_eq!(state(&registry, "s-1"), OwnerState::Leaving);
 }
 
-/// The store refused this instance alone. Right after its return a server's
-/// entry is removed, as some servers leave without another word: the other
-/// instances stop at once, and this one must not send to it until the time for
-/// rejoining is over, which is longer than the server's time to drain.
+/// The store was unavailable to this instance only. Right after its return a server's
+/// entry is removed because the server leaves. The other instances stop sending at once;
+/// this one must not send until the time for rejoining ends, as that is longer than the
+/// server's drain time.
 #[test]
 fn a_server_that_leaves_after_an_outage_of_ours_alone_is_not_kept_beyond_its_drain() {
     let drain = Duration::from_secs(2);
@@ -183,8 +183,8 @@
     assert_eq!(registry.state(&"s-1".parse().unwrap()), OwnerState::Leaving);
 }
 
-/// Guards against requests, and keys, that stay in a failure domain which is evacuated,
-/// also at servers that are listed later.
+/// Guards against requests and keys that stay in an evacuated failure domain, also on
+/// servers that are listed later.
 #[test]
 fn servers_of_an_evacuated_domain_are_left() {
     let (mut registry, name) = registry();
@@ -207,8 +207,8 @@
     assert_eq!(registry.state(&name), OwnerState::Serving);
 }
 
-/// Guards against a server that both leaves and is evacuated and gets requests until the
-/// later of the two bounds.
+/// Guards against a server that leaves and is evacuated, and gets requests until the
+/// later of the two limits.
 #[test]
 fn the_earlier_of_drain_and_evacuation_ends_requests_to_an_owner() {
     let (mut registry, name) = registry();
@@ -222,8 +222,8 @@
     assert!(earliest < evacuated);
 }
 
-/// Guards against servers taken for warm that have become cold in an evacuated domain and
-/// have not said so yet.
+/// Guards against counting servers as warm after an evacuation, when they have become
+/// cold and have not reported it yet.
 #[test]
 fn servers_count_as_cold_after_an_evacuation() {
     let (mut registry, name) = registry();
@@ -247,8 +247,8 @@
     assert!(cold > Duration::from_secs(3), "{cold:?}");
 }
 
-/// Guards against a server that becomes cold again and is taken for warm, as it was
-/// listed long ago.
+/// Guards against counting a server as warm because it was first listed long ago,
+/// although it has become cold again.
 #[test]
 fn a_server_becomes_cold_again() {
     let (mut registry, name) = registry();
