--- a/crates/core/src/membership/instances.rs
+++ b/crates/core/src/membership/instances.rs
@@ -112,8 +112,8 @@
 
     fn is_lease_over(&self, table: &Table, member: &Member, now: Time) -> bool {
         let longest = longest_lease(table, self.durations);
-        let seen = self.expelled.get(member);
-        seen.is_some_and(|&at| now >= at + R::expulsion_wait(longest))
+        let expelled_at = self.expelled.get(member);
+        expelled_at.is_some_and(|&at| now >= at + R::expulsion_wait(longest))
     }
 
     fn set_state(table: &Table, member: &Member, state: InstanceState) -> Option<Commit> {
--- a/crates/core/src/membership/relayed_leases.rs
+++ b/crates/core/src/membership/relayed_leases.rs
@@ -47,7 +47,7 @@
     /// routing lease of any service.
     pub fn relay(
         &mut self,
-        asker: &Member,
+        requester: &Member,
         is_listed: bool,
         (revision, lease): (Revision, &RoutingLease),
         longest: Duration,
@@ -58,7 +58,7 @@
         if !is_listed {
             let end = lease.end(true, longest);
             let until = now + R::add_clock_margin(end - now);
-            self.record(asker, RelayedLease { revision, until });
+            self.record(requester, RelayedLease { revision, until });
         }
         Some(remaining)
     }
@@ -66,15 +66,15 @@
     /// Records a relayed lease. The answer may be lost, so that an earlier one is all
     /// that the asking instance has: the older revision is kept until the instance
     /// acknowledges a newer one.
-    fn record(&mut self, asker: &Member, new: RelayedLease) {
-        let relayed = self.unlisted.entry(asker.clone()).or_insert(new);
+    fn record(&mut self, requester: &Member, new: RelayedLease) {
+        let relayed = self.unlisted.entry(requester.clone()).or_insert(new);
         relayed.until = relayed.until.max(new.until);
     }
 
     /// Records an acknowledgement from an unlisted instance, which it gives as it would
     /// to a mover.
-    pub fn record_ack(&mut self, asker: &Member, revision: Revision) {
-        if let Some(relayed) = self.unlisted.get_mut(asker) {
+    pub fn record_ack(&mut self, requester: &Member, revision: Revision) {
+        if let Some(relayed) = self.unlisted.get_mut(requester) {
             relayed.revision = relayed.revision.max(revision);
         }
     }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -16,7 +16,7 @@
     pub domain: DomainName,
     /// The revision that the instance routes by.
     pub revision: Revision,
-    /// What the instance relays of its routing lease; `None` if the lease is not based on
+    /// What remains of the instance's routing lease; `None` if the lease is not based on
     /// a read.
     pub remaining: Option<RemainingLease>,
     /// Whether the instance is leaving.
--- a/crates/core/src/ownership/event.rs
+++ b/crates/core/src/ownership/event.rs
@@ -8,9 +8,9 @@
     },
 };
 
-/// Acknowledgement of an instance: it sends no more requests of the scope by revisions
-/// before `revision`, and all that it has sent by them are answered. It acknowledges only
-/// once [`crate::membership::RelayedLeases::is_settled`] holds too.
+/// Acknowledgement of an instance: it sends no more requests of the scope under
+/// revisions before `revision`, and all requests that it sent under them are answered. It
+/// acknowledges only once [`crate::membership::RelayedLeases::is_settled`] holds too.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ack {
     /// The acknowledging instance.
@@ -52,7 +52,8 @@
     Revoke {
         /// The old owner.
         server: ServerName,
-        /// The revocations. The server must accept all of them.
+        /// The revocation of the scope and, for a key that was just extracted, the grant or
+        /// revocation of its shard under the new epoch. The server must accept all of them.
         grants: Vec<Grant>,
     },
     /// Ask an instance to acknowledge the release.
--- a/crates/core/src/ownership/granter.rs
+++ b/crates/core/src/ownership/granter.rs
@@ -112,9 +112,9 @@
         routing_lease: &RoutingLease,
         lease_end: Time,
     ) -> GrantOrder {
-        let allowed =
+        let is_allowed =
             |r: &ServerSession| R::may_grant_boot(r.first_seen, routing_lease.read_started);
-        let Some(session) = self.session.filter(allowed) else {
+        let Some(session) = self.session.filter(is_allowed) else {
             return GrantOrder {
                 boot: None,
                 grants: Vec::new(),
--- a/crates/core/src/ownership/mover.rs
+++ b/crates/core/src/ownership/mover.rs
@@ -192,8 +192,8 @@
             .collect()
     }
 
-    /// Returns the revocations for the old owner, if it checks epochs. The caller repeats
-    /// them until they are accepted or the move is done.
+    /// Returns the grants that withdraw the scope from the old owner, if the owner checks
+    /// epochs. The caller repeats them until they are accepted or the move is done.
     pub fn revoke(&self, table: &Table) -> Vec<MoveAction> {
         if !self.wait.is_fenced {
             return Vec::new();
--- a/crates/core/src/placement/draft.rs
+++ b/crates/core/src/placement/draft.rs
@@ -31,7 +31,9 @@
 
 /// A possible move: the index of a scope and that of its target server.
 pub(super) struct DraftMove {
+    /// Index of the scope.
     pub entry: usize,
+    /// Index of the target server.
     pub server: usize,
     /// Fullness of the target after the move, in permille.
     target_fullness: u128,
@@ -46,6 +48,7 @@
 }
 
 impl<'a> Draft<'a> {
+    /// Creates the placement that the view shows.
     pub fn new(view: &'a ServiceView) -> Self {
         let drafts = view
             .servers
@@ -109,12 +112,14 @@
             .max(self.cap_fullness(server, rate))
     }
 
+    /// Returns the fullness of a server by load, in permille of its share.
     fn load_fullness(&self, server: usize, load: u64) -> u128 {
         let server = &self.servers[server];
         let share = (self.total_load * u128::from(server.weight) / self.total_weight).max(1);
         u128::from(server.load + load) * FULL_PERMILLE / share
     }
 
+    /// Returns the fullness of a server by its rate cap, in permille; 0 without a cap.
     fn cap_fullness(&self, server: usize, rate: u64) -> u128 {
         let server = &self.servers[server];
         server.candidate.rate_cap.map_or(0, |cap| {
@@ -122,6 +127,7 @@
         })
     }
 
+    /// Places every scope without an owner, as long as no move of it is in progress.
     pub fn place_unassigned(&mut self, bound_permille: u64) -> Vec<Proposal> {
         let mut proposals = Vec::new();
         for index in 0..self.entries.len() {
@@ -156,6 +162,7 @@
         rendezvous_score(&server.candidate.name, server.weight, entry.scope)
     }
 
+    /// Moves a scope to a server and returns the proposal for it.
     pub fn move_scope(&mut self, index: usize, server: usize, reason: MoveReason) -> Proposal {
         let entry = &mut self.entries[index];
         if let Some(old) = entry.server {
@@ -187,11 +194,15 @@
         indices.find(|server| self.cap_fullness(*server, 0) > FULL_PERMILLE)
     }
 
+    /// Returns whether a server is over its rate cap, or over the imbalance threshold by
+    /// load.
     pub fn is_uneven(&self, view: &ServiceView) -> bool {
         let threshold = u128::from(view.move_budget.threshold_percent) * FULL_PERMILLE / 100;
         self.server_over_cap().is_some() || self.load_fullness(self.fullest_server(), 0) > threshold
     }
 
+    /// Returns the next move for balance; `None` if the placement is even or no move
+    /// would improve it.
     pub fn next_move(&self, view: &ServiceView) -> Option<DraftMove> {
         if !self.is_uneven(view) {
             return None;
@@ -243,6 +254,7 @@
         })
     }
 
+    /// Returns the fullness by load of a server after a scope has left it, in permille.
     fn source_fullness(&self, from: usize, entry: usize) -> u128 {
         let server = &self.servers[from];
         let share = (self.total_load * u128::from(server.weight) / self.total_weight).max(1);
--- a/crates/core/src/registry/address_index.rs
+++ b/crates/core/src/registry/address_index.rs
@@ -9,6 +9,7 @@
 }
 
 impl AddressIndex {
+    /// Adds a server at an address.
     pub(super) fn insert(&mut self, address: SocketAddr, name: &ServerName) {
         let names = self.names.entry(address).or_default();
         if !names.contains(name) {
@@ -16,6 +17,7 @@
         }
     }
 
+    /// Removes a server from an address.
     pub(super) fn remove(&mut self, address: &SocketAddr, name: &ServerName) {
         let Some(names) = self.names.get_mut(address) else {
             return;
@@ -26,6 +28,7 @@
         }
     }
 
+    /// Returns the servers at an address.
     pub(super) fn names_at(&self, address: &SocketAddr) -> &[ServerName] {
         self.names.get(address).map_or(&[], Vec::as_slice)
     }
--- a/crates/core/src/registry/server_record.rs
+++ b/crates/core/src/registry/server_record.rs
@@ -15,7 +15,7 @@
     pub leaving_since: Option<Time>,
     /// When the server was first listed.
     pub first_seen: Time,
-    /// When the server stops to count as cold.
+    /// When the server stops counting as cold.
     pub cold_until: Time,
     /// When this instance learned that the server's failure domain is evacuated.
     pub evacuated_since: Option<Time>,
@@ -49,9 +49,9 @@
     /// Returns until when requests for keys that the server still owns may be sent to it;
     /// `None` while the server does not leave.
     pub fn send_deadline(&self, bounds: &SendBounds) -> Option<Time> {
-        let left = self.leaving_since.map(|left| left + bounds.drain);
+        let leaving = self.leaving_since.map(|since| since + bounds.drain);
         let evacuated = self.evacuated_since.map(|since| since + bounds.evacuation);
-        left.into_iter().chain(evacuated).min()
+        leaving.into_iter().chain(evacuated).min()
     }
 
     /// Returns whether requests to the server's address may reach another server process.
@@ -59,6 +59,8 @@
         self.address_claim != AddressClaim::Exclusive
     }
 
+    /// Records a conflict about the address, after which the server counts as leaving. A
+    /// server that is superseded stays so.
     pub(super) fn mark_address_conflict(&mut self, address_claim: AddressClaim, now: Time) {
         if self.address_claim != AddressClaim::Superseded {
             self.address_claim = address_claim;
--- a/crates/core/src/registry/servers.rs
+++ b/crates/core/src/registry/servers.rs
@@ -84,11 +84,11 @@
         if self.evacuated_domains.remove(domain).is_none() {
             return;
         }
-        let cold = now + warm_up + COLD_REPORT_DELAY;
-        self.cold_domains.insert(domain.clone(), cold);
+        let cold_until = now + warm_up + COLD_REPORT_DELAY;
+        self.cold_domains.insert(domain.clone(), cold_until);
         self.update_domain(domain, |record| {
             record.evacuated_since = None;
-            record.cold_until = record.cold_until.max(cold);
+            record.cold_until = record.cold_until.max(cold_until);
         });
     }
 
@@ -120,12 +120,12 @@
     fn insert(&mut self, record: ServerRecord) {
         let (name, address) = (record.entry.name.clone(), record.entry.address);
         let (service, leaving_since) = (record.entry.service.clone(), record.leaving_since);
-        let former = self.servers.insert(name.clone(), Arc::new(record));
-        if let Some(former) = former {
-            if former.entry.address != address {
-                self.addresses.remove(&former.entry.address, &name);
+        let previous = self.servers.insert(name.clone(), Arc::new(record));
+        if let Some(previous) = previous {
+            if previous.entry.address != address {
+                self.addresses.remove(&previous.entry.address, &name);
             }
-            self.changed_services.insert(former.entry.service.clone());
+            self.changed_services.insert(previous.entry.service.clone());
         }
         self.addresses.insert(address, &name);
         self.mark_changed(service, leaving_since);
@@ -169,8 +169,8 @@
     /// one with the same id is late, or from another writer, and is ignored.
     pub fn apply_entry(&mut self, entry: ServerEntry, now: Time) {
         let name = entry.name.clone();
-        let newer = |record: &ServerRecord| started_later(&record.entry, &entry) == Some(true);
-        if self.servers_with_id(name.id()).any(newer) {
+        let is_newer = |record: &ServerRecord| started_later(&record.entry, &entry) == Some(true);
+        if self.servers_with_id(name.id()).any(is_newer) {
             return;
         }
         self.missing_until.remove(&name);
@@ -247,9 +247,9 @@
 
     fn servers_with_id<'a>(&'a self, id: &'a str) -> impl Iterator<Item = &'a ServerRecord> {
         let first = id.parse::<ServerName>().ok();
-        let starts = first.map(|first| self.servers.range(first..));
-        let starts = starts.into_iter().flatten().map(|(_, record)| &**record);
-        starts.take_while(move |record| record.entry.name.id() == id)
+        let records = first.map(|first| self.servers.range(first..));
+        let records = records.into_iter().flatten().map(|(_, record)| &**record);
+        records.take_while(move |record| record.entry.name.id() == id)
     }
 
     /// Handles the removal of the entry with a server id. Returns how much longer the
@@ -302,22 +302,22 @@
     /// Removes servers whose entry has been missing for too long, and purges old records.
     /// Returns whether anything changed.
     pub fn tick(&mut self, now: Time) -> bool {
-        let due = |until: &Time| *until <= now;
-        let gone: Vec<ServerName> = self
+        let is_due = |until: &Time| *until <= now;
+        let expired: Vec<ServerName> = self
             .missing_until
             .iter()
-            .filter(|(_, until)| due(until))
+            .filter(|(_, until)| is_due(until))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in &gone {
+        for name in &expired {
             self.missing_until.remove(name);
             self.update(name, |record| {
                 record.leaving_since.get_or_insert(now);
             });
         }
-        self.cold_domains.retain(|_, cold| *cold > now);
+        self.cold_domains.retain(|_, until| *until > now);
         let purged = self.purge(now);
-        !gone.is_empty() || purged
+        !expired.is_empty() || purged
     }
 
     /// Purges servers that left long ago. Returns whether there were any.
@@ -326,17 +326,18 @@
             return false;
         }
         let retention = self.times.retention;
-        let ends = |record: &Arc<ServerRecord>| record.leaving_since.map(|left| left + retention);
+        let ends = |record: &Arc<ServerRecord>| record.leaving_since.map(|since| since + retention);
         let is_over = |record: &&Arc<ServerRecord>| ends(record).is_some_and(|end| end <= now);
-        let over: Vec<Arc<ServerRecord>> = self.servers.values().filter(is_over).cloned().collect();
-        for record in &over {
+        let purgeable: Vec<Arc<ServerRecord>> =
+            self.servers.values().filter(is_over).cloned().collect();
+        for record in &purgeable {
             let entry = &record.entry;
             self.servers.remove(&entry.name);
             self.addresses.remove(&entry.address, &entry.name);
             self.changed_services.insert(entry.service.clone());
         }
         self.purge_at = self.servers.values().filter_map(ends).min();
-        !over.is_empty()
+        !purgeable.is_empty()
     }
 
     /// Returns the record of one server.
