--- a/crates/core/src/registry/server_record.rs
+++ b/crates/core/src/registry/server_record.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns until when requests for keys that the server still owns may be sent to it;
-    /// `None` while the server does not leave.
+    /// `None` while the server is available.
     pub fn send_deadline(&self, bounds: &SendBounds) -> Option<Time> {
         let leaving = self.leaving_since.map(|since| since + bounds.drain);
         let evacuated = self.evacuated_since.map(|since| since + bounds.evacuation);
--- a/crates/core/tests/model/servers.rs
+++ b/crates/core/tests/model/servers.rs
@@ -256,12 +256,12 @@
             for grant in &grants {
                 accepted &= lost.servers[number].apply_grant(grant.epoch, grant.kind);
             }
-            let mut heard = lost.clone();
+            let mut acknowledged = lost.clone();
             push(next, "revoke, answer lost", driver, lost);
             if accepted {
                 let epoch = grants[0].epoch;
-                self.step_mover(&mut heard, driver, MoveEvent::Revoked { epoch });
-                push(next, "revoke", driver, heard);
+                self.step_mover(&mut acknowledged, driver, MoveEvent::Revoked { epoch });
+                push(next, "revoke", driver, acknowledged);
             }
         }
     }
