--- a/crates/core/src/dispatch/select.rs
+++ b/crates/core/src/dispatch/select.rs
@@ -122,9 +122,9 @@
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Unreachable => "no server is reachable",
-            Self::Refusing => "all servers refuse requests",
-            Self::QueueTooLong => "no server would respond in time",
+            Self::Unreachable => "no server could be reached lately",
+            Self::Refusing => "all servers have refused requests lately",
+            Self::QueueTooLong => "no server would answer in time",
         })
     }
 }
--- a/crates/core/src/routing/local_response.rs
+++ b/crates/core/src/routing/local_response.rs
@@ -74,19 +74,19 @@
 impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
-            Self::NoOwner => "the key has no owner",
-            Self::Unconfirmed => "the routing lease has expired",
-            Self::Overloaded => "the wait for a slot of the backend server is too long",
-            Self::Ejected => "the backend server is ejected as an outlier",
-            Self::OperatorLimit => "the operator has too many concurrent requests here",
-            Self::RateLimited => "the rate limit of the backend server is reached",
-            Self::Quarantined => "identical requests crashed backend servers",
+            Self::NoOwner => "the key has no owner now",
+            Self::Unconfirmed => "the owner of the key is not certain now",
+            Self::Overloaded => "the wait for the backend server is too long",
+            Self::Ejected => "the backend server does not answer now",
+            Self::OperatorLimit => "the operator has too many requests in progress here",
+            Self::RateLimited => "the backend server's cap is used up",
+            Self::Quarantined => "requests like this one crashed backend servers",
             Self::Refused => "the backend server refused the request",
             Self::Unreachable => "the backend server cannot be reached",
             Self::ConnectionLost => "the connection to the backend server was lost",
-            Self::TimedOut => "the request timed out",
-            Self::Leaving => "the instance is shutting down",
-            Self::ClientDisconnected => "the client disconnected",
+            Self::TimedOut => "the time for the request is used up",
+            Self::Leaving => "the instance is leaving",
+            Self::ClientDisconnected => "the caller left",
         })
     }
 }
