--- a/crates/core/src/freshness/ages.rs
+++ b/crates/core/src/freshness/ages.rs
@@ -1,4 +1,4 @@
-//! Ages of tables.
+//! Ages of an instance's table copies, and when the store is due for a poll.
 
 use {
     super::{FreshnessTimes, Role},
@@ -6,23 +6,24 @@
     std::time::Duration,
 };
 
-/// How old a copy of a table is; `None` if it was never read.
+/// The age of a table copy; `None` if the table was never read.
 pub type Age = Option<Duration>;
 
-/// A period, longer than an outage, during which no known peer received a response for the
-/// table.
+/// A period, longer than [`FreshnessTimes::outage_age`], in which no known instance received
+/// a response for a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreOutage {
-    /// How long it was.
+    /// Length of the period.
     pub duration: Duration,
-    /// When it ended.
+    /// End of the period.
     pub end: Time,
 }
 
-/// For each of `N` tables, the last moment as of which it is known.
+/// Ages of `N` tables, each counted from the time at which the table was last known to be
+/// current.
 ///
-/// An age that grows without a response reveals a lost one, whatever became of the call. An
-/// instance that has not polled for a while has missed nothing if its peers have.
+/// An age that keeps growing reveals a lost response, however the call ended. An instance
+/// that has not polled for a while has missed nothing as long as its peers have polled.
 ///
 /// ```
 /// use {
@@ -42,12 +43,12 @@
     as_of: [Option<Time>; N],
     /// Earliest time of the next call after a failure.
     retry_at: Time,
-    /// Calls that have failed since the last news.
+    /// Consecutive failed calls since the table ages last improved.
     failures: u32,
 }
 
 impl<const N: usize> Freshness<N> {
-    /// Nothing is known.
+    /// A record in which all ages are unknown.
     pub fn new(times: FreshnessTimes) -> Self {
         Self {
             times,
@@ -57,11 +58,13 @@
         }
     }
 
-    /// A call that began at a moment was answered; returns the outage that this ends.
+    /// Records the answer to a call that began at `as_of`. Returns the outage that the answer
+    /// ends, if there was one.
     pub fn record_read(&mut self, table: usize, as_of: Time) -> Option<StoreOutage> {
         let known = &mut self.as_of[table];
         let before = known.filter(|before| *before < as_of);
-        // Ages passed around among instances get a little younger each time.
+        // An age that instances pass on to each other becomes slightly younger with each
+        // hop, so a small gain does not show that the store has answered.
         if known.is_none_or(|known| known + self.times.retry_delay < as_of) {
             self.failures = 0;
         }
@@ -73,40 +76,42 @@
         })
     }
 
-    /// A peer with the same table advertises its age; returns the outage that this ends.
+    /// Records the age that a peer advertises for the same version of a table. Returns the
+    /// outage that the age ends, if there was one.
     pub fn record_peer_age(&mut self, table: usize, age: Age, now: Time) -> Option<StoreOutage> {
         let age = u64::try_from(age?.as_micros()).ok()?;
         let as_of = Time::from_micros(now.as_micros().checked_sub(age)?);
         self.record_read(table, as_of)
     }
 
-    /// The moment as of which a table is known; `None` if it was never read.
+    /// The time at which a table was last known to be current; `None` if it was never read.
     pub fn as_of(&self, table: usize) -> Option<Time> {
         self.as_of[table]
     }
 
-    /// How old a table is.
+    /// The age of a table.
     pub fn age(&self, table: usize, now: Time) -> Age {
         self.as_of[table].map(|known| now - known)
     }
 
-    /// How old all of them are.
+    /// The ages of all tables.
     pub fn ages(&self, now: Time) -> [Age; N] {
         std::array::from_fn(|table| self.age(table, now))
     }
 
-    /// Whether the store should be asked: a table is too old for this role, and the
-    /// last call did not just fail.
+    /// Whether to poll the store: a table is too old for this role, and no retry delay is
+    /// pending.
     pub fn is_due(&self, role: Role, now: Time) -> bool {
         self.time_until_due(role, now).is_zero()
     }
 
-    /// How long until the store should be asked, if nothing is heard meanwhile.
+    /// Time until the next poll of the store, if no age improves before then.
     pub fn time_until_due(&self, role: Role, now: Time) -> Duration {
         self.time_until_due_except([false; N], role, now)
     }
 
-    /// The same if nothing need be asked about some tables, as they are arriving.
+    /// Time until the next poll of the store, not counting tables that a transfer is
+    /// delivering already.
     pub fn time_until_due_except(&self, arriving: [bool; N], role: Role, now: Time) -> Duration {
         if arriving == [true; N] {
             return self.times.poll_interval(role);
@@ -118,8 +123,8 @@
         due.max(self.retry_at) - now
     }
 
-    /// A call failed; `jitter` is a factor around 1, so that instances do not ask in
-    /// step.
+    /// Records a failed call and schedules the retry. `jitter` is a factor around 1 that
+    /// keeps instances from polling in lockstep.
     pub fn record_failure(&mut self, role: Role, jitter: f64, now: Time) {
         let pause = self.times.backoff(role, self.failures);
         self.failures = self.failures.saturating_add(1);
--- a/crates/core/src/freshness/fetches.rs
+++ b/crates/core/src/freshness/fetches.rs
@@ -1,4 +1,4 @@
-//! Transfers of tables to an instance.
+//! Table transfers from other instances, with hedging and idle timeouts.
 
 use {
     super::{FreshnessTimes, PropagationTimes},
@@ -6,24 +6,24 @@
     std::{array, time::Duration},
 };
 
-/// Bounds of a transfer. It is not given up for its length: how long the whole takes
-/// depends on the link, and what had come would be thrown away.
+/// Delays and timeouts of a transfer. There is no limit on its total duration, which depends
+/// on the link; aborting a transfer would waste the parts already received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FetchTimes {
-    /// After so long without any part another instance is asked beside the first one,
-    /// which may have ended or stand still.
+    /// Time without a first part after which a second instance is asked as well, since the
+    /// first one may have ended or stalled.
     pub hedge_delay: Duration,
-    /// The same after a part has come.
+    /// Time since the last part after which a second instance is asked as well.
     pub stall_delay: Duration,
-    /// The same for one of which parts go on coming: its source may be slower than
-    /// the link.
+    /// Duration of a transfer, even one that makes progress, after which a second instance
+    /// is asked as well: the first one may be slower than the link.
     pub slow_delay: Duration,
-    /// After so long without a further part a fetch is given up.
+    /// Time without a part after which a transfer is aborted.
     pub idle_timeout: Duration,
 }
 
 impl FetchTimes {
-    /// The defaults; see the fields.
+    /// The values in production.
     pub const STANDARD: Self = Self {
         hedge_delay: PropagationTimes::STANDARD.call_duration,
         stall_delay: Duration::from_millis(400),
@@ -32,13 +32,13 @@
     };
 }
 
-/// Concurrent fetches of a table at most: they share the link.
+/// Most concurrent fetches of a table, since they share the link.
 const MAX_CONCURRENT: usize = 2;
 
-/// A fetch that was begun.
+/// Handle of a fetch in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fetch {
-    /// The table that is fetched.
+    /// Index of the table that is fetched.
     pub table: usize,
     number: u64,
 }
@@ -47,11 +47,11 @@
 struct OpenFetch {
     number: u64,
     begun: Time,
-    /// When its last part came.
+    /// Arrival time of the last part.
     last_part: Option<Time>,
 }
 
-/// The fetches of `N` tables that are under way.
+/// Fetches in progress for each of `N` tables.
 ///
 /// ```
 /// use {
@@ -76,7 +76,7 @@
 }
 
 impl<const N: usize> Fetches<N> {
-    /// None is under way.
+    /// A record without fetches.
     pub fn new(times: FetchTimes) -> Self {
         Self {
             times,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Begins a fetch, unless one goes on.
+    /// Begins a fetch, unless another fetch of the table is making progress or two are in
+    /// flight.
     pub fn begin(&mut self, table: usize, now: Time) -> Option<Fetch> {
         let open = &self.open[table];
         let is_allowed = open.len() < MAX_CONCURRENT
@@ -93,7 +94,7 @@
         is_allowed.then(|| self.add(table, now))
     }
 
-    /// Adds a transfer that was begun elsewhere.
+    /// Adds a transfer that this record did not begin.
     pub fn add(&mut self, table: usize, now: Time) -> Fetch {
         self.last_number += 1;
         let number = self.last_number;
@@ -105,7 +106,7 @@
         Fetch { table, number }
     }
 
-    /// A part of the table has come.
+    /// Records the arrival of a part.
     pub fn record_progress(&mut self, fetch: Fetch, now: Time) {
         let mut open = self.open[fetch.table].iter_mut();
         if let Some(open) = open.find(|open| open.number == fetch.number) {
@@ -113,14 +114,14 @@
         }
     }
 
-    /// Whether parts of a table are coming, and not slowly.
+    /// Whether a fetch of the table has received parts and is making progress.
     pub fn is_arriving(&self, table: usize, now: Time) -> bool {
         let is_arriving =
             |open: &OpenFetch| open.last_part.is_some() && self.times.is_progressing(open, now);
         self.open[table].iter().any(is_arriving)
     }
 
-    /// How long to wait for the next part until the fetch is given up.
+    /// Time until the fetch is aborted if no further part arrives.
     pub fn time_until_idle(&self, fetch: Fetch, now: Time) -> Duration {
         let mut open = self.open[fetch.table].iter();
         let open = open.find(|open| open.number == fetch.number);
@@ -128,14 +129,14 @@
         last.map_or(Duration::ZERO, |last| last + self.times.idle_timeout - now)
     }
 
-    /// A fetch has ended, with the table or without.
+    /// Removes a fetch that has ended, successfully or not.
     pub fn end(&mut self, fetch: Fetch) {
         self.open[fetch.table].retain(|open| open.number != fetch.number);
     }
 }
 
 impl FetchTimes {
-    /// Whether a fetch makes another one needless.
+    /// Whether a fetch makes enough progress that no second instance need be asked.
     fn is_progressing(&self, open: &OpenFetch, now: Time) -> bool {
         match open.last_part {
             Some(last_part) => {
--- a/crates/core/src/freshness/health.rs
+++ b/crates/core/src/freshness/health.rs
@@ -1,14 +1,15 @@
-//! Whether the store counts as lost.
+//! Failure detection for the store.
 
 use {super::FreshnessTimes, crate::time::Time, std::time::Duration};
 
-/// Tells a single lost answer from a store that answers nothing.
+/// Time since the last answer after which a failed call marks the store as unreachable. A
+/// shorter time would mistake a single lost answer for an outage.
 ///
-/// Must stay below the planner's poll interval plus the timeout of one call, so that the
-/// first call that fails after a cut tells of it.
+/// It must stay below the planner's poll interval plus the timeout of one call, so that the
+/// first call that fails after a network partition already reports the outage.
 const ANSWER_TIMEOUT: Duration = FreshnessTimes::STANDARD.planner_interval.saturating_mul(2);
 
-/// Whether the store answers this instance.
+/// Health of the store, as this instance's calls show it.
 ///
 /// ```
 /// use {citron_core::{freshness::StoreHealth, time::Time}, std::time::Duration};
@@ -28,18 +29,18 @@
 }
 
 impl StoreHealth {
-    /// Whether the store counts as reachable.
+    /// Whether the store is considered reachable.
     pub fn is_up(&self) -> bool {
         self.is_up
     }
 
-    /// A call was answered.
+    /// Records a call that was answered.
     pub fn record_answer(&mut self, now: Time) {
         self.last_answer = self.last_answer.max(Some(now));
         self.is_up = true;
     }
 
-    /// A call failed, or was not answered in time.
+    /// Records a call that failed or timed out.
     pub fn record_failure(&mut self, now: Time) {
         let is_recent = |answer| now - answer < ANSWER_TIMEOUT;
         self.is_up &= self.last_answer.is_some_and(is_recent);
--- a/crates/core/src/freshness/heartbeats.rs
+++ b/crates/core/src/freshness/heartbeats.rs
@@ -1,32 +1,32 @@
-//! How often instances hear each other, and after which silence one counts as lost.
+//! Heartbeat intervals among instances, and timeouts after which an instance counts as lost.
 
 use {super::PropagationTimes, std::time::Duration};
 
-/// Silence after which the planner counts as lost at any size, and any other instance at the
-/// earliest.
+/// Time without a heartbeat after which the planner counts as lost, for any number of
+/// instances. For other instances it is the shortest timeout.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Missed heartbeats after which an instance counts as lost.
+/// Heartbeat intervals without a heartbeat after which an instance counts as lost.
 const MISSED_INTERVALS: f64 = 3.5;
-/// Instances per unit of the interval: its multiple keeps the processor time of heartbeats
-/// constant at any number of instances.
+/// Instances for each step of the interval. An interval that grows with the number of
+/// instances keeps the processor time spent on heartbeats constant.
 const INSTANCES_PER_STEP: usize = 7;
-/// Time between two heartbeats of the planner at most: three are missing before it
-/// counts as lost.
+/// Longest interval between heartbeats of the planner, so that three are missed before the
+/// planner counts as lost.
 const MAX_PLANNER_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Who a heartbeat is from, as far as it tells how often they come.
+/// The kind of a heartbeat's sender, which determines the interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sender {
-    /// An instance of the same failure domain.
+    /// An instance of the receiver's failure domain.
     SameDomain,
-    /// One of another.
+    /// An instance of another failure domain.
     OtherDomain,
-    /// The planner.
+    /// The planner, in any failure domain.
     Planner,
 }
 
-/// Heartbeat intervals among a number of instances that hear each other. The interval grows
-/// with their number, and with it the silence after which one counts as lost.
+/// Heartbeat intervals and timeouts for a number of instances that exchange heartbeats. The
+/// intervals grow with the number of instances, and the timeouts with the intervals.
 ///
 /// ```
 /// use {citron_core::freshness::{HeartbeatSchedule, Sender}, std::time::Duration};
@@ -43,7 +43,7 @@
 }
 
 impl HeartbeatSchedule {
-    /// For `instances` that hear each other, the own one included.
+    /// The schedule for `instances` that exchange heartbeats, including the local one.
     pub fn for_instances(instances: usize) -> Self {
         let steps = u32::try_from(instances / INSTANCES_PER_STEP)
             .unwrap_or(1)
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Time between two heartbeats of a sender.
+    /// The time between two heartbeats of a sender.
     pub fn interval(&self, sender: Sender) -> Duration {
         match sender {
             Sender::SameDomain => self.same_domain,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// After how long without a heartbeat a sender counts as lost.
+    /// The time without a heartbeat after which a sender counts as lost.
     pub fn timeout(&self, sender: Sender) -> Duration {
         match sender {
             Sender::Planner => HEARTBEAT_TIMEOUT,
--- a/crates/core/src/freshness/holder.rs
+++ b/crates/core/src/freshness/holder.rs
@@ -1,11 +1,11 @@
-//! When the holder of a leadership counts as lost.
+//! Failure detection for the holder of the leadership.
 
 use {super::HEARTBEAT_TIMEOUT, crate::time::Time};
 
-/// How long the holder of a leadership has been silent.
+/// Liveness of the holder of the leadership, by its latest claim and heartbeat.
 ///
-/// A claim is a sign of life: where many instances start together, most learn of a claim
-/// before they hear a heartbeat of the claimant.
+/// A claim counts like a heartbeat: when many instances start together, most of them read
+/// the claim before they receive a heartbeat from the claimant.
 ///
 /// ```
 /// use {citron_core::{freshness::HolderLiveness, time::Time}, std::time::Duration};
@@ -18,24 +18,24 @@
 /// ```
 #[derive(Debug)]
 pub struct HolderLiveness {
-    /// Version of the row that names the holder, and when it was first seen.
+    /// Version of the row that names the holder, and when that version was first seen.
     claim: (u64, Time),
 }
 
 impl HolderLiveness {
-    /// For an instance that started now.
+    /// A detector of an instance that starts at `now`.
     pub fn new(now: Time) -> Self {
         Self { claim: (0, now) }
     }
 
-    /// The row that names the holder has a version.
+    /// Records the version of the row that names the holder.
     pub fn record_claim(&mut self, version: u64, now: Time) {
         if version != self.claim.0 {
             self.claim = (version, now);
         }
     }
 
-    /// Whether a holder that was last heard at a moment counts as lost.
+    /// Whether neither a claim nor a heartbeat has arrived within [`HEARTBEAT_TIMEOUT`].
     pub fn is_lost(&self, last_heartbeat: Option<Time>, now: Time) -> bool {
         let (_, claimed) = self.claim;
         now - last_heartbeat.map_or(claimed, |heartbeat| heartbeat.max(claimed)) > HEARTBEAT_TIMEOUT
--- a/crates/core/src/freshness/lag.rs
+++ b/crates/core/src/freshness/lag.rs
@@ -1,10 +1,11 @@
-//! When a table is fetched from another instance.
+//! Delay before a lagging table is fetched from another instance.
 
 use {crate::time::Time, std::time::Duration};
 
-/// Since when each of `N` tables has lagged behind another instance's.
+/// Timer of how long each of `N` tables has lagged behind another instance's copy.
 ///
-/// An instance that should learn of a change by itself is given a grace period first.
+/// An instance that will receive the change anyway waits for a grace period before it
+/// fetches the table.
 ///
 /// ```
 /// use {citron_core::{freshness::LagTimer, time::Time}, std::time::Duration};
@@ -30,14 +31,14 @@
         }
     }
 
-    /// Another instance's table is newer: whether to fetch it now. One that `expects_update`
-    /// of its own waits until the grace period has passed.
+    /// Whether to fetch a table now, given that another instance has a newer one. With
+    /// `expects_update`, the table is fetched only after the grace period.
     pub fn should_fetch(&mut self, table: usize, expects_update: bool, now: Time) -> bool {
         let since = *self.lagging_since[table].get_or_insert(now);
         !expects_update || now - since > self.grace
     }
 
-    /// A table has applied changes.
+    /// Resets the timer of a table that has applied changes.
     pub fn caught_up(&mut self, table: usize) {
         self.lagging_since[table] = None;
     }
--- a/crates/core/src/freshness/mod.rs
+++ b/crates/core/src/freshness/mod.rs
@@ -1,8 +1,10 @@
-//! How old an instance's copies of the store's tables are, and who polls the store.
+//! Freshness of an instance's copies of the store's tables, and which instance polls the
+//! store.
 //!
-//! An open watch is no sign that nothing has changed: its response may have been lost. Each
-//! table therefore has an age, which only a response resets. Instances advertise their ages to
-//! each other, and one whose table is too old polls the store.
+//! A pending watch does not prove that nothing has changed, because its response may have
+//! been lost. Each table therefore has an age, which only a response resets. Instances
+//! advertise the ages of their tables to each other, and an instance whose table is too old
+//! polls the store.
 
 mod ages;
 mod fetches;
--- a/crates/core/src/freshness/staleness.rs
+++ b/crates/core/src/freshness/staleness.rs
@@ -1,4 +1,5 @@
-//! Whether what is known of a table is good enough for a final negative answer.
+//! Staleness of a table copy, which decides whether the copy may justify a final negative
+//! response.
 
 use {
     super::{Age, FreshnessTimes},
@@ -7,7 +8,7 @@
     thiserror::Error,
 };
 
-/// Whether a table lags behind a version that is known to exist.
+/// Lag of a table copy behind a version that is known to exist.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Lag {
     /// No higher version is known.
@@ -19,25 +20,25 @@
     Unreadable,
 }
 
-/// Why a table that requests are decided by may be out of date.
+/// Reason why a table that decides requests may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum StaleReason {
-    /// Nobody told how old it is.
+    /// The table was never read.
     #[error("its age is unknown")]
     UnknownAge,
-    /// It is so old that the store was not heard of meanwhile.
-    #[error("it is {}ms old", .0.as_millis())]
+    /// The store has been unreachable for longer than [`FreshnessTimes::outage_age`].
+    #[error("it is {} ms old", .0.as_millis())]
     Expired(Duration),
-    /// There is a newer one.
-    #[error("a newer one is known of")]
+    /// A newer version is known.
+    #[error("a newer version is known")]
     Lagging,
-    /// There is a newer one that could not be read.
-    #[error("a newer one cannot be read")]
+    /// The store has a newer version that cannot be decoded.
+    #[error("a newer version cannot be decoded")]
     Unreadable,
 }
 
-/// How current a table is. A final negative response needs one in good standing: any other
-/// instance may have the route that is missing here.
+/// Staleness of a table copy. A final negative response requires a copy that is not stale,
+/// because another instance may have the route that is missing here.
 ///
 /// ```
 /// use {
@@ -53,14 +54,14 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Staleness {
-    /// How old what is known is.
+    /// Age of the copy.
     pub age: Age,
-    /// Whether it lags behind a known version.
+    /// Lag of the copy behind a version that is known to exist.
     pub lag: Lag,
 }
 
 impl Staleness {
-    /// Why the table is not good enough; `None` if it is.
+    /// The reason why the copy may be out of date; `None` if it is current.
     pub fn stale_reason(&self, times: &FreshnessTimes) -> Option<StaleReason> {
         match (self.lag, self.age) {
             (Lag::Unreadable, _) => Some(StaleReason::Unreadable),
@@ -71,10 +72,11 @@
     }
 }
 
-/// Tracks the applied and the highest advertised version of a table.
+/// The applied version and the highest advertised version of a table.
 ///
-/// An advertised version expires one `outage` after it was last advertised: the peer may have
-/// advertised the version of a read rather than of a change, and have ended since.
+/// An advertised version expires [`FreshnessTimes::outage_age`] after it was last advertised.
+/// The peer may have advertised the version at which it read the table rather than that of
+/// a change, and may have ended since.
 ///
 /// ```
 /// use citron_core::{freshness::{FreshnessTimes, Lag, VersionTracker}, time::Time};
@@ -97,7 +99,7 @@
 }
 
 impl VersionTracker {
-    /// Nothing is known.
+    /// A tracker without any known version.
     pub fn new(times: FreshnessTimes) -> Self {
         Self {
             times,
@@ -108,12 +110,12 @@
         }
     }
 
-    /// All changes up to a version are applied.
+    /// Records that all changes up to a version are applied.
     pub fn record_applied(&mut self, version: u64) {
         self.applied = self.applied.max(version);
     }
 
-    /// Another instance advertises a version.
+    /// Records a version that another instance advertises.
     pub fn record_advertised(&mut self, version: u64, now: Time) {
         if version > self.applied {
             self.advertised = self.advertised.max(version);
@@ -121,17 +123,17 @@
         }
     }
 
-    /// A row of this version was decoded.
+    /// Records that a row of this version was decoded.
     pub fn record_readable(&mut self, version: u64) {
         self.unreadable = self.unreadable.filter(|unreadable| *unreadable >= version);
     }
 
-    /// A row of this version could not be decoded.
+    /// Records that a row of this version could not be decoded.
     pub fn record_unreadable(&mut self, version: u64) {
         self.unreadable = self.unreadable.max(Some(version));
     }
 
-    /// Whether the applied version, which is known as of a moment, lags behind.
+    /// The lag of the applied version, which was last known to be current at `as_of`.
     pub fn lag(&self, as_of: Option<Time>) -> Lag {
         if self.unreadable.is_some() {
             return Lag::Unreadable;
--- a/crates/core/src/freshness/times.rs
+++ b/crates/core/src/freshness/times.rs
@@ -1,41 +1,41 @@
-//! Intervals and bounds of how tables spread.
+//! Intervals and limits of table propagation.
 
 use std::time::Duration;
 
-/// What an instance does towards the store. The fewer have a role, the earlier they poll, so
-/// that most of the time one call serves all.
+/// The polling role of an instance. A role that fewer instances have polls earlier, so that
+/// one call to the store usually serves all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Plans; there is one.
+    /// The one instance that plans moves of keys.
     Planner,
-    /// Reads the store for its failure domain.
+    /// An instance that reads the store on behalf of its failure domain.
     Reader,
-    /// Learns of changes from peers.
+    /// An instance that receives changes from peers.
     Follower,
 }
 
-/// The age of a table at which an instance polls the store.
+/// Table ages at which instances poll the store, and delays between retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessTimes {
     /// Poll interval of the planner.
     pub planner_interval: Duration,
-    /// Poll interval of a reader; longer than the planner's by a lost datagram and a busy
-    /// processor.
+    /// Poll interval of a reader. It exceeds the planner's by enough for one lost datagram
+    /// and a busy processor.
     pub reader_interval: Duration,
-    /// Poll interval of a follower; longer than a reader's for the same reason.
+    /// Poll interval of a follower, which exceeds a reader's for the same reason.
     pub follower_interval: Duration,
     /// Mean retry delay after a failed call.
     pub retry_delay: Duration,
-    /// Longest retry delay of followers: where hundreds poll, one of them finds the store's
-    /// return soon.
+    /// Longest retry delay of followers. With hundreds of followers, one of them still
+    /// detects soon that the store is reachable again.
     pub max_retry_delay: Duration,
-    /// Age above which the store is presumed unreachable. Must stay below three heartbeats of
-    /// a server, after which registrations expire.
+    /// Age above which the store is presumed unreachable. It must stay below three heartbeat
+    /// intervals of a backend server, after which registrations expire.
     pub outage_age: Duration,
 }
 
 impl FreshnessTimes {
-    /// The defaults; see the fields.
+    /// The values in production.
     pub const STANDARD: Self = Self {
         planner_interval: Duration::from_millis(500),
         reader_interval: Duration::from_millis(700),
@@ -45,7 +45,7 @@
         outage_age: Duration::from_millis(1_500),
     };
 
-    /// The retry delay after a number of failures in a row.
+    /// The retry delay after `failures` consecutive failed calls.
     ///
     /// ```
     /// use citron_core::freshness::{FreshnessTimes, Role};
@@ -74,25 +74,25 @@
     }
 }
 
-/// Durations of the steps by which a change spreads to all instances.
+/// Durations of the steps by which a change propagates to all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PropagationTimes {
     /// How often an instance checks the ages of its tables.
     pub poll_interval: Duration,
-    /// A call to the store or to another instance, on a processor that may be taken away
-    /// for most of 100 ms.
+    /// Time for a call to the store or to another instance, on a processor whose quota may
+    /// suspend the process for most of 100 ms.
     pub call_duration: Duration,
-    /// Time between two heartbeats within a failure domain, with few instances.
+    /// Time between two heartbeats within a small failure domain; larger ones use a multiple.
     pub heartbeat_interval: Duration,
-    /// Heartbeats to other failure domains are rarer by this factor.
+    /// Factor by which heartbeats to other failure domains are less frequent.
     pub cross_domain_factor: u32,
-    /// How long an instance that should learn of a change by itself lags before it fetches
-    /// the table from a peer: bytes between failure domains are paid for.
+    /// How long an instance that will receive a change anyway lags behind before it fetches
+    /// the table from a peer, since traffic between failure domains is billed.
     pub lag_grace: Duration,
 }
 
 impl PropagationTimes {
-    /// The defaults; see the fields.
+    /// The values in production.
     pub const STANDARD: Self = Self {
         poll_interval: Duration::from_millis(50),
         call_duration: Duration::from_millis(100),
@@ -101,9 +101,10 @@
         lag_grace: Duration::from_millis(250),
     };
 
-    /// The longest propagation delay from the store's acknowledgement of a change to each
-    /// instance, as long as one of them reaches the store: the last to poll does so, the
-    /// datagram that advertises the change is lost, and the hearer's grace period passes.
+    /// The longest propagation delay from the store's acknowledgement of a change to every
+    /// instance, as long as one instance reaches the store. In the worst case that instance
+    /// is a follower, which polls last, the datagram that advertises the change is lost, and
+    /// the receiver waits for its grace period before it fetches the table.
     ///
     /// ```
     /// use {citron_core::freshness::{FreshnessTimes, PropagationTimes}, std::time::Duration};
