--- a/crates/core/src/table/block.rs
+++ b/crates/core/src/table/block.rs
@@ -1,11 +1,11 @@
-//! Rows that say who owns which shard.
+//! Rows that assign shards and single keys to owners.
 
 use crate::{
     id::{KeyHash, ServiceName, ShardId},
     ownership::Assignment,
 };
 
-/// Shards in one block, which is one row: moves within a block share a commit.
+/// Shards in one block. A block is one row, so moves within a block share a commit.
 pub const SHARDS_PER_BLOCK: u32 = 64;
 
 /// Number of a block within its service.
@@ -29,24 +29,24 @@
     }
 }
 
-/// Owners of consecutive shards.
+/// Row with the owners of a block of consecutive shards.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockRow {
     /// The service the shards belong to.
     pub service: ServiceName,
-    /// Which run of shards.
+    /// Number of the block.
     pub block: BlockId,
-    /// One assignment a shard, from [`BlockId::first_shard`] on.
+    /// One assignment for each shard, starting at [`BlockId::first_shard`].
     pub shards: Vec<Assignment>,
 }
 
-/// The owner of one hot key that was taken out of its shard.
+/// Row with the owner of one hot key, which overrides the owner of the key's shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OverrideRow {
     /// The service the key belongs to.
     pub service: ServiceName,
-    /// The key's hash.
+    /// Hash of the key.
     pub key: KeyHash,
-    /// Its owner.
+    /// Assignment of the key.
     pub owner: Assignment,
 }
--- a/crates/core/src/table/commit.rs
+++ b/crates/core/src/table/commit.rs
@@ -1,4 +1,4 @@
-//! Changes to the table that take effect together or not at all.
+//! Atomic commits to the table.
 
 use {
     super::{Row, RowKey, Table, Versioned},
@@ -6,66 +6,67 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// One row of a commit.
+/// A conditional write of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// The version it must have; revision 0 if it must not exist.
+    /// Version that the row must have; revision 0 if the row must not exist.
     pub expect: Revision,
-    /// The new row; `None` deletes.
+    /// The new row; `None` deletes the row.
     pub row: Option<Row>,
 }
 
-/// A row that a commit leaves alone but rests on.
+/// A precondition of a commit: the version of a row that the commit depends on but does not
+/// write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Check {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// The version it must have.
+    /// Version that the row must have.
     pub expect: Revision,
 }
 
 /// A row before and after an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowChange {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// What it was.
+    /// The row before the edit; `None` if it did not exist.
     pub before: Option<Row>,
-    /// What it became.
+    /// The row after the edit; `None` if the edit deleted it.
     pub after: Option<Row>,
 }
 
-/// An accepted edit, kept for good; stored in the commit that it tells of.
+/// Audit record of an accepted edit, stored in the commit of the edit and never deleted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HistoryRow {
-    /// Who made the edit.
+    /// Name of the person or program that made the edit.
     pub author: String,
-    /// When, since the Unix epoch, by the clock of the instance that took it.
+    /// Time of the edit since the Unix epoch, by the clock of the instance that accepted it.
     pub time: Duration,
-    /// What changed.
+    /// The rows that the edit changed.
     pub changes: Vec<RowChange>,
 }
 
-/// Writes that take effect together or not at all. The platform gives all of
-/// them the same new revision.
+/// An atomic set of writes. The platform assigns the same new revision to all of them.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Commit {
-    /// The rows, each at most once.
+    /// The writes, at most one for each row.
     pub writes: Vec<Write>,
-    /// The record of an operator's edit.
+    /// Audit record, if the commit is an operator's edit.
     pub history: Option<HistoryRow>,
 }
 
 impl Commit {
-    /// The rows of servers that this commit makes owners, or owners to be, as
-    /// rows it rests on.
+    /// Preconditions on the rows of the backend servers that this commit makes current or
+    /// next owners.
     ///
-    /// The failure: a move is decided, its process is paused, an operator deletes
-    /// or retires the server that owned nothing yet, and the late commit gives it
-    /// shards that then nobody can reach. The version of the server's row has
-    /// changed by then, so that the commit is lost and the move decided anew.
+    /// They guard against this failure: a planner decides on a move and is suspended, an
+    /// operator deletes or retires the target server, which owns nothing yet, and the late
+    /// commit assigns shards to that server, which nobody can reach then. Since the version
+    /// of the server's row has changed, the commit fails with a conflict and the move is
+    /// planned again.
     pub fn new_owner_checks(&self, table: &Table) -> Vec<Check> {
         let mut servers = BTreeSet::new();
         for write in &self.writes {
@@ -87,16 +88,16 @@
     }
 }
 
-/// What became of a commit.
+/// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It took effect, once, as this revision.
+    /// The commit took effect exactly once, as this revision.
     Committed(Revision),
-    /// A row had another version; nothing took effect.
+    /// A row had another version than expected; nothing was written.
     Conflict {
-        /// The first such row.
+        /// Key of the first such row.
         key: RowKey,
-        /// What the row is now.
+        /// The current row; `None` if it does not exist.
         current: Option<Box<Versioned<Row>>>,
     },
 }
@@ -104,10 +105,10 @@
 /// Rows that changed after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// The revision that was asked for.
+    /// The revision after which the changes start.
     pub since: Revision,
-    /// The revision that the rows bring a copy up to.
+    /// The revision of a replica that has applied the changes.
     pub revision: Revision,
-    /// The rows, with the revision that wrote them; `None` for a deleted one.
+    /// The rows with the revision that wrote them; `None` stands for a deleted row.
     pub rows: Vec<(RowKey, Revision, Option<Row>)>,
 }
--- a/crates/core/src/table/domain.rs
+++ b/crates/core/src/table/domain.rs
@@ -2,36 +2,37 @@
 
 use crate::id::{DomainName, Incarnation, InstanceId};
 
-/// Whether a failure domain counts as reachable.
+/// State of a failure domain, as declared by operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DomainState {
     /// The domain is in use.
     Live,
-    /// An operator has stated that nothing in the domain runs any more, which
-    /// ends the wait for its instances.
+    /// An operator has declared that nothing in the domain is running any more, so that
+    /// moves need not wait for its instances.
     Lost {
-        /// Who said so.
+        /// Author of the edit that declared the domain lost.
         declared_by: String,
     },
 }
 
-/// An instance whose vote confirms revisions while its domain is cut off.
+/// An instance whose vote confirms revisions while its failure domain is cut off from the
+/// platform.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Confirmer {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// The start of it that may vote; a restarted one has forgotten what it
-    /// acknowledged.
+    /// Process start that may vote. After a restart the instance no longer knows which
+    /// revisions it has acknowledged.
     pub incarnation: Incarnation,
 }
 
-/// A failure domain.
+/// Row of a failure domain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DomainRow {
-    /// Its name.
+    /// Name of the domain.
     pub name: DomainName,
-    /// Whether it counts as reachable.
+    /// State of the domain.
     pub state: DomainState,
-    /// The instances that confirm revisions while the domain is cut off.
+    /// The instances that confirm revisions while the domain is cut off from the platform.
     pub confirmers: Vec<Confirmer>,
 }
--- a/crates/core/src/table/edit.rs
+++ b/crates/core/src/table/edit.rs
@@ -1,4 +1,4 @@
-//! Operators' edits: several rows, all or nothing, checked as a whole.
+//! Operators' edits: atomic changes of several rows, validated as a whole.
 
 use {
     super::{
@@ -12,47 +12,46 @@
     },
 };
 
-/// The most rows in one edit.
+/// Most rows in one edit.
 pub const MAX_EDIT_ROWS: usize = 1_000;
 
-/// What an operator wants one row to be.
+/// An operator's change to one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowEdit {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// The version the operator saw; 0 to add a row that is not there.
+    /// Version that the operator has read; 0 to add a new row.
     pub expect: Revision,
-    /// The new row; `None` deletes.
+    /// The new row; `None` deletes the row.
     pub row: Option<Row>,
 }
 
-/// Rows that an operator changes together.
+/// An atomic edit of rows by an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Edit {
-    /// Who makes the edit.
+    /// Name of the person or program that makes the edit.
     pub author: String,
-    /// When, since the Unix epoch.
+    /// Time of the edit since the Unix epoch.
     pub time: Duration,
-    /// The rows, each at most once.
+    /// The changes, at most one for each row.
     pub rows: Vec<RowEdit>,
 }
 
-/// An edit that passed every rule, ready to be committed.
+/// A validated edit, ready to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EditPlan {
-    /// The rows of the edit, those of the system that follow from it, and the
-    /// history row.
+    /// The rows of the edit, the system rows derived from it, and the audit record.
     pub commit: Commit,
-    /// Rows that a rule rested on and that the commit leaves alone. Without
-    /// them, two edits that are each valid could together break a rule, for
-    /// example by draining the last two servers of a service at once. The
-    /// platform compares their versions with the commit, so the later edit is
-    /// planned anew and then refused.
+    /// Preconditions on rows that a rule depends on and that the commit does not write.
+    /// Without them, two edits that are each valid could together violate a rule, for
+    /// example by draining the last two servers of a service concurrently. The platform
+    /// checks the versions of these rows with the commit, so the later edit is planned
+    /// again and then rejected.
     pub checks: Vec<Check>,
 }
 
 impl Edit {
-    /// Checks the edit against the table and works out its commit.
+    /// Validates the edit against the table and builds its commit.
     ///
     /// ```
     /// use citron_core::{id::Revision, table::{DomainRow, DomainState, Edit, Row, RowEdit, Table}};
@@ -66,8 +65,8 @@
     /// ```
     ///
     /// # Errors
-    /// [`TableError::Conflict`] if a row has another version than the operator saw,
-    /// [`TableError::Invalid`] if a rule is broken, [`TableError::EditSize`] if there
+    /// [`TableError::Conflict`] if a row has another version than the one the operator has
+    /// read, [`TableError::Invalid`] if a rule is violated, [`TableError::EditSize`] if there
     /// are no rows or too many.
     pub fn plan(self, table: &Table) -> Result<EditPlan, TableError> {
         self.check_shape(table)?;
@@ -108,7 +107,8 @@
         writes.collect()
     }
 
-    /// The row before is exact: the commit holds only if it has that version.
+    /// The audit record. Its rows before the edit are exact, because the commit succeeds only
+    /// if the rows still have these versions.
     fn history(self, table: &Table) -> HistoryRow {
         let changes = self.rows.into_iter().map(|edit| RowChange {
             before: table.get(&edit.key).map(|row| row.value.clone()),
@@ -135,8 +135,8 @@
     })
 }
 
-/// Rows of the system that follow from an edit: a service that gets its first
-/// servers has its shards dealt out, a deleted service takes them with it.
+/// Writes of system rows that an edit implies: the shards of a service are assigned when it
+/// gets its first servers, and deleted together with the service.
 fn derived_writes(edited: &EditedTable<'_>, edits: &[RowEdit]) -> Vec<Write> {
     let mut writes = Vec::new();
     for service in affected_services(edits) {
@@ -144,8 +144,8 @@
         match edited.service(&service) {
             None => writes.extend(delete_writes(rows)),
             Some(row) if rows.is_empty() => {
-                // Above every epoch that an earlier service of this name can
-                // have used, as each change of owner takes a commit.
+                // Higher than every epoch that an earlier service of this name can have
+                // used, because each change of owner takes a commit.
                 let epoch = Epoch(edited.revision().0 + 1);
                 let blocks = initial_blocks(row, &edited.active_servers(&service), epoch);
                 writes.extend(
--- a/crates/core/src/table/edited.rs
+++ b/crates/core/src/table/edited.rs
@@ -1,4 +1,4 @@
-//! The table as it would be after an edit.
+//! The table as it would be after an edit, on which the rules operate.
 
 use {
     super::{
@@ -12,7 +12,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// A table with edits laid over it.
+/// A table overlaid with the changes of an edit.
 pub(super) struct EditedTable<'a> {
     table: &'a Table,
     edits: BTreeMap<&'a RowKey, Option<&'a Row>>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// All servers of a service after the edit, in the order of their names.
+    /// All servers of a service after the edit, ordered by name.
     pub(super) fn servers(&self, service: &ServiceName) -> Vec<&'a ServerRow> {
         let servers = self.rows().filter_map(|row| match row {
             Row::Server(row) if row.service == *service => Some(row),
@@ -89,12 +89,12 @@
         servers
     }
 
-    /// Whether the server owns shards or keys, or is about to.
+    /// Whether the server is the current or next owner of a shard or key.
     pub(super) fn owns(&self, server: &ServerName) -> bool {
         self.owners.contains(server)
     }
 
-    /// Blocks and overrides of a service.
+    /// The blocks and overrides of a service.
     pub(super) fn assignment_rows(
         &self,
         service: &ServiceName,
@@ -106,7 +106,7 @@
         rows.collect()
     }
 
-    /// Rows that the rules rested on and that the edit leaves alone.
+    /// Preconditions on the rows that the rules depend on and that the edit does not write.
     pub(super) fn checks(&self, edits: &[RowEdit]) -> Vec<Check> {
         let mut keys = BTreeSet::new();
         for edit in edits {
@@ -127,8 +127,8 @@
         let Row::Server(row) = row else { return };
         keys.insert(RowKey::Service(row.service.clone()));
         keys.insert(RowKey::Domain(row.domain.clone()));
-        // One server that goes on serving is enough to bear out the rule that
-        // a service keeps one.
+        // One remaining active server is enough to satisfy the rule that a service keeps
+        // an active server.
         let active = self.active_servers(&row.service);
         let is_edited =
             |row: &&&ServerRow| self.edits.contains_key(&RowKey::Server(row.name.clone()));
@@ -139,7 +139,7 @@
     }
 }
 
-/// The owner, and the next one.
+/// The names of the current and the next owner.
 fn owner_names(assignment: &Assignment) -> [&ServerName; 2] {
     [&assignment.owner, assignment.next_owner()]
 }
--- a/crates/core/src/table/error.rs
+++ b/crates/core/src/table/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the table aggregate.
+//! Errors of the table.
 
 use {
     super::{Row, RowKey, Versioned},
@@ -6,43 +6,43 @@
     thiserror::Error,
 };
 
-/// Why the table refuses rows.
+/// Reason why the table rejects changes or an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// Changes that start after the revision this copy has reached.
-    #[error("changes start after revision {found}, this copy is at {have}")]
+    /// Changes that start after the replica's revision.
+    #[error("changes start after revision {found}, but the replica is at revision {have}")]
     Gap {
-        /// The revision this copy has reached.
+        /// The replica's revision.
         have: Revision,
-        /// The revision that the changes start after.
+        /// The revision after which the changes start.
         found: Revision,
     },
-    /// A row that breaks a rule; nothing was changed.
+    /// A row that violates a rule; nothing was changed.
     #[error("row {key}: {field} is {found}; allowed: {allowed}")]
     Invalid {
-        /// The row at fault.
+        /// Key of the invalid row.
         key: RowKey,
-        /// The field at fault.
+        /// Name of the invalid field, as in the operators' settings.
         field: String,
-        /// What the field holds.
+        /// The field's value, or what is wrong with it.
         found: String,
-        /// What it may hold.
+        /// The values that are allowed.
         allowed: String,
     },
-    /// A row has another version than the one that the edit names.
-    #[error("row {key} has changed since")]
+    /// A row whose version is not the one that the edit expects.
+    #[error("row {key} has changed since it was read")]
     Conflict {
-        /// The row.
+        /// Key of the row.
         key: RowKey,
-        /// What it is now; `None` if it is not there.
+        /// The current row; `None` if it does not exist.
         current: Option<Box<Versioned<Row>>>,
     },
-    /// An edit without rows or with too many.
+    /// An edit without rows or with too many rows.
     #[error("{found} rows in one edit; allowed: 1 to {max}")]
     EditSize {
-        /// How many rows.
+        /// Number of rows in the edit.
         found: usize,
-        /// How many are allowed.
+        /// Most rows allowed.
         max: usize,
     },
 }
--- a/crates/core/src/table/initial.rs
+++ b/crates/core/src/table/initial.rs
@@ -1,4 +1,4 @@
-//! The first owners of a service's shards.
+//! Initial assignment of a service's shards.
 
 use {
     super::{BlockId, BlockRow, SHARDS_PER_BLOCK, ServerRow, ServiceRow},
@@ -8,11 +8,11 @@
     },
 };
 
-/// Deals all shards of a service out to servers, in proportion to their weights
-/// and to within one shard of it. Empty if no server has a weight.
+/// Assigns all shards of a service to servers in proportion to the servers' weights, to
+/// within one shard. Returns no blocks if no server has a positive weight.
 ///
-/// No wait is needed: a shard that nobody owned has no earlier owner that could
-/// still run something.
+/// The new owners need not wait: there is no earlier owner that could still be running
+/// requests.
 pub fn initial_blocks(service: &ServiceRow, servers: &[&ServerRow], epoch: Epoch) -> Vec<BlockRow> {
     let mut round_robin = RoundRobin::new(servers);
     let shards = service.shard_bits.shard_count();
@@ -36,7 +36,7 @@
     blocks
 }
 
-/// Smooth weighted round robin: neighbouring shards go to different servers.
+/// Smooth weighted round robin, which assigns neighbouring shards to different servers.
 struct RoundRobin<'a> {
     servers: Vec<(&'a ServerRow, i64)>,
     total: i64,
@@ -54,7 +54,7 @@
         for (row, credit) in &mut self.servers {
             *credit += i64::from(row.weight.0);
         }
-        // The first of equals, so that the same rows give the same owners.
+        // Among equal credits the first server is chosen, so that the result is deterministic.
         let best = self
             .servers
             .iter_mut()
--- a/crates/core/src/table/instance.rs
+++ b/crates/core/src/table/instance.rs
@@ -5,35 +5,35 @@
     std::net::SocketAddr,
 };
 
-/// Where an instance stands in its life.
+/// Lifecycle state of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceState {
-    /// Takes requests.
+    /// The instance accepts requests.
     Live,
-    /// Finishes what it has.
+    /// The instance is shutting down and only completes requests in flight.
     Leaving,
-    /// Struck off by others: it may not act any more, and its row stays until
-    /// its last leave to route has surely run out.
+    /// Other instances have expelled the instance. It must not act any more, and its row is
+    /// kept until its last permission to route has certainly expired.
     Expelled,
 }
 
-/// One start of one instance.
+/// Row of an instance, written by one process start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceRow {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Which start of it.
+    /// The process start.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: DomainName,
-    /// Where it takes callers' requests.
+    /// Address at which the instance accepts callers' requests.
     pub traffic_address: SocketAddr,
-    /// Where it talks with other instances.
+    /// Address for other instances.
     pub peer_address: SocketAddr,
-    /// Where it takes operators' requests.
+    /// Address at which the instance accepts operators' requests.
     pub admin_address: SocketAddr,
-    /// Where it stands in its life.
+    /// Lifecycle state.
     pub state: InstanceState,
-    /// The revision in force there when the row was written.
+    /// The revision that the instance had applied when the row was written.
     pub revision: Revision,
 }
--- a/crates/core/src/table/lookup.rs
+++ b/crates/core/src/table/lookup.rs
@@ -1,11 +1,11 @@
-//! Rows of one kind.
+//! Lookup of rows by kind.
 
 use {
     super::{DomainRow, InstanceRow, Row, RowKey, ServerRow, ServiceRow, Table},
     crate::id::{DomainName, InstanceId, ServerName, ServiceName},
 };
 
-/// Rows of one kind, by name or all of them in the order of their names.
+/// Typed access to rows: one by name, or all rows of a kind ordered by name.
 ///
 /// ```
 /// use citron_core::table::Table;
@@ -14,7 +14,7 @@
 /// assert!(table.service(&"balances".parse().unwrap()).is_none());
 /// ```
 impl Table {
-    /// A service.
+    /// The service of this name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceRow> {
         match &self.get(&RowKey::Service(name.clone()))?.value {
             Row::Service(row) => Some(row),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A backend server.
+    /// The backend server of this name.
     pub fn server(&self, name: &ServerName) -> Option<&ServerRow> {
         match &self.get(&RowKey::Server(name.clone()))?.value {
             Row::Server(row) => Some(row),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A failure domain.
+    /// The failure domain of this name.
     pub fn domain(&self, name: &DomainName) -> Option<&DomainRow> {
         match &self.get(&RowKey::Domain(name.clone()))?.value {
             Row::Domain(row) => Some(row),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// An instance.
+    /// The instance of this name.
     pub fn instance(&self, id: &InstanceId) -> Option<&InstanceRow> {
         match &self.get(&RowKey::Instance(id.clone()))?.value {
             Row::Instance(row) => Some(row),
--- a/crates/core/src/table/mod.rs
+++ b/crates/core/src/table/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' table: typed rows, and the copy that an instance holds.
+//! The operators' configuration table: typed rows, edits and their rules, and the replica
+//! that each instance holds.
 
 mod block;
 mod commit;
--- a/crates/core/src/table/replica.rs
+++ b/crates/core/src/table/replica.rs
@@ -1,4 +1,4 @@
-//! The copy of the table that an instance holds.
+//! The replica of the table that an instance holds.
 
 use {
     super::{Changes, Row, RowKey, TableError, Versioned},
@@ -6,7 +6,7 @@
     std::collections::BTreeMap,
 };
 
-/// All rows as of one revision. It only ever moves forward.
+/// Replica of the table: all rows as of one revision. The revision never decreases.
 ///
 /// ```
 /// use citron_core::{id::Revision, table::{Changes, DomainRow, DomainState, Row, Table}};
@@ -25,26 +25,27 @@
 }
 
 impl Table {
-    /// The last commit that this copy holds.
+    /// The revision of the last commit that the replica contains.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// One row.
+    /// The row under a key, with its version.
     pub fn get(&self, key: &RowKey) -> Option<&Versioned<Row>> {
         self.rows.get(key)
     }
 
-    /// All rows in the order of their keys.
+    /// All rows, ordered by key.
     pub fn rows(&self) -> impl Iterator<Item = (&RowKey, &Versioned<Row>)> {
         self.rows.iter()
     }
 
-    /// Applies changes. An answer that was overtaken by a later one changes
-    /// nothing, so that the copy never goes back.
+    /// Applies changes. Changes up to a revision that the replica already has are ignored,
+    /// so that responses that arrive out of order never revert a row.
     ///
     /// # Errors
-    /// [`TableError::Gap`] if they start beyond this copy; nothing is changed.
+    /// [`TableError::Gap`] if the changes start after the replica's revision; the replica is
+    /// unchanged then.
     pub fn apply(&mut self, changes: Changes) -> Result<(), TableError> {
         let have = self.revision;
         if changes.since > have {
--- a/crates/core/src/table/row.rs
+++ b/crates/core/src/table/row.rs
@@ -1,4 +1,4 @@
-//! Any row, and the key it is stored under.
+//! Rows of any kind, and the keys under which they are stored.
 
 use {
     super::{BlockId, BlockRow, DomainRow, InstanceRow, OverrideRow, ServerRow, ServiceRow},
@@ -7,7 +7,7 @@
     std::fmt,
 };
 
-/// Identifies a row.
+/// Key that identifies a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RowKey {
     /// A service.
@@ -24,7 +24,7 @@
     Override(ServiceName, KeyHash),
 }
 
-/// As stored by the platform: `kind/name` or `kind/service/number`.
+/// Formats the key as the platform stores it: `kind/name` or `kind/service/number`.
 impl fmt::Display for RowKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -56,7 +56,7 @@
 }
 
 impl Row {
-    /// The key that the row is stored under.
+    /// The key under which the row is stored.
     pub fn key(&self) -> RowKey {
         match self {
             Self::Service(row) => RowKey::Service(row.name.clone()),
@@ -70,7 +70,7 @@
 }
 
 impl Row {
-    /// The assignments of a block or an override; no other row has any.
+    /// The assignments of a block or an override; empty for other rows.
     pub fn assignments(&self) -> &[Assignment] {
         match self {
             Self::Block(row) => &row.shards,
@@ -80,11 +80,11 @@
     }
 }
 
-/// Something with the revision of the commit that wrote it.
+/// A value with the revision of the commit that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned<T> {
-    /// The commit that wrote it.
+    /// Revision of the commit.
     pub version: Revision,
-    /// What was written.
+    /// The value that was written.
     pub value: T,
 }
--- a/crates/core/src/table/rules/mod.rs
+++ b/crates/core/src/table/rules/mod.rs
@@ -1,4 +1,4 @@
-//! What rows an operator may write.
+//! Validation rules for the rows that operators write.
 
 mod server;
 mod service;
@@ -11,10 +11,10 @@
     std::ops::RangeInclusive,
 };
 
-/// The longest name of who makes an edit, in bytes.
+/// Longest name of an edit's author, in bytes.
 const MAX_AUTHOR_BYTES: usize = 128;
 
-/// Checks one row of an edit against the whole table as it would be.
+/// Validates one row of an edit against the whole table as it would be after the edit.
 pub(super) fn check(
     edit: &RowEdit,
     author: &str,
@@ -29,7 +29,7 @@
         return rules.reject("by", author, "1 to 128 bytes without control characters");
     }
     if let RowKey::Block(..) | RowKey::Override(..) | RowKey::Instance(_) = edit.key {
-        return rules.reject("kind", "a row of the system", "service, server, domain");
+        return rules.reject("kind", "a system row", "service, server, domain");
     }
     let Some(row) = &edit.row else {
         return rules.check_delete();
@@ -45,7 +45,7 @@
     }
 }
 
-/// An error that names the row, the field, what it holds and what it may hold.
+/// An error that names the row, the field, its value and the values allowed.
 pub(super) fn invalid(key: &RowKey, field: &str, found: &str, allowed: &str) -> TableError {
     TableError::Invalid {
         key: key.clone(),
@@ -90,7 +90,7 @@
             Some(Row::Service(row)) => self.check_delete_service(row),
             Some(Row::Server(row)) => self.check_delete_server(row),
             Some(Row::Domain(row)) => self.check_delete_domain(row),
-            _ => self.reject("key", "no such row", "a row that is there"),
+            _ => self.reject("key", "no such row", "an existing row"),
         }
     }
 
@@ -141,15 +141,15 @@
             return self.reject(
                 "confirmers",
                 "changed",
-                "as they are: the system keeps them",
+                "unchanged: the system maintains them",
             );
         }
         let is_unchanged = before.is_some_and(|before| before.state == row.state);
         match &row.state {
-            // The statement ends a wait that protects the keys, so it must be
-            // clear who vouched for it.
+            // The declaration ends a wait that protects the keys' exclusive ownership, so
+            // the row must name the author who is responsible for it.
             DomainState::Lost { declared_by } if !is_unchanged && declared_by != author => {
-                self.reject("lost_by", declared_by, "who makes the edit")
+                self.reject("lost_by", declared_by, "the author of the edit")
             }
             _ => Ok(()),
         }
--- a/crates/core/src/table/rules/server.rs
+++ b/crates/core/src/table/rules/server.rs
@@ -1,4 +1,4 @@
-//! What rows of servers an operator may write.
+//! Validation rules for rows of backend servers.
 
 use {
     super::Rules,
@@ -6,9 +6,9 @@
     std::ops::RangeInclusive,
 };
 
-/// Requests a second that a cap may allow.
+/// Allowed values of the rate cap, in requests per second.
 const RATE_CAP_PER_SECOND: RangeInclusive<u32> = 1..=1_000_000;
-/// Connections that a server may bear.
+/// Allowed values of a server's connection limit.
 const CONNECTIONS: RangeInclusive<u32> = 1..=65_536;
 
 impl Rules<'_> {
@@ -54,10 +54,10 @@
         }
     }
 
-    /// A server that owns shards stays the same process in the same place: an
-    /// instance with an older row would go on sending to the old address, and
-    /// two processes would run requests of the same keys. A shift of the domain
-    /// or of fencing would change whom a move under way has to wait for.
+    /// Rejects changes to a server that owns shards which would replace its process. An
+    /// instance with an older row would keep sending to the old address, and two processes
+    /// would run requests for the same keys. A change of the failure domain or of fencing
+    /// would change which instances a move in progress has to wait for.
     fn check_server_immutable(&self, row: &ServerRow) -> Result<(), TableError> {
         let Some(Row::Server(before)) = self.edited.before(self.key) else {
             return Ok(());
@@ -88,8 +88,8 @@
         Ok(())
     }
 
-    /// A service with shards keeps a server that may own them; otherwise its
-    /// keys would have nowhere to go.
+    /// Rejects an edit that leaves a service with shards without a server that may own them,
+    /// since its keys could not be moved anywhere.
     pub(super) fn check_active_server_remains(&self, row: &ServerRow) -> Result<(), TableError> {
         let has_shards = !self.edited.assignment_rows(&row.service).is_empty();
         let service_remains = self.edited.service(&row.service).is_some();
--- a/crates/core/src/table/rules/service.rs
+++ b/crates/core/src/table/rules/service.rs
@@ -1,4 +1,4 @@
-//! What rows of services an operator may write.
+//! Validation rules for rows of services.
 
 use {
     super::Rules,
@@ -6,23 +6,23 @@
     std::{ops::RangeInclusive, time::Duration},
 };
 
-/// Shards a minute that may move for balance.
+/// Allowed numbers of shards that move for balance per minute.
 const SHARDS_PER_MINUTE: RangeInclusive<u32> = 0..=100_000;
-/// Load of the fullest server over the mean, in percent.
+/// Allowed load thresholds for moves: load of the most loaded server in percent of the mean.
 const THRESHOLD_PERCENT: RangeInclusive<u32> = 101..=1_000;
-/// Requests of a million.
+/// Allowed error budgets, in requests per million.
 const PER_MILLION: RangeInclusive<u32> = 0..=1_000_000;
-/// Time a request may take, in milliseconds.
+/// Allowed request deadlines, in milliseconds.
 const DEADLINE_MS: RangeInclusive<u128> = 10..=3_600_000;
-/// How long a cut-off domain may go on serving, in milliseconds.
+/// Allowed grace periods for serving while cut off from the platform, in milliseconds.
 const GRACE_MS: RangeInclusive<u128> = 0..=3_600_000;
-/// The last path segment that may hold the key.
+/// Highest number of the path segment that holds the key.
 const MAX_SEGMENT: usize = 31;
-/// The longest path prefix, in bytes.
+/// Longest path prefix, in bytes.
 const MAX_PREFIX_BYTES: usize = 256;
-/// The longest host name, in bytes; the limit of DNS.
+/// Longest host name, in bytes: the limit of DNS.
 const MAX_HOST_BYTES: usize = 253;
-/// The most host names of one service.
+/// Most host names of one service.
 const MAX_HOSTS: usize = 64;
 
 impl Rules<'_> {
@@ -76,7 +76,8 @@
         self.check_unique_route(row)
     }
 
-    /// Two services under one route would leave it to chance which one answers.
+    /// Rejects a route that another service has, since it would be undefined which of the two
+    /// services gets the requests.
     fn check_unique_route(&self, row: &ServiceRow) -> Result<(), TableError> {
         let shares_host = |other: &ServiceRow| match (row.hosts.is_empty(), other.hosts.is_empty())
         {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// What may not change once shards have owners.
+    /// Rejects changes that are not allowed while the service's shards have owners.
     fn check_service_immutable(&self, row: &ServiceRow) -> Result<(), TableError> {
         let Some(Row::Service(before)) = self.edited.before(self.key) else {
             return Ok(());
@@ -136,9 +137,9 @@
             let allowed = format!("{}, as the service owns shards", before.shard_bits);
             return self.reject("shard_bits", &row.shard_bits.to_string(), &allowed);
         }
-        // A cut-off instance goes on under the grace that it knows. A mover that
-        // counted on a shorter one would give its shards away too early, and two
-        // servers would own them.
+        // An instance that is cut off from the platform keeps serving for the grace period
+        // that it knows. If the planner counted on a shorter period, it would assign the
+        // shards to another server too early, and two servers would own them.
         if row.grace < before.grace {
             let allowed = format!(
                 "at least {}, as the service owns shards",
@@ -150,7 +151,7 @@
     }
 }
 
-/// A token of HTTP, as header names and methods are.
+/// Whether a text is an HTTP token of at most 64 bytes, as header names and methods are.
 fn is_token(text: &str) -> bool {
     let is_token_char = |c: char| c.is_ascii_alphanumeric() || "!#$%&'*+-.^_`|~".contains(c);
     !text.is_empty() && text.len() <= 64 && text.chars().all(is_token_char)
--- a/crates/core/src/table/server.rs
+++ b/crates/core/src/table/server.rs
@@ -5,47 +5,47 @@
     std::net::SocketAddr,
 };
 
-/// Whether an operator wants work on a backend server.
+/// Administrative state of a backend server, as operators set it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// Owns keys.
+    /// The server may own keys.
     Active,
-    /// Gets no new work; its shards move away.
+    /// The server gets no new shards, and its shards move to other servers.
     Draining,
-    /// Owns nothing and is kept for the record.
+    /// The server owns nothing; its row is kept for reference.
     Retired,
 }
 
 /// Whether a backend server checks the fencing token of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fencing {
-    /// It refuses requests whose epoch is not the one granted.
+    /// The server rejects requests whose epoch is not the granted one.
     Checked,
-    /// It runs whatever it is given.
+    /// The server runs every request.
     Unchecked,
 }
 
-/// A backend server.
+/// Row of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerRow {
-    /// Its name.
+    /// Name of the server.
     pub name: ServerName,
-    /// The service it serves.
+    /// The service that the server belongs to.
     pub service: ServiceName,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub domain: DomainName,
-    /// Where it takes requests.
+    /// Address at which the server accepts requests.
     pub address: SocketAddr,
-    /// Its share of the service's load.
+    /// The server's weight in the load of the service.
     pub weight: Weight,
-    /// Requests a second it may get, if an operator caps it.
+    /// Limit on requests per second, if an operator has set one.
     pub rate_cap: Option<u32>,
-    /// Requests it runs at a time.
+    /// Requests that the server runs concurrently.
     pub slots: Slots,
-    /// Connections it bears from all instances together.
+    /// Most connections that the server accepts from all instances together.
     pub max_connections: u32,
-    /// Whether it checks fencing tokens.
+    /// Whether the server checks fencing tokens.
     pub fencing: Fencing,
-    /// What the operator wants of it.
+    /// Administrative state.
     pub state: ServerState,
 }
--- a/crates/core/src/table/service.rs
+++ b/crates/core/src/table/service.rs
@@ -5,61 +5,62 @@
     std::time::Duration,
 };
 
-/// Where a request carries its key.
+/// Location of the key in a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeySource {
-    /// In the header of this name.
+    /// The header of this name.
     Header(String),
-    /// In the path: segment 0 is the one after the first slash.
+    /// A path segment; segment 0 follows the first slash.
     Segment(usize),
 }
 
-/// How fast shards of a service may move for balance; losses are not counted.
+/// Limits on moving shards for balance. Moves away from lost servers are not limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MoveBudget {
-    /// Shards a minute.
+    /// Shards that may move per minute.
     pub shards_per_minute: u32,
-    /// Load of the fullest server over the mean, in percent, that a move for
-    /// balance needs to begin.
+    /// Load of the most loaded server, in percent of the mean load, from which shards are
+    /// moved for balance.
     pub threshold_percent: u32,
 }
 
-/// What the service promises its callers.
+/// Service-level objectives of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Objectives {
     /// Requests per million that may fail.
     pub failures_per_million: u32,
-    /// Latency that counts as good.
+    /// Latency up to which a request counts as fast enough.
     pub latency: Duration,
-    /// Requests per million that may be slower.
+    /// Requests per million that may take longer than `latency`.
     pub slow_per_million: u32,
 }
 
-/// A service: requests of one operator that are divided by key.
+/// Row of a service: requests of one operator that are sharded by key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRow {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// The operator it belongs to.
+    /// The operator that the service belongs to.
     pub operator: OperatorName,
-    /// Host names it answers to; any host if empty.
+    /// Host names of the service's requests; any host if empty.
     pub hosts: Vec<String>,
-    /// Paths it answers to begin with this.
+    /// Path prefix of the service's requests.
     pub prefix: String,
-    /// Where its requests carry their key.
+    /// Location of the key in the service's requests.
     pub key_source: KeySource,
-    /// Methods whose requests may run more than once.
+    /// HTTP methods whose requests may run more than once.
     pub idempotent_methods: Vec<String>,
-    /// How many shards its keys are divided into; fixed for its life.
+    /// Number of shards, as a power of two. It cannot change while the service has shards.
     pub shard_bits: ShardBits,
-    /// Time a request may take, unless its caller asks for less.
+    /// Time that a request may take, unless its caller asks for less.
     pub deadline: Duration,
-    /// How long an instance that is cut off from the platform goes on serving
-    /// shards whose owner is in its own domain. A longer grace keeps a cut-off
-    /// domain serving; a key whose owner and instances all vanish waits as long.
+    /// Grace period: how long an instance that is cut off from the platform keeps serving
+    /// shards whose owner is in its own failure domain. A longer period keeps an isolated
+    /// domain available for longer, but a key whose owner and instances all fail is
+    /// unavailable for as long.
     pub grace: Duration,
-    /// How fast shards move.
+    /// Limits on moving shards for balance.
     pub move_budget: MoveBudget,
-    /// What it promises.
+    /// Service-level objectives.
     pub objectives: Objectives,
 }
