--- a/crates/core/src/routes/cluster.rs
+++ b/crates/core/src/routes/cluster.rs
@@ -1,23 +1,24 @@
-//! What an operator set for a service.
+//! Clusters: the configuration of services.
 
 use {
     crate::{id::ServiceName, slowstart::SlowStart},
     std::time::Duration,
 };
 
-/// A service as routes name it.
+/// Cluster of backend servers that form a service, as an operator configures it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Cluster {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Whether its servers hold keys, so that each request has one owner.
+    /// Whether the servers own keys, so that each request has exactly one target.
     pub is_sharded: bool,
-    /// Connections that one server takes from all instances together.
+    /// Most connections that one server accepts from all instances together.
     pub max_connections: u32,
-    /// The path at which a server tells whether it is well, and which one it is.
+    /// Path of the servers' health check, whose response also identifies the server.
     pub health_path: String,
-    /// How long keys are slow at a server that got them without a handover.
+    /// How long requests for a key are slow at a server that received the key without a
+    /// handover.
     pub warm_up: Duration,
-    /// How its servers warm up; `None` if they take full load from their start.
+    /// Slow start of the servers; `None` if they can take full load immediately.
     pub slow_start: Option<SlowStart>,
 }
--- a/crates/core/src/routes/config.rs
+++ b/crates/core/src/routes/config.rs
@@ -1,4 +1,4 @@
-//! A whole configuration.
+//! The routing configuration and its version.
 
 use {
     super::{Cluster, RouteRule},
@@ -31,33 +31,33 @@
     }
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenerLimits {
-    /// Bytes of a head.
+    /// Most bytes of a request head.
     pub max_header_bytes: usize,
-    /// Bytes of a body.
+    /// Most bytes of a request body.
     pub max_body_bytes: u64,
-    /// How long a head may take.
+    /// Time within which a request head must arrive.
     pub header_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// Time after which a connection without requests is closed.
     pub idle_timeout: Duration,
 }
 
-/// Routes, services and limits of one version.
+/// Routing configuration of one version: routes, clusters and listener limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteConfig {
-    /// The version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: ListenerLimits,
-    /// By names in lower case.
+    /// Routes by host name in lower case.
     hosts: BTreeMap<String, Vec<RouteRule>>,
     services: BTreeMap<ServiceName, Cluster>,
 }
 
 impl RouteConfig {
-    /// Puts a configuration together.
+    /// Builds a configuration from routes with their host names, and clusters.
     pub fn new(
         version: ConfigVersion,
         limits: ListenerLimits,
@@ -70,7 +70,7 @@
             hosts.entry(host).or_default().push(rule);
         }
         for rules in hosts.values_mut() {
-            // The longest prefix comes first, so that the first match counts.
+            // The longest prefix comes first, so that the first match is the most specific.
             rules.sort_by_key(|rule| std::cmp::Reverse(rule.prefix.len()));
         }
         let services = services.into_iter();
@@ -84,8 +84,7 @@
         }
     }
 
-    /// The rule of the longest prefix that begins the path; the host's name may be in
-    /// any case.
+    /// The route with the longest prefix of the path. Host names are case-insensitive.
     pub fn rule(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let rules = match self.hosts.get(host) {
             None => self.hosts.get(&host.to_ascii_lowercase())?,
@@ -94,18 +93,18 @@
         rules.iter().find(|rule| path.starts_with(&rule.prefix))
     }
 
-    /// A service by name.
+    /// The cluster of a service.
     pub fn service(&self, name: &ServiceName) -> Option<&Cluster> {
         self.services.get(name)
     }
 
-    /// The longest time that a server of any service stays cold.
+    /// The longest slow start of any service.
     pub fn max_slow_start(&self) -> Duration {
         let spans = self.services().filter_map(|service| service.slow_start);
         spans.map(|slow| slow.duration).max().unwrap_or_default()
     }
 
-    /// All services.
+    /// All clusters, ordered by name.
     pub fn services(&self) -> impl Iterator<Item = &Cluster> {
         self.services.values()
     }
--- a/crates/core/src/routes/mod.rs
+++ b/crates/core/src/routes/mod.rs
@@ -1,6 +1,6 @@
-//! Which service a request goes to, and what the operator allows for it.
+//! Routing configuration: routes, clusters and listener limits that the operator sets.
 //!
-//! A configuration is taken whole, by its version; it never goes back.
+//! A configuration is applied as a whole. Its version never decreases.
 
 mod cluster;
 mod config;
--- a/crates/core/src/routes/rule.rs
+++ b/crates/core/src/routes/rule.rs
@@ -1,40 +1,40 @@
-//! One route.
+//! Routes and the services that share their traffic.
 
 use {
     crate::id::{ServiceName, Weight},
     std::time::Duration,
 };
 
-/// How often a request may run.
+/// Idempotency of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times, with the same effect as once.
+    /// A request may run any number of times with the same effect as once.
     Idempotent,
-    /// At most once.
+    /// A request may run at most once.
     AtMostOnce,
 }
 
-/// Services that share a route's requests by weight.
+/// Weighted split of a route's requests among services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrafficSplit {
     parts: Vec<(ServiceName, Weight)>,
 }
 
 impl TrafficSplit {
-    /// All requests to one service.
+    /// A split that sends all requests to one service.
     pub fn single(service: ServiceName) -> Self {
         Self {
             parts: vec![(service, Weight(1))],
         }
     }
 
-    /// Requests by weight; `None` if the weights sum up to 0.
+    /// A split by weight; `None` if the weights add up to 0.
     pub fn weighted(parts: Vec<(ServiceName, Weight)>) -> Option<Self> {
         let split = Self { parts };
         (split.total_weight() > 0).then_some(split)
     }
 
-    /// The service for a number that is drawn evenly from 0 to 1, without 1.
+    /// The service for a sample from the uniform distribution over 0 to 1, excluding 1.
     ///
     /// ```
     /// use citron_core::{id::Weight, routes::TrafficSplit};
@@ -55,7 +55,7 @@
         &self.parts[self.parts.len() - 1].0
     }
 
-    /// The services.
+    /// The services of the split.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.parts.iter().map(|(service, _)| service)
     }
@@ -68,23 +68,23 @@
     }
 }
 
-/// What an operator set for the requests of a route.
+/// A route, as an operator configures it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRule {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// Begin of the paths; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// How often a request may run.
+    /// Idempotency of the requests.
     pub idempotency: Idempotency,
-    /// Where requests go.
+    /// The services that get the requests.
     pub split: TrafficSplit,
-    /// How long a caller is kept waiting at most.
+    /// Time after which a caller gets an error response.
     pub timeout: Duration,
-    /// The time within which an answer has its full worth.
+    /// Latency within which a response should arrive.
     pub latency_objective: Duration,
-    /// Servers that one request may be sent to at most.
+    /// Most backend servers to which one request is sent.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
 }
--- a/crates/core/src/slo/burn.rs
+++ b/crates/core/src/slo/burn.rs
@@ -1,13 +1,14 @@
-//! How fast an error budget is spent.
+//! Burn rates of error budgets, and alerts.
 
-/// Minutes that a burn rate looks back on.
+/// Length of the window of a burn rate, in minutes.
 pub type WindowMinutes = u64;
 
-/// Requests per million of a whole.
+/// Divisor of a budget in requests per million.
 const PER_MILLION: f64 = 1_000_000.0;
 
-/// How many times faster than allowed a budget is spent: at 1 it lasts exactly
-/// as long as the objective's period, at 10 a tenth of it.
+/// The burn rate: how many times faster than allowed an error budget is spent. At 1 the
+/// budget lasts for exactly the period of the objective, at 10 for a tenth of it. `budget`
+/// is in requests per million.
 ///
 /// ```
 /// use citron_core::slo::burn_rate;
@@ -23,38 +24,38 @@
     share / (f64::from(budget) / PER_MILLION)
 }
 
-/// When a burn rate calls for somebody: the long window says that it matters,
-/// the short one that it is still going on.
+/// Multi-window alert rule: the burn rate over the long window shows that the problem is
+/// significant, the one over the short window that it persists.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BurnRule {
     /// The short window, in minutes.
     pub short: WindowMinutes,
     /// The long window, in minutes.
     pub long: WindowMinutes,
-    /// The rate that both must reach.
+    /// Burn rate that both windows must reach.
     pub rate: f64,
 }
 
-/// 2% of a 30-day budget within an hour.
+/// Rule for spending 2% of a 30-day budget within an hour.
 pub const FAST_BURN: BurnRule = BurnRule {
     short: 5,
     long: 60,
     rate: 14.4,
 };
-/// 5% of a 30-day budget within six hours.
+/// Rule for spending 5% of a 30-day budget within six hours.
 pub const SLOW_BURN: BurnRule = BurnRule {
     short: 30,
     long: 360,
     rate: 6.0,
 };
 
-/// What the burn rates of an objective call for.
+/// Alert level of an objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Alert {
-    /// Nothing.
+    /// No alert.
     None,
-    /// Somebody should look within the day.
+    /// The operator should react within a day.
     Slow,
-    /// Somebody should look now.
+    /// The operator should react immediately.
     Fast,
 }
--- a/crates/core/src/slo/minute.rs
+++ b/crates/core/src/slo/minute.rs
@@ -1,18 +1,18 @@
-//! The unit of time of records.
+//! Time unit of the tally series.
 
 use std::time::Duration;
 
-/// A minute since the Unix epoch. Records of several instances, and of several
-/// starts of one, are put together by it, which monotonic clocks cannot do; no
-/// decision about keys rests on it.
+/// Minutes since the Unix epoch. They align the series of several instances and of several
+/// process starts, which monotonic clocks cannot do. No decision on the ownership of keys
+/// depends on them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Minute(pub u64);
 
 impl Minute {
-    /// Minutes of an hour.
+    /// Minutes per hour.
     pub const MINUTES_PER_HOUR: u64 = 60;
 
-    /// The minute of a wall clock reading.
+    /// The minute of a wall clock time, given since the Unix epoch.
     ///
     /// ```
     /// use {citron_core::slo::Minute, std::time::Duration};
@@ -23,7 +23,7 @@
         Self(since_epoch.as_secs() / 60)
     }
 
-    /// The hour since the Unix epoch that it belongs to.
+    /// Full hours since the Unix epoch.
     pub fn hour(self) -> u64 {
         self.0 / Self::MINUTES_PER_HOUR
     }
--- a/crates/core/src/slo/mod.rs
+++ b/crates/core/src/slo/mod.rs
@@ -1,4 +1,5 @@
-//! Service-level objectives: what was counted, and how fast it burns budgets.
+//! Service-level objectives: request counts, reachability of shards, and burn rates of error
+//! budgets.
 
 mod burn;
 mod minute;
--- a/crates/core/src/slo/reachability.rs
+++ b/crates/core/src/slo/reachability.rs
@@ -1,4 +1,5 @@
-//! What an instance can reach, and what has moved, as its map shows it.
+//! Reachability of shards from an instance, and changes of their owners, according to the
+//! instance's route map.
 
 use {
     crate::{
@@ -9,25 +10,25 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// ShardCounts of one service, by where their owner is and whether it may be sent to.
+/// Numbers of shards of one service, by the failure domain of their owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct ShardCounts {
     total: u32,
-    /// Open, with an owner in the instance's own domain.
+    /// Open shards with an owner in the instance's failure domain.
     same_domain: u32,
-    /// Open, with an owner elsewhere.
+    /// Open shards with an owner in another failure domain.
     other_domains: u32,
 }
 
-/// How much of each service can be reached under one map. Counted once a map,
-/// since a service may have a million shards.
+/// Reachability of the shards of each service under one route map. The shards are counted
+/// once for each map, since a service may have a million of them.
 #[derive(Debug, Clone, Default)]
 pub struct Reachability {
     services: BTreeMap<ServiceName, (ShardCounts, Duration)>,
 }
 
 impl Reachability {
-    /// Counts the shards of a map.
+    /// Counts the shards of a map for an instance in `domain`.
     pub fn new(map: &RouteMap, domain: &DomainName) -> Self {
         let services = map.services().iter().map(|service| {
             let shards = count_shards(map, service, domain);
@@ -37,7 +38,7 @@
         Self { services }
     }
 
-    /// The share of each service's shards that cannot be reached now, 0 to 1.
+    /// The share of each service's shards that is unreachable at `now`, from 0 to 1.
     pub fn unreachable_shares(&self, snapshot: &Snapshot, now: Time) -> BTreeMap<ServiceName, f64> {
         let unreachable_share = |shards: &ShardCounts, grace: Duration| {
             let is_allowed = |own| snapshot.confirmation.allows(now, own, grace);
@@ -74,8 +75,8 @@
     shards
 }
 
-/// ShardCounts of each service whose owner differs between two maps. ShardCounts that had
-/// no owner before do not count: nothing was moved.
+/// The number of shards of each service whose owner differs between two maps. Shards that
+/// had no owner before are not counted, since they were not moved.
 pub fn moved_shards(before: &RouteMap, after: &RouteMap) -> BTreeMap<ServiceName, u64> {
     let mut moved = BTreeMap::new();
     for new in after.services() {
--- a/crates/core/src/slo/report.rs
+++ b/crates/core/src/slo/report.rs
@@ -1,4 +1,4 @@
-//! A service's figures.
+//! Report on a service's objectives.
 
 use {
     super::{Alert, BurnRule, FAST_BURN, Minute, SLOW_BURN, Tally, TallySeries, burn_rate},
@@ -9,17 +9,17 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Burn rates of one objective.
+/// Burn rates of one objective, each as a pair for the short and the long window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BurnRates {
-    /// Over the short and the long window of [`FAST_BURN`].
+    /// Burn rates over the windows of [`FAST_BURN`].
     pub fast: (f64, f64),
-    /// Over the short and the long window of [`SLOW_BURN`].
+    /// Burn rates over the windows of [`SLOW_BURN`].
     pub slow: (f64, f64),
 }
 
 impl BurnRates {
-    /// What they call for.
+    /// The alert level of the burn rates.
     pub fn alert(&self) -> Alert {
         let is_reached =
             |(short, long): (f64, f64), rule: BurnRule| short >= rule.rate && long >= rule.rate;
@@ -33,32 +33,31 @@
     }
 }
 
-/// What a service's series says of the last six hours.
+/// Report on a service over the last six hours.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceReport {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its objectives.
+    /// Objectives of the service.
     pub objectives: Objectives,
-    /// Burn of the budget of failures.
+    /// Burn rates of the budget for failures.
     pub failure_burn: BurnRates,
-    /// Burn of the budget of slow answers.
+    /// Burn rates of the budget for slow responses.
     pub latency_burn: BurnRates,
-    /// Requests over six hours.
+    /// Number of requests.
     pub requests: u64,
-    /// Load of the fullest server over the mean, each by its weight, over the
+    /// Load of the most loaded server relative to the mean load, both weighted, over the
     /// last hour.
     pub imbalance: Option<f64>,
-    /// Shards whose owner changed, over six hours.
+    /// Number of shards whose owner changed.
     pub churn: u64,
-    /// How long a key could not be reached over six hours, as a mean over keys
-    /// and instances.
+    /// Time for which a key was unreachable, as a mean over keys and instances.
     pub unavailable: Duration,
 }
 
 impl ServiceReport {
-    /// Works the figures out, as of a minute; `weights` are those of the servers
-    /// that are to share the load.
+    /// Computes the report as of `now`. `weights` are those of the servers that share the
+    /// load.
     pub fn new(
         series: &TallySeries,
         row: &ServiceRow,
@@ -96,7 +95,7 @@
     }
 }
 
-/// Minutes that any instance watched the service in.
+/// The number of minutes in which any instance observed the service.
 fn observed_minutes(series: &TallySeries, service: &ServiceName, now: Minute) -> usize {
     let first = Minute((now.0 + 1).saturating_sub(SLOW_BURN.long));
     let observed = series.entries().filter(|(minute, name, tally)| {
--- a/crates/core/src/slo/series.rs
+++ b/crates/core/src/slo/series.rs
@@ -1,4 +1,4 @@
-//! Counts by minute and service.
+//! Time series of tallies by minute and service.
 
 use {
     super::{Minute, Tally},
@@ -6,7 +6,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Buckets of a minute each, of all services; the oldest are dropped.
+/// Time series of tallies, with one bucket for each minute and service.
 ///
 /// ```
 /// use citron_core::slo::{Minute, TallySeries, Tally};
@@ -22,12 +22,12 @@
 }
 
 impl TallySeries {
-    /// Adds what this instance counted in a minute.
+    /// Adds a tally of this instance to the bucket of a minute.
     pub fn add(&mut self, minute: Minute, service: &ServiceName, tally: &Tally) {
         *self.bucket(minute, service) += tally;
     }
 
-    /// Adds what another instance counted.
+    /// Merges the series of another instance.
     pub fn merge(&mut self, other: &TallySeries) {
         for (minute, service, tally) in other.entries() {
             self.bucket(minute, service).merge(tally);
@@ -39,12 +39,12 @@
         services.entry(service.clone()).or_default()
     }
 
-    /// Drops what lies before a minute.
+    /// Drops the buckets before a minute.
     pub fn drop_before(&mut self, before: Minute) {
         self.minutes = self.minutes.split_off(&before);
     }
 
-    /// All buckets, in the order of minute and service.
+    /// All buckets, ordered by minute and service.
     pub fn entries(&self) -> impl Iterator<Item = (Minute, &ServiceName, &Tally)> {
         let minutes = self.minutes.iter();
         minutes.flat_map(|(minute, services)| {
@@ -52,12 +52,12 @@
         })
     }
 
-    /// Every service that something was counted of.
+    /// All services that have a bucket.
     pub fn services(&self) -> BTreeSet<&ServiceName> {
         self.minutes.values().flat_map(BTreeMap::keys).collect()
     }
 
-    /// Counts of the last `window` minutes, up to and with `now`.
+    /// The sum of a service's tallies over the last `window` minutes, including `now`.
     pub fn sum(&self, service: &ServiceName, now: Minute, window: u64) -> Tally {
         let first = Minute((now.0 + 1).saturating_sub(window));
         let mut sum = Tally::default();
--- a/crates/core/src/slo/tally.rs
+++ b/crates/core/src/slo/tally.rs
@@ -1,26 +1,26 @@
-//! What is counted.
+//! Counts and durations that the objectives are measured by.
 
 use {
     crate::id::{ServerName, Weight},
     std::{collections::BTreeMap, ops::AddAssign, time::Duration},
 };
 
-/// Counts of one service over some time.
+/// Counts and durations of one service over a period.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Tally {
-    /// Requests that were answered.
+    /// Requests that got a response.
     pub requests: u64,
-    /// Those whose answer was not the server's, or an error of the server.
+    /// Requests whose response did not come from a backend server or was a server error.
     pub failed: u64,
-    /// Those slower than the objective.
+    /// Requests slower than the latency objective.
     pub slow: u64,
-    /// Time that shards could not be reached, as a mean over all shards.
+    /// Time for which shards were unreachable, as a mean over all shards.
     pub unreachable: Duration,
-    /// Time over which `closed` was watched.
+    /// Time over which `unreachable` was observed.
     pub observed: Duration,
-    /// Shards whose owner changed.
+    /// Number of shards whose owner changed.
     pub shards_moved: u64,
-    /// Time that requests held slots, by server.
+    /// Time for which requests occupied slots, by server.
     pub busy_time: BTreeMap<ServerName, Duration>,
 }
 
@@ -39,8 +39,8 @@
 }
 
 impl Tally {
-    /// Adds what another instance counted over the same time. Requests add up;
-    /// a move is one move, however many instances saw it.
+    /// Merges the tally of another instance over the same period. Requests add up, whereas
+    /// a move counts once, however many instances observed it.
     ///
     /// ```
     /// use citron_core::slo::Tally;
@@ -54,8 +54,8 @@
         self.shards_moved = moved;
     }
 
-    /// Load of the fullest server over the mean, each by its weight; `None` if
-    /// nothing ran. Servers that got nothing count, those without a weight do not.
+    /// Load of the most loaded server relative to the mean load, both weighted; `None` if no
+    /// requests ran. Idle servers count; servers with weight 0 do not.
     ///
     /// ```
     /// use {citron_core::{id::Weight, slo::Tally}, std::time::Duration};
@@ -81,7 +81,7 @@
         (busy > 0.0).then(|| max * weight / busy)
     }
 
-    /// The share of time and keys that could not be reached, 0 to 1.
+    /// The share of time for which keys were unreachable, as a mean over keys, from 0 to 1.
     pub fn unreachable_share(&self) -> f64 {
         if self.observed.is_zero() {
             return 0.0;
