--- a/crates/core/src/id/error.rs
+++ b/crates/core/src/id/error.rs
@@ -1,17 +1,17 @@
-//! Errors of reading an id from text.
+//! Errors of parsing identifiers.
 
 use thiserror::Error;
 
-/// Why a text is not a valid id, size or rate.
+/// Reason why a text is not a valid identifier, size or rate.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ParseIdError {
-    /// A name that is empty, too long or holds a character that is not allowed.
+    /// A name that is empty, too long or contains a character that is not allowed.
     #[error("'{found}' is not a name: 1 to 63 of a-z, 0-9, '-', '.' and '_' are allowed")]
     Name {
         /// The text as it was given.
         found: String,
     },
-    /// A number that does not parse or is out of range.
+    /// A number that cannot be parsed or is out of range.
     #[error("'{found}' is not a number from {min} to {max}")]
     Number {
         /// The text as it was given.
--- a/crates/core/src/id/key.rs
+++ b/crates/core/src/id/key.rs
@@ -1,4 +1,4 @@
-//! Keys, their hashes and the shards they fall into.
+//! Hashes of keys, and the shards to which they belong.
 
 use {
     super::ParseIdError,
@@ -6,7 +6,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Stable 64-bit hash of a key: XXH3, the same on every instance and version.
+/// Stable 64-bit hash of a key: XXH3, the same on every instance and in every version.
 ///
 /// ```
 /// use citron_core::id::KeyHash;
@@ -18,7 +18,7 @@
 pub struct KeyHash(pub u64);
 
 impl KeyHash {
-    /// Hashes the bytes of a key.
+    /// The hash of a key's bytes.
     pub fn from_key(key: &[u8]) -> Self {
         Self(xxh3_64(key))
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads a 64-bit hash in hexadecimal digits, as hashes are displayed.
+/// Parses a 64-bit hash from hexadecimal digits, as hashes are displayed.
 pub(crate) fn parse_hash(text: &str) -> Result<u64, ParseIdError> {
     u64::from_str_radix(text, 16).map_err(|_| ParseIdError::Number {
         found: text.to_string(),
@@ -83,20 +83,20 @@
 pub struct ShardBits(u8);
 
 impl ShardBits {
-    /// The largest value: about a million shards.
+    /// Largest value, which is about a million shards.
     pub const MAX: u8 = 20;
 
-    /// Checks the value; `None` above [`Self::MAX`].
+    /// The shard count of `1 << bits`; `None` above [`Self::MAX`].
     pub fn new(bits: u8) -> Option<Self> {
         (bits <= Self::MAX).then_some(Self(bits))
     }
 
-    /// How many shards the service has.
+    /// The number of shards of the service.
     pub fn shard_count(self) -> u32 {
         1 << self.0
     }
 
-    /// The shard that a key falls into: the top bits of its hash.
+    /// The shard of a key, given by the top bits of its hash.
     pub fn shard_of(self, key: KeyHash) -> ShardId {
         let top = key.0.checked_shr(64 - u32::from(self.0)).unwrap_or(0);
         ShardId(top as u32)
--- a/crates/core/src/id/mod.rs
+++ b/crates/core/src/id/mod.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things.
+//! Identifiers: names, numbers and hashes of keys.
 
 mod error;
 mod key;
--- a/crates/core/src/id/name.rs
+++ b/crates/core/src/id/name.rs
@@ -1,14 +1,14 @@
-//! Names that operators give.
+//! Names that operators assign.
 
 use {
     super::ParseIdError,
     std::{fmt, str::FromStr},
 };
 
-/// The longest name, in bytes; the limit of a DNS label.
+/// Longest name, in bytes: the limit of a DNS label.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Checks a name that an operator, or a server, gives.
+/// Validates a name that an operator or a backend server supplies.
 pub fn check_name(text: &str) -> Result<String, ParseIdError> {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-._".contains(c);
     let valid = !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed);
@@ -64,7 +64,7 @@
     DomainName
 );
 name_type!(
-    /// Name of an instance, the same across its restarts.
+    /// Name of an instance, which is the same across restarts.
     InstanceId
 );
 name_type!(
--- a/crates/core/src/id/number.rs
+++ b/crates/core/src/id/number.rs
@@ -1,4 +1,4 @@
-//! Numbers that identify or measure.
+//! Numeric identifiers and quantities.
 
 use {
     super::ParseIdError,
@@ -41,32 +41,32 @@
 }
 
 number_type!(
-    /// Version of the whole table: the number of the last commit. Rows carry the
-    /// revision of the commit that wrote them; 0 stands for "no such row".
+    /// Version of the whole table: the number of the last commit. Rows carry the revision of the
+    /// commit that wrote them; 0 means that the row does not exist.
     Revision, u64, 0, u64::MAX
 );
 number_type!(
-    /// Fencing token of a shard. Grows with every change of owner, never reused.
+    /// Fencing token of a shard, which increases with every change of owner and is never reused.
     Epoch, u64, 0, u64::MAX
 );
 number_type!(
-    /// Tells two starts of the same instance apart; drawn at each process start.
+    /// Random number that distinguishes process starts of the same instance.
     Incarnation, u64, 0, u64::MAX
 );
 number_type!(
-    /// When a backend server started, in Unix milliseconds by its own clock. The
-    /// most is the year 2286: what lies beyond is another unit, not a moment.
+    /// Start time of a backend server, in Unix milliseconds by its own clock. The limit is the
+    /// year 2286: a larger value is in another unit.
     StartTime, u64, 0, 10_000_000_000_000_u64
 );
 number_type!(
-    /// Number of a commit among those of one writer.
+    /// Number of a commit among the commits of one writer.
     CommitId, u64, 0, u64::MAX
 );
 number_type!(
-    /// Requests that a backend server runs at a time.
+    /// Number of requests that a backend server runs concurrently.
     Slots, u32, 1, 65_536
 );
 number_type!(
-    /// Share of a backend server in the load of its service; 0 takes it out.
+    /// Weight of a backend server in the load of its service; 0 excludes the server.
     Weight, u32, 0, 10_000
 );
--- a/crates/core/src/id/server.rs
+++ b/crates/core/src/id/server.rs
@@ -1,16 +1,16 @@
-//! Names of backend servers, and of their starts.
+//! Names of backend servers and their process starts.
 
 use {
     super::{ParseIdError, StartTime, name::check_name},
     std::{fmt, str::FromStr},
 };
 
-/// Between a server's id and the moment of its start.
+/// Separator between a server's id and its start time.
 const START_SEPARATOR: char = '@';
 
-/// One start of a backend server: its id and, where servers tell it, when it
-/// started. A server that starts again under its id holds nothing and knows
-/// nothing of before, so that all that is known of a server goes by this.
+/// Name of one process start of a backend server: its id and, if the server reports it, its
+/// start time. A server that restarts under the same id has lost its keys and its state, so
+/// all records of a server refer to this name.
 ///
 /// ```
 /// use citron_core::id::ServerName;
@@ -27,17 +27,17 @@
 }
 
 impl ServerName {
-    /// The start of this server at a moment.
+    /// This name with another start time.
     pub fn with_start_time(self, start_time: Option<StartTime>) -> Self {
         Self { start_time, ..self }
     }
 
-    /// The id, which other starts may have, too.
+    /// The server's id, which is the same across restarts.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// When it started, if it tells.
+    /// The server's start time, if the server reports it.
     pub fn start_time(&self) -> Option<StartTime> {
         self.start_time
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,7 @@
-//! Decisions of citronproxy, without clock, socket, thread or unseeded randomness.
+//! Decision logic of citronproxy, without clocks, sockets, threads or unseeded randomness.
 //!
-//! Every aggregate is driven by events and a [`time::Time`] and answers with
-//! actions, so that the processes, the model checker and the tests run the very
-//! same code.
+//! Every component takes events and a [`time::Time`] and returns actions, so that production
+//! processes, the model checker and the tests run the same code.
 
 pub mod admission;
 pub mod crash;
--- a/crates/core/src/time/instant.rs
+++ b/crates/core/src/time/instant.rs
@@ -1,4 +1,4 @@
-//! A point on one process's monotonic clock.
+//! Time on a process's monotonic clock.
 
 use std::{
     fmt,
@@ -24,7 +24,7 @@
     /// The origin of the clock, before every event.
     pub const ZERO: Self = Self(0);
 
-    /// A time so many microseconds after the origin.
+    /// The time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// The span since `earlier`; zero if `earlier` is in fact later.
+/// The duration since `earlier`; zero if `earlier` is later.
 impl Sub for Time {
     type Output = Duration;
 
--- a/crates/core/src/time/mod.rs
+++ b/crates/core/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it.
+//! Time on the monotonic clock of a process and on the store's clock.
 
 mod instant;
 mod store_clock;
--- a/crates/core/src/time/store_clock.rs
+++ b/crates/core/src/time/store_clock.rs
@@ -1,4 +1,4 @@
-//! The store's clock, as one process knows it.
+//! Bounds on the store's clock, derived from its responses.
 
 use {
     super::Time,
@@ -6,8 +6,8 @@
     std::{collections::VecDeque, fmt, ops::Add, str::FromStr, time::Duration},
 };
 
-/// Milliseconds on the clock of the store, which all instances hear of and which
-/// outlives them.
+/// Milliseconds on the store's clock, which all instances share and which keeps running when
+/// instances restart.
 ///
 /// ```
 /// use {citron_core::time::StoreTime, std::time::Duration};
@@ -45,18 +45,17 @@
     }
 }
 
-/// Answers that are remembered: some seconds of a planner's reading.
+/// Most readings that are kept: those of some seconds at the planner's poll interval.
 const MAX_READINGS: usize = 16;
-/// How much slower this process's clock may run than the store's, as a part: that
-/// of the backend servers' clocks, for want of another figure.
+/// Largest drift of this process's clock relative to the store's, as a fraction. The bound is
+/// that for backend servers' clocks, since none is specified for the store's.
 const MAX_CLOCK_DRIFT: f64 = 0.02;
 
-/// What the store's answers told of its clock.
+/// Readings of the store's clock from its responses.
 ///
-/// Nothing is worked out from a difference of the two clocks: a process that stood
-/// still for a while has a clock that did, too. A moment here is placed before an
-/// answer that was asked for after it, and the store's clock is taken to stand
-/// where it stood in the last answer, plus the time since.
+/// The offset between the two clocks is never used, because the clock of a suspended process
+/// stops as well. A local time is known to precede the reading of a call that began after
+/// it, and the store's clock is estimated as its last reading plus the local time since.
 ///
 /// ```
 /// use {citron_core::time::{StoreClock, StoreTime, Time}, std::time::Duration};
@@ -81,7 +80,8 @@
 }
 
 impl StoreClock {
-    /// An answer to a call that began at `begun` came at `came` and told a time.
+    /// Records the store's time from the response to a call that began at `sent` and ended at
+    /// `received`.
     pub fn record(&mut self, sent: Time, received: Time, store_time: StoreTime) {
         if self.readings.len() == MAX_READINGS {
             self.readings.pop_front();
@@ -93,8 +93,8 @@
         });
     }
 
-    /// A time of the store that is surely not before a moment here; `None` until
-    /// an answer has come to a call that began after it.
+    /// A time on the store's clock that is certainly not before a local time; `None` until
+    /// a call that began no earlier than `moment` has been answered.
     pub fn at_or_after(&self, moment: Time) -> Option<StoreTime> {
         let later = self
             .readings
@@ -103,14 +103,14 @@
         later.map(|reading| reading.store_time).min()
     }
 
-    /// Whether a time of the store has surely passed.
+    /// Whether a time on the store's clock has certainly passed.
     pub fn is_past(&self, time: StoreTime, now: Time) -> bool {
         self.time_until(time, now)
             .is_some_and(|remaining| remaining.is_zero())
     }
 
-    /// How long it takes at most until a time of the store has passed; `None` if
-    /// nothing is known of its clock.
+    /// The longest time until a time on the store's clock has passed; `None` without a
+    /// reading.
     pub fn time_until(&self, time: StoreTime, now: Time) -> Option<Duration> {
         let remaining = |reading: &Reading| {
             let since = (now - reading.received).mul_f64(1.0 - MAX_CLOCK_DRIFT);
