--- a/crates/core/tests/edit.rs
+++ b/crates/core/tests/edit.rs
@@ -118,13 +118,13 @@
     table
 }
 
-fn edited(number: u16, change: impl FnOnce(&mut ServerRow)) -> Row {
+fn server_with(number: u16, change: impl FnOnce(&mut ServerRow)) -> Row {
     let mut row = server(number);
     change(&mut row);
     Row::Server(row)
 }
 
-fn changed(change: impl FnOnce(&mut ServiceRow)) -> Row {
+fn service_with(change: impl FnOnce(&mut ServiceRow)) -> Row {
     let mut row = service("kegs");
     change(&mut row);
     Row::Service(row)
@@ -157,76 +157,88 @@
         ("system row", block),
         (
             "unknown service",
-            edited(4, |row| row.service = "nets".parse().unwrap()),
+            server_with(4, |row| row.service = "nets".parse().unwrap()),
         ),
         (
             "unknown domain",
-            edited(4, |row| row.domain = "moon".parse().unwrap()),
+            server_with(4, |row| row.domain = "moon".parse().unwrap()),
         ),
-        ("cap of nothing", edited(3, |row| row.rate_cap = Some(0))),
-        ("no connections", edited(3, |row| row.max_connections = 0)),
-        ("no port", edited(3, |row| row.address.set_port(0))),
+        (
+            "cap of nothing",
+            server_with(3, |row| row.rate_cap = Some(0)),
+        ),
+        (
+            "no connections",
+            server_with(3, |row| row.max_connections = 0),
+        ),
+        ("no port", server_with(3, |row| row.address.set_port(0))),
         (
             "same address",
-            edited(4, |row| row.address = server(1).address),
+            server_with(4, |row| row.address = server(1).address),
+        ),
+        (
+            "owner's address",
+            server_with(1, |row| row.address.set_port(1)),
         ),
-        ("owner's address", edited(1, |row| row.address.set_port(1))),
         (
             "owner's service",
-            edited(1, |row| row.service = "sets".parse().unwrap()),
+            server_with(1, |row| row.service = "sets".parse().unwrap()),
         ),
         (
             "owner's domain",
-            edited(1, |row| row.domain = "hills".parse().unwrap()),
+            server_with(1, |row| row.domain = "hills".parse().unwrap()),
         ),
         (
             "owner's fencing",
-            edited(1, |row| row.fencing = Fencing::Unchecked),
+            server_with(1, |row| row.fencing = Fencing::Unchecked),
         ),
         (
             "owner retired",
-            edited(1, |row| row.state = ServerState::Retired),
+            server_with(1, |row| row.state = ServerState::Retired),
         ),
         (
             "shard count",
-            changed(|row| row.shard_bits = ShardBits::new(8).unwrap()),
+            service_with(|row| row.shard_bits = ShardBits::new(8).unwrap()),
         ),
         (
             "shorter grace",
-            changed(|row| row.grace = Duration::from_secs(1)),
+            service_with(|row| row.grace = Duration::from_secs(1)),
         ),
         (
             "long grace",
-            changed(|row| row.grace = Duration::from_secs(3_601)),
+            service_with(|row| row.grace = Duration::from_secs(3_601)),
         ),
         (
             "short deadline",
-            changed(|row| row.deadline = Duration::from_millis(1)),
+            service_with(|row| row.deadline = Duration::from_millis(1)),
         ),
         (
             "slow objective",
-            changed(|row| row.objectives.latency = Duration::from_secs(6)),
+            service_with(|row| row.objectives.latency = Duration::from_secs(6)),
         ),
         (
             "low threshold",
-            changed(|row| row.move_budget.threshold_percent = 100),
+            service_with(|row| row.move_budget.threshold_percent = 100),
+        ),
+        (
+            "no prefix",
+            service_with(|row| row.prefix = "kegs".to_string()),
         ),
-        ("no prefix", changed(|row| row.prefix = "kegs".to_string())),
         (
             "same route",
-            changed(|row| row.prefix = "/sets".to_string()),
+            service_with(|row| row.prefix = "/sets".to_string()),
         ),
         (
             "bad host",
-            changed(|row| row.hosts = vec!["a b".to_string()]),
+            service_with(|row| row.hosts = vec!["a b".to_string()]),
         ),
         (
             "bad header",
-            changed(|row| row.key_source = KeySource::Header("a b".to_string())),
+            service_with(|row| row.key_source = KeySource::Header("a b".to_string())),
         ),
         (
             "bad method",
-            changed(|row| row.idempotent_methods = vec!["get".to_string()]),
+            service_with(|row| row.idempotent_methods = vec!["get".to_string()]),
         ),
         (
             "lost by another",
@@ -250,15 +262,15 @@
         let error = plan(&table, vec![delete(&table, key)]).expect_err(key);
         lines.push(format!("delete {key}: {error}"));
     }
-    let out = |number| {
+    let drain = |number| {
         put(
             &table,
-            edited(number, |row| row.state = ServerState::Draining),
+            server_with(number, |row| row.state = ServerState::Draining),
         )
     };
-    let error = plan(&table, vec![out(1), out(2), out(3)]).expect_err("all drained");
+    let error = plan(&table, vec![drain(1), drain(2), drain(3)]).expect_err("all drained");
     lines.push(format!("all drained: {error}"));
-    let error = plan(&table, vec![out(1), out(1)]).expect_err("twice");
+    let error = plan(&table, vec![drain(1), drain(1)]).expect_err("twice");
     lines.push(format!("twice: {error}"));
     let error = plan(&table, Vec::new()).expect_err("empty");
     lines.push(format!("empty: {error}"));
@@ -271,9 +283,9 @@
 #[test]
 fn an_edit_of_an_older_version_is_lost_as_a_whole() {
     let mut table = deployment();
-    let stale = put(&table, edited(3, |row| row.weight = Weight(1)));
-    let other = put(&table, edited(1, |row| row.weight = Weight(1)));
-    let rows = vec![put(&table, edited(3, |row| row.weight = Weight(7)))];
+    let stale = put(&table, server_with(3, |row| row.weight = Weight(1)));
+    let other = put(&table, server_with(1, |row| row.weight = Weight(1)));
+    let rows = vec![put(&table, server_with(3, |row| row.weight = Weight(7)))];
     apply(&mut table, rows);
     let error = plan(&table, vec![other, stale]).unwrap_err();
     let TableError::Conflict { key, current } = error else {
@@ -282,7 +294,7 @@
     assert_eq!(key.to_string(), "server/server-3");
     let current = current.unwrap();
     assert_eq!(current.version, Revision(3));
-    assert_eq!(current.value, edited(3, |row| row.weight = Weight(7)));
+    assert_eq!(current.value, server_with(3, |row| row.weight = Weight(7)));
 }
 
 #[test]
@@ -294,10 +306,13 @@
     ];
     apply(&mut table, rows);
     let rows = vec![
-        put(&table, edited(1, |row| row.weight = Weight(100))),
-        put(&table, edited(2, |row| row.weight = Weight(300))),
-        put(&table, edited(3, |row| row.weight = Weight(0))),
-        put(&table, edited(4, |row| row.state = ServerState::Draining)),
+        put(&table, server_with(1, |row| row.weight = Weight(100))),
+        put(&table, server_with(2, |row| row.weight = Weight(300))),
+        put(&table, server_with(3, |row| row.weight = Weight(0))),
+        put(
+            &table,
+            server_with(4, |row| row.state = ServerState::Draining),
+        ),
     ];
     let plan = plan(&table, rows).unwrap();
     let owners = owners(&plan);
@@ -325,7 +340,10 @@
     rows.extend((1..=3).map(|n| delete(&table, &format!("server/server-{n}"))));
     apply(&mut table, rows);
     assert!(epochs(&table).is_empty());
-    let rows = vec![put(&table, changed(|_| ())), put(&table, edited(1, |_| ()))];
+    let rows = vec![
+        put(&table, service_with(|_| ())),
+        put(&table, server_with(1, |_| ())),
+    ];
     apply(&mut table, rows);
     assert!(epochs(&table).iter().min() > first.iter().max());
 }
@@ -347,12 +365,12 @@
     let mut table = deployment();
     let rows = vec![delete(&table, "server/server-3")];
     apply(&mut table, rows);
-    let out = |table: &Table, number| {
-        let row = edited(number, |row| row.state = ServerState::Draining);
+    let drain = |table: &Table, number| {
+        let row = server_with(number, |row| row.state = ServerState::Draining);
         vec![put(table, row)]
     };
-    let first = plan(&table, out(&table, 1)).unwrap();
-    let second = plan(&table, out(&table, 2)).unwrap();
+    let first = plan(&table, drain(&table, 1)).unwrap();
+    let second = plan(&table, drain(&table, 2)).unwrap();
     let checked = |plan: &EditPlan, name: &str| {
         plan.checks
             .iter()
@@ -361,9 +379,9 @@
     assert!(checked(&first, "server/server-2"));
     assert!(checked(&second, "server/server-1"));
     assert!(checked(&first, "service/kegs") && checked(&first, "domain/harbour"));
-    let rows = out(&table, 1);
+    let rows = drain(&table, 1);
     apply(&mut table, rows);
-    assert!(plan(&table, out(&table, 2)).is_err());
+    assert!(plan(&table, drain(&table, 2)).is_err());
 }
 
 /// A shard is on its way to a server that owns nothing yet; an operator deletes
@@ -410,10 +428,10 @@
             prop_assert!(blocks.is_empty());
             return Ok(());
         }
-        let dealt: Vec<&Assignment> = blocks.iter().flat_map(|block: &BlockRow| &block.shards).collect();
-        prop_assert_eq!(dealt.len(), row.shard_bits.shard_count() as usize);
+        let assignments: Vec<&Assignment> = blocks.iter().flat_map(|block: &BlockRow| &block.shards).collect();
+        prop_assert_eq!(assignments.len(), row.shard_bits.shard_count() as usize);
         for server in &servers {
-            let own = dealt.iter().filter(|shard| shard.owner == server.name).count() as f64;
+            let own = assignments.iter().filter(|shard| shard.owner == server.name).count() as f64;
             let share = f64::from(row.shard_bits.shard_count()) * f64::from(server.weight.0) / f64::from(total);
             prop_assert!((own - share).abs() <= 1.0, "{} has {own}, its share is {share}", server.name);
         }
@@ -428,13 +446,14 @@
     let mut table = deployment();
     let service = "kegs".parse().unwrap();
     let scope = Scope::Shard(ShardId(0));
-    let late = begin_move(&table, &service, scope, &"server-3".parse().unwrap()).unwrap();
-    let checks = late.new_owner_checks(&table);
+    let late_commit = begin_move(&table, &service, scope, &"server-3".parse().unwrap()).unwrap();
+    let checks = late_commit.new_owner_checks(&table);
     let rows = vec![delete(&table, "server/server-3")];
     apply(&mut table, rows);
-    let lost = |check: &Check| table.get(&check.key).map(|row| row.version) != Some(check.expect);
-    assert!(checks.iter().any(lost), "{checks:?}");
-    let write = &late.writes[0];
+    let has_changed =
+        |check: &Check| table.get(&check.key).map(|row| row.version) != Some(check.expect);
+    assert!(checks.iter().any(has_changed), "{checks:?}");
+    let write = &late_commit.writes[0];
     let version = table.get(&write.key).map(|row| row.version);
     assert_eq!(
         version,
--- a/crates/core/tests/fetches.rs
+++ b/crates/core/tests/fetches.rs
@@ -9,11 +9,11 @@
 };
 
 /// Bytes that the link carries in a millisecond, beside its callers' traffic.
-const LINK: f64 = 1_000.0;
+const LINK_BYTES_PER_MS: f64 = 1_000.0;
 /// Between two heartbeats of others that tell of the newer table.
-const HEARTBEAT: u64 = 25;
+const HEARTBEAT_INTERVAL_MS: u64 = 25;
 /// The longest time that is played.
-const PLAYED: u64 = 30_000;
+const MAX_DURATION_MS: u64 = 30_000;
 
 fn at(millis: u64) -> Time {
     Time::ZERO + Duration::from_millis(millis)
@@ -36,7 +36,7 @@
         }
     }
 
-    fn hear_of_newer(&mut self, now: Time, bytes: f64) {
+    fn receive_heartbeat(&mut self, now: Time, bytes: f64) {
         if let Some(fetch) = self.fetches.begin(0, now) {
             self.open.push((fetch, bytes));
             self.begun += 1;
@@ -44,41 +44,47 @@
     }
 
     /// The link is shared evenly by those whose source sends.
-    fn receive(&mut self, now: Time, sends: impl Fn(usize, f64) -> bool) {
-        let sending = |(at, (_, left)): (usize, &(Fetch, f64))| sends(at, *left);
-        let sending: Vec<bool> = self.open.iter().enumerate().map(sending).collect();
-        let part = LINK / sending.iter().filter(|sends| **sends).count().max(1) as f64;
-        for ((fetch, left), sends) in self.open.iter_mut().zip(sending) {
+    fn receive(&mut self, now: Time, is_sending: impl Fn(usize, f64) -> bool) {
+        let check = |(index, (_, remaining)): (usize, &(Fetch, f64))| is_sending(index, *remaining);
+        let sending: Vec<bool> = self.open.iter().enumerate().map(check).collect();
+        let share =
+            LINK_BYTES_PER_MS / sending.iter().filter(|sends| **sends).count().max(1) as f64;
+        for ((fetch, remaining), sends) in self.open.iter_mut().zip(sending) {
             if sends {
-                *left -= part;
+                *remaining -= share;
                 self.fetches.record_progress(*fetch, now);
             }
         }
     }
 
-    fn give_up(&mut self, now: Time) {
-        let over = |fetch: &Fetch| self.fetches.time_until_idle(*fetch, now).is_zero();
-        let over: Vec<Fetch> = self.open.iter().map(|open| open.0).filter(over).collect();
-        self.open.retain(|(fetch, _)| !over.contains(fetch));
-        for fetch in over {
+    fn abort_idle(&mut self, now: Time) {
+        let is_idle = |fetch: &Fetch| self.fetches.time_until_idle(*fetch, now).is_zero();
+        let idle: Vec<Fetch> = self
+            .open
+            .iter()
+            .map(|open| open.0)
+            .filter(is_idle)
+            .collect();
+        self.open.retain(|(fetch, _)| !idle.contains(fetch));
+        for fetch in idle {
             self.fetches.end(fetch);
         }
     }
 }
 
 /// After how long a table of so many bytes has come, if it comes at all.
-fn arrival(bytes: f64, sends: impl Fn(usize, f64) -> bool) -> Option<Duration> {
+fn arrival(bytes: f64, is_sending: impl Fn(usize, f64) -> bool) -> Option<Duration> {
     let mut instance = Instance::new();
-    for millis in 0..PLAYED {
+    for millis in 0..MAX_DURATION_MS {
         let now = at(millis);
-        if millis % HEARTBEAT == 0 {
-            instance.hear_of_newer(now, bytes);
+        if millis % HEARTBEAT_INTERVAL_MS == 0 {
+            instance.receive_heartbeat(now, bytes);
         }
-        instance.receive(now, &sends);
-        if instance.open.iter().any(|(_, left)| *left <= 0.0) {
+        instance.receive(now, &is_sending);
+        if instance.open.iter().any(|(_, remaining)| *remaining <= 0.0) {
             return Some(Duration::from_millis(millis));
         }
-        instance.give_up(now);
+        instance.abort_idle(now);
     }
     None
 }
@@ -88,27 +94,27 @@
 fn a_table_that_fills_a_narrow_link_for_long_arrives() {
     for millis in [50, 200, 400, 900, 2_000, 5_000] {
         let alone = Duration::from_millis(millis);
-        let came = arrival(LINK * millis as f64, |_, _| true);
-        let soon = came.is_some_and(|came| came <= alone * 2);
-        assert!(soon, "{alone:?} alone, came after {came:?}");
+        let arrived = arrival(LINK_BYTES_PER_MS * millis as f64, |_, _| true);
+        let is_in_time = arrived.is_some_and(|arrived| arrived <= alone * 2);
+        assert!(is_in_time, "{alone:?} alone, arrived after {arrived:?}");
     }
 }
 
 /// Guards against a wait for an instance that has ended.
 #[test]
 fn an_instance_that_does_not_answer_holds_no_table_up() {
-    let came = arrival(LINK * 50.0, |number, _| number > 0);
-    assert!(came.is_some_and(|came| came < Duration::from_millis(300)));
+    let arrived = arrival(LINK_BYTES_PER_MS * 50.0, |number, _| number > 0);
+    assert!(arrived.is_some_and(|arrived| arrived < Duration::from_millis(300)));
 }
 
 /// Guards against a wait for an instance that stands still in the middle of its answer.
 #[test]
 fn an_instance_that_stops_in_its_answer_holds_no_table_up() {
-    let (whole, half) = (LINK * 100.0, LINK * 50.0);
-    let came = arrival(whole, |number, left| number > 0 || left > half);
+    let (whole, half) = (LINK_BYTES_PER_MS * 100.0, LINK_BYTES_PER_MS * 50.0);
+    let arrived = arrival(whole, |number, remaining| number > 0 || remaining > half);
     assert!(
-        came.is_some_and(|came| came < Duration::from_secs(1)),
-        "{came:?}"
+        arrived.is_some_and(|arrived| arrived < Duration::from_secs(1)),
+        "{arrived:?}"
     );
 }
 
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -12,16 +12,16 @@
 };
 
 const TIMES: FreshnessTimes = FreshnessTimes::STANDARD;
-const HEAR: PropagationTimes = PropagationTimes::STANDARD;
+const PROPAGATION: PropagationTimes = PropagationTimes::STANDARD;
 /// What the operators set: a server that leaves may get requests for so long, and a
 /// change of configuration must be in force.
-const BOUND: Duration = Duration::from_secs(2);
+const MAX_DELAY: Duration = Duration::from_secs(2);
 const INSTANCES: usize = 10;
 const DOMAINS: usize = 4;
 /// After so long a call without an answer is given up.
-const GIVEN_UP: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// One way between two instances, or to the store.
-const WAY: Duration = Duration::from_millis(2);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 
 fn at(millis: u64) -> Time {
     Time::ZERO + Duration::from_secs(100) + Duration::from_millis(millis)
@@ -29,14 +29,14 @@
 
 struct Instance {
     fresh: Freshness<1>,
-    behind: LagTimer<1>,
+    lag: LagTimer<1>,
     version: u64,
     /// Whether the store's answers reach it.
-    hears: bool,
-    look: Time,
-    beat: Time,
-    rounds: u64,
-    hurry: bool,
+    is_answered: bool,
+    next_poll: Time,
+    next_heartbeat: Time,
+    heartbeat_rounds: u64,
+    has_news: bool,
 }
 
 enum Event {
@@ -61,31 +61,31 @@
     },
 }
 
-struct World {
+struct Simulation {
     now: Time,
     version: u64,
     instances: Vec<Instance>,
     events: Vec<(Time, Event)>,
     rng: ChaCha8Rng,
-    calls: u32,
+    store_calls: u32,
     /// Datagrams that are lost, in a hundred.
     loss: u32,
-    longest: Duration,
+    max_age: Duration,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, loss: u32) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut phase = |most: Duration| at(rng.random_range(0..most.as_millis() as u64));
+        let mut phase = |max: Duration| at(rng.random_range(0..max.as_millis() as u64));
         let instances = (0..INSTANCES).map(|_| Instance {
             fresh: Freshness::new(TIMES),
-            behind: LagTimer::new(HEAR.lag_grace),
+            lag: LagTimer::new(PROPAGATION.lag_grace),
             version: 1,
-            hears: true,
-            look: phase(HEAR.poll_interval),
-            beat: phase(HEAR.heartbeat_interval),
-            rounds: 0,
-            hurry: false,
+            is_answered: true,
+            next_poll: phase(PROPAGATION.poll_interval),
+            next_heartbeat: phase(PROPAGATION.heartbeat_interval),
+            heartbeat_rounds: 0,
+            has_news: false,
         });
         Self {
             now: at(0),
@@ -93,32 +93,32 @@
             instances: instances.collect(),
             events: Vec::new(),
             rng,
-            calls: 0,
+            store_calls: 0,
             loss,
-            longest: Duration::ZERO,
+            max_age: Duration::ZERO,
         }
     }
 
     /// One that ran for a while, until the store answers only some of the instances.
-    fn deafened(seed: u64, loss: u32) -> Self {
-        let mut world = Self::new(seed, loss);
-        let deaf = deaf(seed, &mut world.rng);
-        world.run(Duration::from_secs(3), |_| false);
-        for (instance, deaf) in world.instances.iter_mut().zip(deaf) {
-            instance.hears = !deaf;
+    fn with_cut_off_instances(seed: u64, loss: u32) -> Self {
+        let mut simulation = Self::new(seed, loss);
+        let cut_off = cut_off_instances(seed, &mut simulation.rng);
+        simulation.run(Duration::from_secs(3), |_| false);
+        for (instance, is_cut_off) in simulation.instances.iter_mut().zip(cut_off) {
+            instance.is_answered = !is_cut_off;
         }
-        world
+        simulation
     }
 
-    fn role(&self, me: usize) -> Role {
-        match me {
+    fn role(&self, index: usize) -> Role {
+        match index {
             0 => Role::Planner,
-            _ if me < DOMAINS => Role::Reader,
+            _ if index < DOMAINS => Role::Reader,
             _ => Role::Follower,
         }
     }
 
-    fn after(&mut self, span: Duration, event: Event) {
+    fn schedule(&mut self, span: Duration, event: Event) {
         self.events.push((self.now + span, event));
     }
 
@@ -137,70 +137,70 @@
         self.events = later;
         let due: Vec<(Time, Event)> = due;
         for (_, event) in due {
-            self.take(event);
+            self.handle(event);
         }
-        for me in 0..INSTANCES {
-            if self.instances[me].look <= now {
-                self.look(me);
+        for index in 0..INSTANCES {
+            if self.instances[index].next_poll <= now {
+                self.poll(index);
             }
-            if self.instances[me].beat <= now || self.instances[me].hurry {
-                self.beat(me);
+            if self.instances[index].next_heartbeat <= now || self.instances[index].has_news {
+                self.send_heartbeats(index);
             }
-            let age = self.instances[me].fresh.age(0, now).unwrap_or_default();
-            self.longest = self.longest.max(age);
+            let age = self.instances[index].fresh.age(0, now).unwrap_or_default();
+            self.max_age = self.max_age.max(age);
         }
     }
 
-    fn look(&mut self, me: usize) {
-        let (now, role) = (self.now, self.role(me));
-        let instance = &mut self.instances[me];
-        instance.look = now + HEAR.poll_interval;
+    fn poll(&mut self, index: usize) {
+        let (now, role) = (self.now, self.role(index));
+        let instance = &mut self.instances[index];
+        instance.next_poll = now + PROPAGATION.poll_interval;
         if !instance.fresh.is_due(role, now) {
             return;
         }
-        self.calls += 1;
-        let call = if instance.hears {
-            HEAR.call_duration
+        self.store_calls += 1;
+        let call = if instance.is_answered {
+            PROPAGATION.call_duration
         } else {
-            GIVEN_UP
+            CALL_TIMEOUT
         };
-        instance.look = now + call;
-        if !instance.hears {
+        instance.next_poll = now + call;
+        if !instance.is_answered {
             return instance.fresh.record_failure(role, 1.0, now + call);
         }
-        let slow = Duration::from_millis(
+        let delay = Duration::from_millis(
             self.rng
-                .random_range(4..HEAR.call_duration.as_millis() as u64),
+                .random_range(4..PROPAGATION.call_duration.as_millis() as u64),
         );
         let (begun, version) = (now, self.version);
-        self.after(
-            slow,
+        self.schedule(
+            delay,
             Event::Answer {
-                to: me,
+                to: index,
                 begun,
                 version,
             },
         );
     }
 
-    fn beat(&mut self, me: usize) {
-        let instance = &mut self.instances[me];
-        let all = std::mem::take(&mut instance.hurry);
-        instance.beat = self.now + HEAR.heartbeat_interval;
-        instance.rounds += 1;
-        let far = all
+    fn send_heartbeats(&mut self, index: usize) {
+        let instance = &mut self.instances[index];
+        let to_all = std::mem::take(&mut instance.has_news);
+        instance.next_heartbeat = self.now + PROPAGATION.heartbeat_interval;
+        instance.heartbeat_rounds += 1;
+        let is_cross_domain = to_all
             || instance
-                .rounds
-                .is_multiple_of(HEAR.cross_domain_factor.into());
+                .heartbeat_rounds
+                .is_multiple_of(PROPAGATION.cross_domain_factor.into());
         let (version, age) = (instance.version, instance.fresh.age(0, self.now));
-        for to in (0..INSTANCES).filter(|to| *to != me) {
-            let near = to % DOMAINS == me % DOMAINS;
-            if (near || far) && self.rng.random_range(0..100) >= self.loss {
-                self.after(
-                    WAY,
+        for to in (0..INSTANCES).filter(|to| *to != index) {
+            let is_same_domain = to % DOMAINS == index % DOMAINS;
+            if (is_same_domain || is_cross_domain) && self.rng.random_range(0..100) >= self.loss {
+                self.schedule(
+                    ONE_WAY_DELAY,
                     Event::Heartbeat {
                         to,
-                        from: me,
+                        from: index,
                         version,
                         age,
                     },
@@ -209,20 +209,20 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Answer { to, begun, version } => {
                 let instance = &mut self.instances[to];
                 instance.fresh.record_read(0, begun);
                 instance.version = version;
-                instance.hurry = true;
+                instance.has_news = true;
             }
             Event::Heartbeat {
                 to,
                 from,
                 version,
                 age,
-            } => self.hear(to, from, version, age),
+            } => self.receive_heartbeat(to, from, version, age),
             Event::Table {
                 to,
                 begun,
@@ -232,26 +232,26 @@
                 let instance = &mut self.instances[to];
                 instance.fresh.record_peer_age(0, age, begun);
                 instance.version = instance.version.max(version);
-                instance.behind.caught_up(0);
+                instance.lag.caught_up(0);
             }
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, version: u64, age: Age) {
-        let near = to % DOMAINS == from % DOMAINS;
-        let waits = !near || self.role(to) != Role::Follower;
+    fn receive_heartbeat(&mut self, to: usize, from: usize, version: u64, age: Age) {
+        let is_same_domain = to % DOMAINS == from % DOMAINS;
+        let expects_update = !is_same_domain || self.role(to) != Role::Follower;
         let now = self.now;
         let instance = &mut self.instances[to];
         if version == instance.version {
             instance.fresh.record_peer_age(0, age, now);
         }
-        if version <= instance.version || !instance.behind.should_fetch(0, waits, now) {
+        if version <= instance.version || !instance.lag.should_fetch(0, expects_update, now) {
             return;
         }
         let sender = &self.instances[from];
         let (version, age) = (sender.version, sender.fresh.age(0, now));
-        self.after(
-            2 * WAY,
+        self.schedule(
+            2 * ONE_WAY_DELAY,
             Event::Table {
                 to,
                 begun: now,
@@ -262,11 +262,16 @@
     }
 
     /// The store takes a change; how long until all instances know it.
-    fn change(&mut self) -> Duration {
+    fn propagate_change(&mut self) -> Duration {
         self.version += 1;
         let version = self.version;
-        let all = |world: &Self| world.instances.iter().all(|one| one.version == version);
-        self.run(2 * BOUND, all)
+        let all = |simulation: &Self| {
+            simulation
+                .instances
+                .iter()
+                .all(|one| one.version == version)
+        };
+        self.run(2 * MAX_DELAY, all)
     }
 }
 
@@ -275,32 +280,32 @@
 /// one knows a change within the sum of the named spans, and that is under the bound.
 #[test]
 fn a_change_is_known_everywhere_in_time_as_long_as_one_instance_hears_the_store() {
-    let worst = HEAR.max_delay(&TIMES);
-    assert!(worst < BOUND);
+    let max_delay = PROPAGATION.max_delay(&TIMES);
+    assert!(max_delay < MAX_DELAY);
     let mut longest = Duration::ZERO;
     for seed in 0..400 {
-        let mut world = World::deafened(seed, 0);
-        let phase = world.rng.random_range(0..3_000);
-        world.run(Duration::from_millis(phase), |_| false);
-        let late = world.change();
-        assert!(late <= worst, "seed {seed}: {late:?}");
-        longest = longest.max(late);
+        let mut simulation = Simulation::with_cut_off_instances(seed, 0);
+        let phase = simulation.rng.random_range(0..3_000);
+        simulation.run(Duration::from_millis(phase), |_| false);
+        let delay = simulation.propagate_change();
+        assert!(delay <= max_delay, "seed {seed}: {delay:?}");
+        longest = longest.max(delay);
     }
     // Else the sum would hold for want of a hard case.
     assert!(longest > TIMES.follower_interval, "{longest:?}");
 }
 
 /// Who does not hear: all but one, the ones that ask first, the planner, or anyone.
-fn deaf(seed: u64, rng: &mut ChaCha8Rng) -> Vec<bool> {
+fn cut_off_instances(seed: u64, rng: &mut ChaCha8Rng) -> Vec<bool> {
     let one = rng.random_range(0..INSTANCES);
     let draw = |rng: &mut ChaCha8Rng| rng.random_bool(0.5);
-    let deaf = (0..INSTANCES).map(|at| match seed % 4 {
+    let cut_off = (0..INSTANCES).map(|at| match seed % 4 {
         0 => at != one,
         1 => at < DOMAINS,
         2 => at == 0,
         _ => at != one && draw(rng),
     });
-    deaf.collect()
+    cut_off.collect()
 }
 
 /// One datagram in twenty is lost, as the one that tells of a change may be. The sum
@@ -308,9 +313,12 @@
 #[test]
 fn lost_datagrams_are_made_up_for_in_time() {
     for seed in 0..200 {
-        let mut world = World::deafened(seed, 5);
-        let late = world.change();
-        assert!(late <= HEAR.max_delay(&TIMES), "seed {seed}: {late:?}");
+        let mut simulation = Simulation::with_cut_off_instances(seed, 5);
+        let delay = simulation.propagate_change();
+        assert!(
+            delay <= PROPAGATION.max_delay(&TIMES),
+            "seed {seed}: {delay:?}"
+        );
     }
 }
 
@@ -318,15 +326,19 @@
 /// second, however many instances there are.
 #[test]
 fn one_instance_asks_for_all() {
-    let mut world = World::new(7, 0);
-    world.run(Duration::from_secs(3), |_| false);
-    world.calls = 0;
-    world.run(Duration::from_secs(20), |_| false);
-    assert!((30..=42).contains(&world.calls), "{}", world.calls);
+    let mut simulation = Simulation::new(7, 0);
+    simulation.run(Duration::from_secs(3), |_| false);
+    simulation.store_calls = 0;
+    simulation.run(Duration::from_secs(20), |_| false);
+    assert!(
+        (30..=42).contains(&simulation.store_calls),
+        "{}",
+        simulation.store_calls
+    );
 }
 
 /// An instance that did not ask the store for long, as others did, has missed nothing.
-/// A removal that it then hears of is a server that leaves, and not an entry that
+/// A removal that it then is_answered of is a server that leaves, and not an entry that
 /// lapsed in an outage; kept for the time in which servers write themselves anew, it
 /// would get requests beyond its time.
 #[test]
@@ -338,26 +350,26 @@
         assert_eq!(fresh.record_peer_age(0, age, at(tick * 500)), None);
     }
     assert_eq!(fresh.record_read(0, at(25_000)), None);
-    let gap = fresh.record_read(0, at(27_000)).unwrap();
-    assert_eq!(gap.duration, Duration::from_secs(2));
-    assert_eq!(gap.end, at(27_000));
+    let outage = fresh.record_read(0, at(27_000)).unwrap();
+    assert_eq!(outage.duration, Duration::from_secs(2));
+    assert_eq!(outage.end, at(27_000));
 }
 
 /// Whoever hears the store, no instance's age reaches that of an outage.
 #[test]
 fn a_store_that_answers_one_instance_is_not_away() {
     for one in 0..INSTANCES {
-        let mut world = World::new(one as u64, 0);
-        world.run(Duration::from_secs(3), |_| false);
+        let mut simulation = Simulation::new(one as u64, 0);
+        simulation.run(Duration::from_secs(3), |_| false);
         for at in (0..INSTANCES).filter(|at| *at != one) {
-            world.instances[at].hears = false;
+            simulation.instances[at].is_answered = false;
         }
-        world.longest = Duration::ZERO;
-        world.run(Duration::from_secs(10), |_| false);
+        simulation.max_age = Duration::ZERO;
+        simulation.run(Duration::from_secs(10), |_| false);
         assert!(
-            world.longest < TIMES.outage_age,
+            simulation.max_age < TIMES.outage_age,
             "{one}: {:?}",
-            world.longest
+            simulation.max_age
         );
     }
 }
@@ -366,16 +378,20 @@
 /// call is paid for, and its return is noticed by the first one that asks.
 #[test]
 fn a_store_that_is_away_is_asked_ever_less() {
-    let away = |span: Duration| {
-        let mut world = World::new(3, 0);
-        world.run(Duration::from_secs(3), |_| false);
-        world.instances.iter_mut().for_each(|one| one.hears = false);
-        world.calls = 0;
-        world.run(span, |_| false);
-        world.calls
+    let calls_during_outage = |span: Duration| {
+        let mut simulation = Simulation::new(3, 0);
+        simulation.run(Duration::from_secs(3), |_| false);
+        simulation
+            .instances
+            .iter_mut()
+            .for_each(|one| one.is_answered = false);
+        simulation.store_calls = 0;
+        simulation.run(span, |_| false);
+        simulation.store_calls
     };
-    let first = away(Duration::from_secs(3));
-    let later = away(Duration::from_secs(9)) - away(Duration::from_secs(6));
+    let first = calls_during_outage(Duration::from_secs(3));
+    let later =
+        calls_during_outage(Duration::from_secs(9)) - calls_during_outage(Duration::from_secs(6));
     // The planner and the readers ask on, once in 350 ms and the time of a call.
     let steady = DOMAINS as u32 * 4;
     let others = INSTANCES as u32 - DOMAINS as u32;
@@ -388,8 +404,9 @@
     let mut fresh = Freshness::<2>::new(TIMES);
     fresh.record_read(0, at(0));
     fresh.record_read(1, at(1_000));
-    let left = |arriving| fresh.time_until_due_except(arriving, Role::Follower, at(1_100));
-    assert!(left([false, false]).is_zero());
-    assert!(!left([true, false]).is_zero());
-    assert!(!left([true, true]).is_zero());
+    let time_until_due =
+        |arriving| fresh.time_until_due_except(arriving, Role::Follower, at(1_100));
+    assert!(time_until_due([false, false]).is_zero());
+    assert!(!time_until_due([true, false]).is_zero());
+    assert!(!time_until_due([true, true]).is_zero());
 }
--- a/crates/core/tests/heartbeats.rs
+++ b/crates/core/tests/heartbeats.rs
@@ -11,27 +11,32 @@
 const SIZES: [usize; 9] = [2, 5, 7, 12, 16, 28, 39, 60, 80];
 const SENDERS: [Sender; 3] = [Sender::SameDomain, Sender::OtherDomain, Sender::Planner];
 /// A small processor is taken away for so long at most.
-const AWAY: Duration = Duration::from_millis(100);
+const MAX_SUSPENSION: Duration = Duration::from_millis(100);
 /// Datagrams lost, in a hundred.
-const LOSSES: u32 = 5;
+const LOSS_PERCENT: u32 = 5;
 
 /// How often a sender that is always there counts as lost within ten minutes, by a
 /// silence of `lost`.
-fn losses(beats: HeartbeatSchedule, sender: Sender, lost: Duration, seed: u64) -> u32 {
+fn count_timeouts(
+    schedule: HeartbeatSchedule,
+    sender: Sender,
+    timeout: Duration,
+    seed: u64,
+) -> u32 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (mut now, mut heard, mut count) = (Duration::ZERO, Duration::ZERO, 0);
-    let mut dropped = 0;
+    let (mut now, mut last_heartbeat, mut count) = (Duration::ZERO, Duration::ZERO, 0);
+    let mut consecutive_losses = 0;
     while now < Duration::from_secs(600) {
-        now += beats.interval(sender) + AWAY.mul_f64(rng.random());
+        now += schedule.interval(sender) + MAX_SUSPENSION.mul_f64(rng.random());
         // Two in a row may be lost, a third one is another matter: about one in
         // eight thousand.
-        if dropped < 2 && rng.random_ratio(LOSSES, 100) {
-            dropped += 1;
+        if consecutive_losses < 2 && rng.random_ratio(LOSS_PERCENT, 100) {
+            consecutive_losses += 1;
             continue;
         }
-        dropped = 0;
-        count += u32::from(now - heard > lost);
-        heard = now;
+        consecutive_losses = 0;
+        count += u32::from(now - last_heartbeat > timeout);
+        last_heartbeat = now;
     }
     count
 }
@@ -42,18 +47,21 @@
 /// the time going by how often a sender is heard, nobody is lost at any size.
 #[test]
 fn who_is_there_is_not_lost_at_any_size() {
-    let fixed = losses(
+    let with_fixed_timeout = count_timeouts(
         HeartbeatSchedule::for_instances(39),
         Sender::OtherDomain,
         HEARTBEAT_TIMEOUT,
         1,
     );
-    assert!(fixed > 200, "the pattern is gone: {fixed}");
+    assert!(
+        with_fixed_timeout > 200,
+        "the fault does not occur: {with_fixed_timeout}"
+    );
     for size in SIZES {
-        let beats = HeartbeatSchedule::for_instances(size);
+        let schedule = HeartbeatSchedule::for_instances(size);
         for (sender, seed) in SENDERS.into_iter().zip(1..) {
-            let lost = losses(beats, sender, beats.timeout(sender), seed);
-            assert_eq!(lost, 0, "{sender:?} among {size}");
+            let timeouts = count_timeouts(schedule, sender, schedule.timeout(sender), seed);
+            assert_eq!(timeouts, 0, "{sender:?} among {size}");
         }
     }
 }
@@ -63,10 +71,10 @@
 #[test]
 fn a_lost_planner_is_noticed_at_any_size() {
     for size in SIZES {
-        let beats = HeartbeatSchedule::for_instances(size);
-        assert_eq!(beats.timeout(Sender::Planner), HEARTBEAT_TIMEOUT);
+        let schedule = HeartbeatSchedule::for_instances(size);
+        assert_eq!(schedule.timeout(Sender::Planner), HEARTBEAT_TIMEOUT);
         assert!(
-            beats.interval(Sender::Planner) * 3 < HEARTBEAT_TIMEOUT,
+            schedule.interval(Sender::Planner) * 3 < HEARTBEAT_TIMEOUT,
             "among {size}"
         );
     }
--- a/crates/core/tests/leadership.rs
+++ b/crates/core/tests/leadership.rs
@@ -12,20 +12,20 @@
     Time::ZERO + Duration::from_millis(millis)
 }
 
-/// Guards against a start of all in which each instance that has not heard the new planner
+/// Guards against a start of all in which each instance that has not last_heartbeat the new planner
 /// takes its leadership over, one after the other.
 #[test]
 fn a_claim_is_a_sign_of_life() {
     let mut instances: Vec<HolderLiveness> = (0..985).map(|_| HolderLiveness::new(at(0))).collect();
-    // Claimed 1.6 s after the start, and heard by the last of them 1.2 s later.
-    let lost = |silence: &mut HolderLiveness, millis: u64| {
-        silence.record_claim(230, at(millis));
-        silence.is_lost(None, at(millis))
+    // Claimed 1.6 s after the start, and last_heartbeat by the last of them 1.2 s later.
+    let is_lost = |liveness: &mut HolderLiveness, millis: u64| {
+        liveness.record_claim(230, at(millis));
+        liveness.is_lost(None, at(millis))
     };
     for millis in (1_600..2_800).step_by(200) {
         let claims = instances
             .iter_mut()
-            .filter_map(|silence| lost(silence, millis).then_some(()));
+            .filter_map(|liveness| is_lost(liveness, millis).then_some(()));
         assert_eq!(claims.count(), 0, "at {millis} ms");
     }
 }
@@ -33,13 +33,13 @@
 /// A holder that is gone for good is replaced as soon as its silence tells.
 #[test]
 fn a_holder_that_falls_silent_is_lost_in_time() {
-    let mut silence = HolderLiveness::new(at(0));
-    silence.record_claim(7, at(100));
-    let heard = at(5_000);
-    assert!(!silence.is_lost(Some(heard), heard + HEARTBEAT_TIMEOUT));
-    assert!(silence.is_lost(
-        Some(heard),
-        heard + HEARTBEAT_TIMEOUT + Duration::from_millis(1)
+    let mut liveness = HolderLiveness::new(at(0));
+    liveness.record_claim(7, at(100));
+    let last_heartbeat = at(5_000);
+    assert!(!liveness.is_lost(Some(last_heartbeat), last_heartbeat + HEARTBEAT_TIMEOUT));
+    assert!(liveness.is_lost(
+        Some(last_heartbeat),
+        last_heartbeat + HEARTBEAT_TIMEOUT + Duration::from_millis(1)
     ));
 }
 
--- a/crates/core/tests/route_map.rs
+++ b/crates/core/tests/route_map.rs
@@ -109,7 +109,7 @@
 }
 
 /// All that a map says, as text.
-fn say(map: &RouteMap) -> String {
+fn render(map: &RouteMap) -> String {
     let mut lines = vec![map.revision.to_string()];
     for service in map.services() {
         for number in 0..1_u64 << BITS {
@@ -138,7 +138,7 @@
         for (row, write) in changes {
             let key = apply(&mut table, &row, write);
             map = map.with_changes(&table, &[key]);
-            prop_assert_eq!(say(&map), say(&RouteMap::build(&table)));
+            prop_assert_eq!(render(&map), render(&RouteMap::build(&table)));
         }
     }
 }
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -7,7 +7,7 @@
     std::time::Duration,
 };
 
-fn rule(prefix: &str) -> RouteRule {
+fn route(prefix: &str) -> RouteRule {
     RouteRule {
         name: prefix.to_string(),
         prefix: prefix.to_string(),
@@ -27,8 +27,8 @@
         header_timeout: Duration::from_secs(1),
         idle_timeout: Duration::from_secs(1),
     };
-    let rules = hosts.iter().map(|host| (host.to_string(), rule("/a/")));
-    RouteConfig::new(ConfigVersion(1), limits, rules, [])
+    let routes = hosts.iter().map(|host| (host.to_string(), route("/a/")));
+    RouteConfig::new(ConfigVersion(1), limits, routes, [])
 }
 
 /// Guards against a request without a route as its caller, or the operators, write the
--- a/crates/core/tests/slo.rs
+++ b/crates/core/tests/slo.rs
@@ -95,9 +95,9 @@
 }
 
 /// A record of 1000 requests a minute.
-fn record(spans: &[Span]) -> TallySeries {
+fn series(spans: &[Span]) -> TallySeries {
     let name: ServiceName = "kegs".parse().unwrap();
-    let mut record = TallySeries::default();
+    let mut series = TallySeries::default();
     for (from, to, bad) in spans {
         for back in *from..*to {
             let tally = Tally {
@@ -105,10 +105,10 @@
                 failed: *bad,
                 ..Tally::default()
             };
-            record.add(Minute(NOW.0 - back), &name, &tally);
+            series.add(Minute(NOW.0 - back), &name, &tally);
         }
     }
-    record
+    series
 }
 
 #[test]
@@ -122,7 +122,7 @@
         ("smouldering", &[(0, 360, 7)]),
     ];
     let lines = cases.map(|(case, spans)| {
-        let report = ServiceReport::new(&record(spans), &service(), &BTreeMap::new(), NOW);
+        let report = ServiceReport::new(&series(spans), &service(), &BTreeMap::new(), NOW);
         let burns = report.failure_burn;
         format!(
             "{case}: 5m {:.1} 1h {:.1} 30m {:.1} 6h {:.1} {:?}, {} requests",
@@ -143,21 +143,21 @@
 #[test]
 fn instances_are_put_together_without_counting_a_move_twice() {
     let name: ServiceName = "kegs".parse().unwrap();
-    let one = |closed| {
+    let observer = |unreachable_seconds| {
         let tally = Tally {
             requests: 10,
-            unreachable: Duration::from_secs(closed),
+            unreachable: Duration::from_secs(unreachable_seconds),
             observed: Duration::from_secs(60),
             shards_moved: 3,
             ..Tally::default()
         };
-        let mut record = TallySeries::default();
-        record.add(NOW, &name, &tally);
-        record
+        let mut series = TallySeries::default();
+        series.add(NOW, &name, &tally);
+        series
     };
     let mut merged = TallySeries::default();
-    merged.merge(&one(0));
-    merged.merge(&one(30));
+    merged.merge(&observer(0));
+    merged.merge(&observer(30));
     let report = ServiceReport::new(&merged, &service(), &BTreeMap::new(), NOW);
     assert_eq!((report.requests, report.churn), (20, 3));
     assert_eq!(report.unavailable, Duration::from_secs(15));
@@ -165,9 +165,9 @@
 
 #[test]
 fn a_record_forgets_what_is_too_old() {
-    let mut record = record(&[(0, 10, 0)]);
-    record.drop_before(Minute(NOW.0 - 4));
-    assert_eq!(record.entries().count(), 5);
+    let mut series = series(&[(0, 10, 0)]);
+    series.drop_before(Minute(NOW.0 - 4));
+    assert_eq!(series.entries().count(), 5);
 }
 
 /// A shard counts as closed while it is released, and so do those that the
@@ -176,26 +176,27 @@
 #[test]
 fn shards_are_closed_while_moving_and_without_leave() {
     let second = Duration::from_secs(1);
-    let read = Time::from_micros(0) + second;
+    let read_time = Time::from_micros(0) + second;
     let confirmation = RoutingLease {
-        any_domain_until: read + second,
-        read_started: read,
-        own_domain_until: read + 100 * second,
+        any_domain_until: read_time + second,
+        read_started: read_time,
+        own_domain_until: read_time + 100 * second,
     };
     let cases = [("at rest", false), ("one released", true)];
     let mut lines = Vec::new();
     for (case, releasing) in cases {
         let map = Arc::new(map([1, 1, 1, 2], releasing));
         let domain: citron_core::id::DomainName = "harbour".parse().unwrap();
-        let reach = Reachability::new(&map, &domain);
+        let reachability = Reachability::new(&map, &domain);
         let snapshot = Snapshot {
             map,
             confirmation,
             domain,
         };
         for seconds in [0, 2, 11] {
-            let closed = reach.unreachable_shares(&snapshot, read + seconds * second);
-            let share = closed.values().next().unwrap();
+            let unreachable =
+                reachability.unreachable_shares(&snapshot, read_time + seconds * second);
+            let share = unreachable.values().next().unwrap();
             lines.push(format!("{case}, {seconds} s after the read: {share}"));
         }
     }
--- a/crates/core/tests/stale_reports/main.rs
+++ b/crates/core/tests/stale_reports/main.rs
@@ -7,7 +7,7 @@
 
 use {
     citron_core::dispatch::sample_size,
-    simulation::{Figures, Shape, World},
+    simulation::{Figures, Shape, Simulation},
     std::time::Duration,
 };
 
@@ -17,16 +17,16 @@
     instances: 28,
     servers: 19,
     slots: 4,
-    run: Duration::from_millis(300),
-    report: Duration::from_millis(400),
+    run_time: Duration::from_millis(300),
+    report_interval: Duration::from_millis(400),
     demand: 0.7,
     sample_size: 0,
-    paced: true,
-    keeps: true,
-    keyed: false,
+    is_rate_limited: true,
+    keeps_connections: true,
+    is_sharded: false,
     objective: Duration::from_millis(1_000),
-    shed: 0.0,
-    tells: false,
+    shed_ratio: 0.0,
+    reports_room: false,
 };
 
 /// Nine instances before six servers, with ten reports a second.
@@ -34,34 +34,34 @@
     domains: 3,
     instances: 3,
     servers: 2,
-    report: Duration::from_millis(100),
+    report_interval: Duration::from_millis(100),
     ..LARGE
 };
 
 /// 75 instances in five domains before 155 servers that own keys: each instance
 /// hears of a fifth of the requests at a server.
-const KEYED: Shape = Shape {
+const SHARDED: Shape = Shape {
     domains: 5,
     instances: 15,
     servers: 31,
     slots: 3,
-    run: Duration::from_millis(190),
-    report: Duration::from_millis(200),
-    paced: false,
-    keyed: true,
+    run_time: Duration::from_millis(190),
+    report_interval: Duration::from_millis(200),
+    is_rate_limited: false,
+    is_sharded: true,
     objective: Duration::from_millis(600),
     ..LARGE
 };
 
-fn played(shape: Shape) -> Figures {
+fn simulate(shape: Shape) -> Figures {
     let shape = Shape {
         sample_size: match shape.sample_size {
-            0 => sample_size(shape.report),
+            0 => sample_size(shape.report_interval),
             set => set,
         },
         ..shape
     };
-    World::new(shape, 7).play(Duration::from_secs(40))
+    Simulation::new(shape, 7).run_for(Duration::from_secs(40))
 }
 
 /// Callers ask for 0.7 of what the servers can run, and a tenth of them waits
@@ -71,16 +71,19 @@
 #[test]
 fn old_reports_do_not_make_all_instances_choose_the_same_server() {
     let closing = Shape {
-        keeps: false,
+        keeps_connections: false,
         ..LARGE
     };
-    let all = played(Shape {
+    let compare_all = simulate(Shape {
         sample_size: usize::MAX,
         ..closing
     });
-    let few = played(closing);
-    assert!(all.served() < 0.95, "the pattern is gone: {all}");
-    assert!(few.served() > 0.98, "{few}");
+    let compare_sample = simulate(closing);
+    assert!(
+        compare_all.served() < 0.95,
+        "the fault does not occur: {compare_all}"
+    );
+    assert!(compare_sample.served() > 0.98, "{compare_sample}");
 }
 
 /// Callers ask for 1.3 times what the servers can run. Every instance sees room
@@ -89,16 +92,19 @@
 #[test]
 fn demand_beyond_capacity_is_refused_and_the_rest_is_in_time() {
     let demand = 1.3;
-    let unpaced = played(Shape {
+    let unlimited = simulate(Shape {
         demand,
-        paced: false,
+        is_rate_limited: false,
         ..LARGE
     });
-    assert!(unpaced.served() < 0.55, "the pattern is gone: {unpaced}");
+    assert!(
+        unlimited.served() < 0.55,
+        "the fault does not occur: {unlimited}"
+    );
     for shape in [LARGE, SMALL] {
-        let paced = played(Shape { demand, ..shape });
-        assert!(paced.served() > 0.65, "{paced}");
-        assert!(paced.late() < 0.1, "{paced}");
+        let limited = simulate(Shape { demand, ..shape });
+        assert!(limited.served() > 0.65, "{limited}");
+        assert!(limited.late() < 0.1, "{limited}");
     }
 }
 
@@ -106,7 +112,7 @@
 #[test]
 fn the_limit_refuses_next_to_nothing_below_capacity() {
     for shape in [LARGE, SMALL] {
-        let figures = played(shape);
+        let figures = simulate(shape);
         assert!(figures.refused() < 0.01, "{figures}");
     }
 }
@@ -116,9 +122,9 @@
 /// in two seconds. A kept connection decides between servers that are as good.
 #[test]
 fn kept_connections_are_used_where_the_service_has_room() {
-    let large = played(LARGE);
+    let large = simulate(LARGE);
     assert!(large.connections() < 0.15, "{large}");
-    let small = played(SMALL);
+    let small = simulate(SMALL);
     assert!(small.connections() < 0.15, "{small}");
 }
 
@@ -128,9 +134,9 @@
 /// not heard of count by their mean.
 #[test]
 fn one_request_at_an_owner_does_not_make_it_full() {
-    let figures = played(Shape {
+    let figures = simulate(Shape {
         demand: 0.55,
-        ..KEYED
+        ..SHARDED
     });
     assert!(figures.refused() < 0.03, "{figures}");
     assert!(figures.served() > 0.95, "{figures}");
@@ -143,16 +149,19 @@
 fn servers_that_shed_at_random_go_on_getting_requests() {
     let shedding = Shape {
         demand: 0.6,
-        shed: 0.55,
+        shed_ratio: 0.55,
         ..LARGE
     };
-    let untold = played(shedding);
-    let told = played(Shape {
-        tells: true,
+    let without_room = simulate(shedding);
+    let with_room = simulate(Shape {
+        reports_room: true,
         ..shedding
     });
-    assert!(untold.served() < 0.3, "the pattern is gone: {untold}");
+    assert!(
+        without_room.served() < 0.3,
+        "the fault does not occur: {without_room}"
+    );
     // All that servers do not refuse at random.
-    assert!(told.served() > 0.43, "{told}");
-    assert!(told.refused() < 0.02, "{told}");
+    assert!(with_room.served() > 0.43, "{with_room}");
+    assert!(with_room.refused() < 0.02, "{with_room}");
 }
--- a/crates/core/tests/stale_reports/simulation.rs
+++ b/crates/core/tests/stale_reports/simulation.rs
@@ -21,15 +21,15 @@
 };
 
 /// One way between an instance and a server.
-const WAY: Duration = Duration::from_millis(1);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 /// Requests that wait at a server beyond its slots.
-const QUEUE: usize = 16;
+const MAX_QUEUE_LENGTH: usize = 16;
 /// How long a connection may have been quiet for a request that may run once.
-const IDLE: Duration = Duration::from_millis(1_500);
+const MAX_IDLE: Duration = Duration::from_millis(1_500);
 /// Callers wait for so long.
 const DEADLINE: Duration = Duration::from_millis(4_000);
 /// Time until instances have measured servers.
-const WARM: Duration = Duration::from_secs(10);
+const WARM_UP: Duration = Duration::from_secs(10);
 
 /// Sizes of a deployment, and its load.
 #[derive(Debug, Clone, Copy)]
@@ -41,36 +41,36 @@
     pub servers: usize,
     pub slots: u32,
     /// Mean run time.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Time between two reports of an instance.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// Demand over what the servers can run.
     pub demand: f64,
     /// Servers that an instance compares.
     pub sample_size: usize,
     /// Whether instances limit themselves.
-    pub paced: bool,
+    pub is_rate_limited: bool,
     /// Whether connections are kept.
-    pub keeps: bool,
+    pub keeps_connections: bool,
     /// Whether a request goes to the owner of its key, drawn for each, and what
     /// becomes of the others is not known.
-    pub keyed: bool,
+    pub is_sharded: bool,
     /// The latency objective.
     pub objective: Duration,
     /// Part of the requests that servers refuse at random.
-    pub shed: f64,
+    pub shed_ratio: f64,
     /// Whether servers tell their load with that.
-    pub tells: bool,
+    pub reports_room: bool,
 }
 
 /// What became of the requests.
 #[derive(Debug, Default)]
 pub struct Figures {
-    pub asked: u32,
+    pub requests: u32,
     pub in_time: u32,
     pub late: u32,
     /// Refused by a server whose queue was full.
-    pub overflown: u32,
+    pub queue_full: u32,
     /// Refused without having been sent.
     pub refused: u32,
     /// Connections made.
@@ -78,54 +78,55 @@
 }
 
 impl Figures {
-    fn part(&self, count: u32) -> f64 {
-        f64::from(count) / f64::from(self.asked)
+    fn share(&self, count: u32) -> f64 {
+        f64::from(count) / f64::from(self.requests)
     }
 
     /// Part of the requests that ended within the objective.
     pub fn served(&self) -> f64 {
-        self.part(self.in_time)
+        self.share(self.in_time)
     }
 
     /// Part of them that ended later.
     pub fn late(&self) -> f64 {
-        self.part(self.late)
+        self.share(self.late)
     }
 
     /// Connections for each of them.
     pub fn connections(&self) -> f64 {
-        self.part(self.connections)
+        self.share(self.connections)
     }
 
     /// Part of them that was refused at once.
     pub fn refused(&self) -> f64 {
-        self.part(self.refused)
+        self.share(self.refused)
     }
 }
 
 impl fmt::Display for Figures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let parts = [
+        let counts = [
             self.in_time,
             self.late,
-            self.overflown,
+            self.queue_full,
             self.refused,
             self.connections,
         ];
-        let [in_time, late, overflown, refused, connections] = parts.map(|count| self.part(count));
+        let [in_time, late, queue_full, refused, connections] =
+            counts.map(|count| self.share(count));
         write!(
             f,
-            "in time {in_time:.3}, late {late:.3}, overflown {overflown:.3}, refused {refused:.3}, connections {connections:.3}"
+            "in time {in_time:.3}, late {late:.3}, queue full {queue_full:.3}, refused {refused:.3}, connections {connections:.3}"
         )
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive(usize),
-    Reach(usize),
-    Ran(usize),
-    Answered(usize),
+    Arrival(usize),
+    AtServer(usize),
+    Completed(usize),
+    Response(usize),
     Report(usize),
 }
 
@@ -137,13 +138,13 @@
     share: f64,
     refused: bool,
     /// Whether the server said that it had room when it refused.
-    room: bool,
+    has_room: bool,
 }
 
 struct Instance {
     name: InstanceId,
     domain: usize,
-    book: LoadTracker,
+    loads: LoadTracker,
     /// When the free connections to each server were last used.
     idle: Vec<Vec<Time>>,
     pace: ConcurrencyLimit,
@@ -157,56 +158,56 @@
     waiting: VecDeque<usize>,
 }
 
-pub struct World {
+pub struct Simulation {
     shape: Shape,
     now: Time,
     rng: ChaCha8Rng,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    order: u64,
+    sequence: u64,
     instances: Vec<Instance>,
     servers: Vec<Server>,
     requests: Vec<Request>,
     figures: Figures,
 }
 
-impl World {
+impl Simulation {
     pub fn new(shape: Shape, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let instances = (0..shape.domains * shape.instances).map(|number| Instance {
             name: format!("n-{number}").parse().unwrap(),
             domain: number % shape.domains,
-            book: LoadTracker::default(),
+            loads: LoadTracker::default(),
             idle: vec![Vec::new(); shape.domains * shape.servers],
             pace: ConcurrencyLimit::default(),
         });
         let servers = (0..shape.domains * shape.servers).map(|number| Server {
-            known: known(number, number % shape.domains, shape.slots),
+            known: known_server(number, number % shape.domains, shape.slots),
             domain: number % shape.domains,
             speed: rng.random_range(0.7..1.4),
             running: 0,
             waiting: VecDeque::new(),
         });
         let servers = servers.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             shape,
             now: Time::ZERO,
             rng,
             events: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             instances: instances.collect(),
             servers,
             requests: Vec::new(),
             figures: Figures::default(),
         };
-        for instance in 0..world.instances.len() {
-            let first = shape.report.mul_f64(world.rng.random());
-            world.after(first, Event::Report(instance));
-            world.next_arrival(instance);
+        for instance in 0..simulation.instances.len() {
+            let first = shape.report_interval.mul_f64(simulation.rng.random());
+            simulation.schedule(first, Event::Report(instance));
+            simulation.next_arrival(instance);
         }
-        world
+        simulation
     }
 
-    pub fn play(mut self, span: Duration) -> Figures {
+    pub fn run_for(mut self, span: Duration) -> Figures {
         let end = Time::ZERO + span;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
@@ -214,20 +215,20 @@
             }
             self.now = at;
             match event {
-                Event::Arrive(instance) => self.arrive(instance),
-                Event::Reach(request) => self.reach(request),
-                Event::Ran(request) => self.ran(request),
-                Event::Answered(request) => self.answered(request),
+                Event::Arrival(instance) => self.arrive(instance),
+                Event::AtServer(request) => self.receive_request(request),
+                Event::Completed(request) => self.complete(request),
+                Event::Response(request) => self.receive_response(request),
                 Event::Report(instance) => self.report(instance),
             }
         }
         self.figures
     }
 
-    fn after(&mut self, span: Duration, event: Event) {
-        self.order += 1;
+    fn schedule(&mut self, span: Duration, event: Event) {
+        self.sequence += 1;
         self.events
-            .push(Reverse((self.now + span, self.order, event)));
+            .push(Reverse((self.now + span, self.sequence, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> Duration {
@@ -237,13 +238,13 @@
     fn next_arrival(&mut self, instance: usize) {
         let shape = &self.shape;
         let slots = shape.servers as f64 * f64::from(shape.slots);
-        let rate = shape.demand * slots / shape.run.as_secs_f64() / shape.instances as f64;
+        let rate = shape.demand * slots / shape.run_time.as_secs_f64() / shape.instances as f64;
         let span = self.exponential(1.0 / rate);
-        self.after(span, Event::Arrive(instance));
+        self.schedule(span, Event::Arrival(instance));
     }
 
-    fn counts(&self) -> bool {
-        self.now > Time::ZERO + WARM
+    fn is_measured(&self) -> bool {
+        self.now > Time::ZERO + WARM_UP
     }
 
     fn arrive(&mut self, instance: usize) {
@@ -251,19 +252,19 @@
         let (shape, now) = (self.shape, self.now);
         let from = &self.instances[instance];
         let owner = shape
-            .keyed
+            .is_sharded
             .then(|| self.rng.random_range(0..self.servers.len()));
-        let fresh = |used: &Time| now - *used < IDLE;
+        let is_fresh = |used: &Time| now - *used < MAX_IDLE;
         let candidates = self
             .servers
             .iter()
             .enumerate()
-            .filter(|(at, _)| owner.is_none_or(|owner| owner == *at))
-            .map(|(at, server)| Candidate {
+            .filter(|(index, _)| owner.is_none_or(|owner| owner == *index))
+            .map(|(index, server)| Candidate {
                 server: &server.known,
-                has_connection: from.idle[at].iter().any(fresh),
+                has_connection: from.idle[index].iter().any(is_fresh),
                 same_domain: server.domain == from.domain,
-                load_factor: match server.domain == from.domain && !shape.keyed {
+                load_factor: match server.domain == from.domain && !shape.is_sharded {
                     true => 1.0,
                     false => shape.domains as f64,
                 },
@@ -274,15 +275,15 @@
             sample_size: shape.sample_size,
         };
         let rng = &mut self.rng;
-        let counts = now > Time::ZERO + WARM;
-        self.figures.asked += u32::from(counts);
-        if shape.paced && !from.pace.admits(rng.random()) {
-            self.figures.refused += u32::from(counts);
+        let is_measured = now > Time::ZERO + WARM_UP;
+        self.figures.requests += u32::from(is_measured);
+        if shape.is_rate_limited && !from.pace.admits(rng.random()) {
+            self.figures.refused += u32::from(is_measured);
             return;
         }
-        let choice = select_server(&from.book, candidates, limits, now, || rng.random());
+        let choice = select_server(&from.loads, candidates, limits, now, || rng.random());
         let Decision::Send(name) = choice else {
-            self.figures.refused += u32::from(counts);
+            self.figures.refused += u32::from(is_measured);
             return;
         };
         let server = self
@@ -291,12 +292,12 @@
             .position(|server| server.known.entry.name == name)
             .unwrap();
         let from = &mut self.instances[instance];
-        let share = run_share(from.book.get(&name).in_flight(), Slots(shape.slots));
-        from.book.begin(&name, now);
+        let share = run_share(from.loads.get(&name).in_flight(), Slots(shape.slots));
+        from.loads.begin(&name, now);
         let idle = &mut from.idle[server];
-        idle.retain(fresh);
+        idle.retain(is_fresh);
         let connects = idle.pop().is_none();
-        self.figures.connections += u32::from(counts && connects);
+        self.figures.connections += u32::from(is_measured && connects);
         from.pace.begin();
         self.requests.push(Request {
             instance,
@@ -305,40 +306,40 @@
             sent: now,
             share,
             refused: false,
-            room: false,
+            has_room: false,
         });
-        self.after(WAY, Event::Reach(self.requests.len() - 1));
+        self.schedule(ONE_WAY_DELAY, Event::AtServer(self.requests.len() - 1));
     }
 
-    fn reach(&mut self, request: usize) {
-        let sheds = self.rng.random_bool(self.shape.shed);
+    fn receive_request(&mut self, request: usize) {
+        let is_shed = self.rng.random_bool(self.shape.shed_ratio);
         let server = &mut self.servers[self.requests[request].server];
-        if sheds {
+        if is_shed {
             let slots = server.known.entry.slots.0 as usize;
             self.requests[request].refused = true;
-            self.requests[request].room = self.shape.tells && server.running < slots;
-            self.after(WAY, Event::Answered(request));
+            self.requests[request].has_room = self.shape.reports_room && server.running < slots;
+            self.schedule(ONE_WAY_DELAY, Event::Response(request));
         } else if server.running < server.known.entry.slots.0 as usize {
             server.running += 1;
             self.run(request);
-        } else if server.waiting.len() < QUEUE {
+        } else if server.waiting.len() < MAX_QUEUE_LENGTH {
             server.waiting.push_back(request);
         } else {
             self.requests[request].refused = true;
-            self.after(WAY, Event::Answered(request));
+            self.schedule(ONE_WAY_DELAY, Event::Response(request));
         }
     }
 
     fn run(&mut self, request: usize) {
         let speed = self.servers[self.requests[request].server].speed;
         // Half of the run time is the same for all requests.
-        let mean = self.shape.run.as_secs_f64() / speed / 2.0;
+        let mean = self.shape.run_time.as_secs_f64() / speed / 2.0;
         let span = Duration::from_secs_f64(mean) + self.exponential(mean);
-        self.after(span, Event::Ran(request));
+        self.schedule(span, Event::Completed(request));
     }
 
-    fn ran(&mut self, request: usize) {
-        self.after(WAY, Event::Answered(request));
+    fn complete(&mut self, request: usize) {
+        self.schedule(ONE_WAY_DELAY, Event::Response(request));
         let server = &mut self.servers[self.requests[request].server];
         match server.waiting.pop_front() {
             Some(next) => self.run(next),
@@ -346,19 +347,19 @@
         }
     }
 
-    fn answered(&mut self, request: usize) {
+    fn receive_response(&mut self, request: usize) {
         let now = self.now;
-        let counts = self.counts();
+        let is_measured = self.is_measured();
         let request = &self.requests[request];
         let name = &self.servers[request.server].known.entry.name;
-        let finish = match (request.refused, request.room) {
+        let finish = match (request.refused, request.has_room) {
             (true, true) => AttemptOutcome::Shed,
             (true, false) => AttemptOutcome::Full,
             (false, _) => AttemptOutcome::Ran,
         };
         let instance = &mut self.instances[request.instance];
         let span = now - request.sent;
-        if self.shape.keeps {
+        if self.shape.keeps_connections {
             instance.idle[request.server].push(now);
         }
         instance.pace.end(
@@ -368,35 +369,35 @@
                 (_, false) => Timeliness::OnTime,
             },
         );
-        instance.book.end(name, finish, span, request.share, now);
-        if !counts {
+        instance.loads.end(name, finish, span, request.share, now);
+        if !is_measured {
             return;
         }
-        let late = now - request.begun > self.shape.objective;
-        match (request.refused, late) {
-            (true, _) => self.figures.overflown += 1,
+        let is_late = now - request.begun > self.shape.objective;
+        match (request.refused, is_late) {
+            (true, _) => self.figures.queue_full += 1,
             (false, true) => self.figures.late += 1,
             (false, false) => self.figures.in_time += 1,
         }
     }
 
     fn report(&mut self, instance: usize) {
-        self.after(self.shape.report, Event::Report(instance));
+        self.schedule(self.shape.report_interval, Event::Report(instance));
         let now = self.now;
         let (name, domain) = {
             let from = &self.instances[instance];
             (from.name.clone(), from.domain)
         };
-        let loads = self.instances[instance].book.local_loads(now);
+        let loads = self.instances[instance].loads.local_loads(now);
         for (number, to) in self.instances.iter_mut().enumerate() {
             if number != instance && to.domain == domain {
-                to.book.apply_report(name.clone(), loads.clone(), now);
+                to.loads.apply_report(name.clone(), loads.clone(), now);
             }
         }
     }
 }
 
-fn known(number: usize, domain: usize, slots: u32) -> ServerRecord {
+fn known_server(number: usize, domain: usize, slots: u32) -> ServerRecord {
     ServerRecord {
         entry: ServerEntry {
             name: format!("s-{number}").parse().unwrap(),
