--- a/crates/core/tests/edit.rs
+++ b/crates/core/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Operators' edits: the rules, and what a plan commits.
+//! Validation of operators' edits, and the commits that they produce.
 
 use {
     citron_core::{
@@ -277,9 +277,9 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// The operator edits a row that somebody else has changed since it was read.
-/// Taking the edit would undo that change unseen, so it is refused, with the row
-/// as it is now, and so is every other row of the same edit.
+/// Guards against a lost update: an operator edits a row that somebody else has changed since
+/// it was read, and the edit would silently revert that change. The whole edit is rejected,
+/// and the error contains the current row.
 #[test]
 fn an_edit_of_an_older_version_is_lost_as_a_whole() {
     let mut table = deployment();
@@ -325,13 +325,13 @@
     assert_eq!(
         history.changes.len(),
         4,
-        "the system's rows are no edit of the operator"
+        "the history contains only the operator's rows, not the system's"
     );
 }
 
-/// A service and its servers are deleted in one edit and set up anew under the
-/// same name. An epoch used twice would let a backend server that still holds
-/// the old grant run requests of a shard it no longer owns.
+/// Guards against reuse of an epoch when a service and its servers are deleted in one edit and
+/// created again under the same name. With a reused epoch, a backend server that still has the
+/// old grant would run requests for a shard that it no longer owns.
 #[test]
 fn a_deleted_service_takes_its_blocks_and_epochs_are_not_used_again() {
     let mut table = deployment();
@@ -356,10 +356,10 @@
     blocks.flatten().collect()
 }
 
-/// Two operators drain one server each, at once, through different instances;
-/// these two are the last of their service. Each edit is valid by itself. The
-/// check on the other server's row makes the later commit fail, so that it is
-/// planned anew and refused.
+/// Guards against two edits that are each valid but together violate a rule: two operators
+/// concurrently drain the last two servers of a service through different instances. The
+/// precondition on the other server's row makes the later commit fail, so that it is planned
+/// again and rejected.
 #[test]
 fn edits_that_are_valid_only_alone_check_each_other() {
     let mut table = deployment();
@@ -384,8 +384,8 @@
     assert!(plan(&table, drain(&table, 2)).is_err());
 }
 
-/// A shard is on its way to a server that owns nothing yet; an operator deletes
-/// that server. The shard would end with an owner that does not exist.
+/// Guards against a shard whose owner does not exist: an operator deletes a server that owns
+/// nothing yet while a shard is moving to it.
 #[test]
 fn a_server_that_shards_are_moving_to_is_not_deleted() {
     let mut table = deployment();
@@ -438,9 +438,10 @@
     }
 }
 
-/// A move to an idle server is decided and its process is paused; an operator
-/// deletes that server; the process goes on. Without the check the shard would
-/// get an owner that does not exist, and nobody could reach its keys.
+/// Guards against a shard whose owner does not exist: a planner decides on a move to an idle
+/// server and is suspended, an operator deletes that server, and the planner resumes. Without
+/// the precondition on the server's row the commit would succeed, and the keys would be
+/// unreachable.
 #[test]
 fn a_late_move_to_a_deleted_server_is_lost() {
     let mut table = deployment();
@@ -458,6 +459,6 @@
     assert_eq!(
         version,
         Some(write.expect),
-        "the block alone would let it pass"
+        "the block's version alone would not prevent the commit"
     );
 }
--- a/crates/core/tests/fetches.rs
+++ b/crates/core/tests/fetches.rs
@@ -1,4 +1,4 @@
-//! Fetches of tables over a narrow link, in virtual time.
+//! Fetches of tables over a slow link, in virtual time.
 
 use {
     citron_core::{
@@ -8,11 +8,11 @@
     std::time::Duration,
 };
 
-/// Bytes that the link carries in a millisecond, beside its callers' traffic.
+/// Bytes per millisecond that the link carries in addition to callers' traffic.
 const LINK_BYTES_PER_MS: f64 = 1_000.0;
-/// Between two heartbeats of others that tell of the newer table.
+/// Interval between heartbeats that advertise the newer table, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 25;
-/// The longest time that is played.
+/// Longest simulated time, in milliseconds.
 const MAX_DURATION_MS: u64 = 30_000;
 
 fn at(millis: u64) -> Time {
@@ -22,7 +22,7 @@
 /// An instance whose table is older than that of all others.
 struct Instance {
     fetches: Fetches<1>,
-    /// Fetches under way, and the bytes that are to come.
+    /// Fetches in progress, with the bytes still to arrive.
     open: Vec<(Fetch, f64)>,
     begun: usize,
 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The link is shared evenly by those whose source sends.
+    /// Receives for one millisecond. The fetches whose source is sending share the link evenly.
     fn receive(&mut self, now: Time, is_sending: impl Fn(usize, f64) -> bool) {
         let check = |(index, (_, remaining)): (usize, &(Fetch, f64))| is_sending(index, *remaining);
         let sending: Vec<bool> = self.open.iter().enumerate().map(check).collect();
@@ -72,7 +72,7 @@
     }
 }
 
-/// After how long a table of so many bytes has come, if it comes at all.
+/// The time until a table of `bytes` has arrived; `None` if it does not arrive.
 fn arrival(bytes: f64, is_sending: impl Fn(usize, f64) -> bool) -> Option<Duration> {
     let mut instance = Instance::new();
     for millis in 0..MAX_DURATION_MS {
@@ -89,7 +89,8 @@
     None
 }
 
-/// Guards against fetches that take the link from one another and are begun anew for ever.
+/// Guards against concurrent fetches that slow each other down on the link until each is
+/// aborted and restarted, without end.
 #[test]
 fn a_table_that_fills_a_narrow_link_for_long_arrives() {
     for millis in [50, 200, 400, 900, 2_000, 5_000] {
@@ -100,14 +101,14 @@
     }
 }
 
-/// Guards against a wait for an instance that has ended.
+/// Guards against waiting for an instance that has ended.
 #[test]
 fn an_instance_that_does_not_answer_holds_no_table_up() {
     let arrived = arrival(LINK_BYTES_PER_MS * 50.0, |number, _| number > 0);
     assert!(arrived.is_some_and(|arrived| arrived < Duration::from_millis(300)));
 }
 
-/// Guards against a wait for an instance that stands still in the middle of its answer.
+/// Guards against waiting for an instance that stalls in the middle of its response.
 #[test]
 fn an_instance_that_stops_in_its_answer_holds_no_table_up() {
     let (whole, half) = (LINK_BYTES_PER_MS * 100.0, LINK_BYTES_PER_MS * 50.0);
@@ -118,7 +119,7 @@
     );
 }
 
-/// Guards against a slow source that keeps an instance from all others.
+/// Guards against a slow source that keeps an instance from asking any other.
 #[test]
 fn a_source_that_drips_gives_way_to_a_good_one() {
     let mut fetches = Fetches::<1>::new(FetchTimes::STANDARD);
@@ -133,7 +134,8 @@
     assert!(!fetches.time_until_idle(first, at(1_552)).is_zero());
 }
 
-/// Guards against a question to the store about a table that is arriving already.
+/// Guards against polling the store for a table that is being received already, and against
+/// not polling it for one that is not.
 #[test]
 fn only_a_table_of_which_parts_come_is_arriving() {
     let mut fetches = Fetches::<1>::new(FetchTimes::STANDARD);
@@ -146,7 +148,7 @@
     assert!(!fetches.is_arriving(0, at(3)));
 }
 
-/// Guards against news that waits behind the fetch of another table.
+/// Guards against a fetch that is delayed by the fetch of another table.
 #[test]
 fn a_long_table_holds_no_other_one_up() {
     let mut fetches = Fetches::<2>::new(FetchTimes::STANDARD);
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,5 +1,6 @@
-//! How late news of the store may come, in virtual time: instances of several failure
-//! domains that ask and hear as the product does, while the store answers some of them.
+//! Propagation delay of changes in the store, in virtual time. Instances of several failure
+//! domains poll and exchange heartbeats as in production, while the store answers only some
+//! of them.
 
 use {
     citron_core::{
@@ -13,14 +14,14 @@
 
 const TIMES: FreshnessTimes = FreshnessTimes::STANDARD;
 const PROPAGATION: PropagationTimes = PropagationTimes::STANDARD;
-/// What the operators set: a server that leaves may get requests for so long, and a
-/// change of configuration must be in force.
+/// Bound set by the operators for a change to take effect everywhere: for so long a server
+/// that leaves may still get requests, and an old configuration may be in use.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 const INSTANCES: usize = 10;
 const DOMAINS: usize = 4;
-/// After so long a call without an answer is given up.
+/// Timeout of a call without an answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// One way between two instances, or to the store.
+/// Network delay in one direction, between instances and to the store.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 
 fn at(millis: u64) -> Time {
@@ -31,7 +32,7 @@
     fresh: Freshness<1>,
     lag: LagTimer<1>,
     version: u64,
-    /// Whether the store's answers reach it.
+    /// Whether the store's answers reach the instance.
     is_answered: bool,
     next_poll: Time,
     next_heartbeat: Time,
@@ -40,7 +41,7 @@
 }
 
 enum Event {
-    /// The store answers a call that began then.
+    /// The store's answer to a call that began at `begun`.
     Answer {
         to: usize,
         begun: Time,
@@ -52,7 +53,7 @@
         version: u64,
         age: Age,
     },
-    /// Another instance hands its table over; the call began then.
+    /// Another instance's table, in response to a call that began at `begun`.
     Table {
         to: usize,
         begun: Time,
@@ -68,7 +69,7 @@
     events: Vec<(Time, Event)>,
     rng: ChaCha8Rng,
     store_calls: u32,
-    /// Datagrams that are lost, in a hundred.
+    /// Percentage of datagrams that are lost.
     loss: u32,
     max_age: Duration,
 }
@@ -99,7 +100,8 @@
         }
     }
 
-    /// One that ran for a while, until the store answers only some of the instances.
+    /// A simulation that has run for three seconds before the store stops answering some of
+    /// the instances.
     fn with_cut_off_instances(seed: u64, loss: u32) -> Self {
         let mut simulation = Self::new(seed, loss);
         let cut_off = cut_off_instances(seed, &mut simulation.rng);
@@ -261,7 +263,7 @@
         );
     }
 
-    /// The store takes a change; how long until all instances know it.
+    /// Commits a change to the store and returns the time until all instances have it.
     fn propagate_change(&mut self) -> Duration {
         self.version += 1;
         let version = self.version;
@@ -275,9 +277,10 @@
     }
 }
 
-/// Nobody's open question tells of a change: all were swallowed. Whoever of the
-/// instances does not hear the store either, in whatever phase the others are, each
-/// one knows a change within the sum of the named spans, and that is under the bound.
+/// Guards against changes that propagate too late when no pending watch reports them, since
+/// all responses to watches are lost. Whichever instances the store does not answer, and in
+/// whatever phase the others poll, every instance gets a change within the sum of the
+/// configured intervals, which is below the operators' bound.
 #[test]
 fn a_change_is_known_everywhere_in_time_as_long_as_one_instance_hears_the_store() {
     let max_delay = PROPAGATION.max_delay(&TIMES);
@@ -291,11 +294,12 @@
         assert!(delay <= max_delay, "seed {seed}: {delay:?}");
         longest = longest.max(delay);
     }
-    // Else the sum would hold for want of a hard case.
+    // Otherwise the bound would hold only because no seed gives a hard case.
     assert!(longest > TIMES.follower_interval, "{longest:?}");
 }
 
-/// Who does not hear: all but one, the ones that ask first, the planner, or anyone.
+/// The instances that the store does not answer: all but one, those that poll first, the
+/// planner, or a random set.
 fn cut_off_instances(seed: u64, rng: &mut ChaCha8Rng) -> Vec<bool> {
     let one = rng.random_range(0..INSTANCES);
     let draw = |rng: &mut ChaCha8Rng| rng.random_bool(0.5);
@@ -308,8 +312,8 @@
     cut_off.collect()
 }
 
-/// One datagram in twenty is lost, as the one that tells of a change may be. The sum
-/// allows for one that is lost; no draw of these needs more.
+/// Guards against changes that propagate too late when heartbeats are lost, one in twenty
+/// here. The bound allows for one lost heartbeat, and none of these seeds needs more.
 #[test]
 fn lost_datagrams_are_made_up_for_in_time() {
     for seed in 0..200 {
@@ -322,8 +326,8 @@
     }
 }
 
-/// While the store answers, the planner's calls do for the whole fleet: some two a
-/// second, however many instances there are.
+/// While the store answers, the planner's polls serve all instances: about two calls per
+/// second, whatever the number of instances.
 #[test]
 fn one_instance_asks_for_all() {
     let mut simulation = Simulation::new(7, 0);
@@ -337,10 +341,10 @@
     );
 }
 
-/// An instance that did not ask the store for long, as others did, has missed nothing.
-/// A removal that it then is_answered of is a server that leaves, and not an entry that
-/// lapsed in an outage; kept for the time in which servers write themselves anew, it
-/// would get requests beyond its time.
+/// Guards against requests to a server that has left. An instance that has not polled the
+/// store for long, because others have, has not seen an outage. If it assumed one, it would
+/// take a removal for a registration that expired in the outage, and keep the server until
+/// servers have had time to register again.
 #[test]
 fn what_others_heard_is_no_outage() {
     let mut fresh = Freshness::<1>::new(TIMES);
@@ -355,7 +359,8 @@
     assert_eq!(outage.end, at(27_000));
 }
 
-/// Whoever hears the store, no instance's age reaches that of an outage.
+/// Guards against a false outage: whichever instance the store answers, no instance's table
+/// reaches the age of an outage.
 #[test]
 fn a_store_that_answers_one_instance_is_not_away() {
     for one in 0..INSTANCES {
@@ -374,8 +379,8 @@
     }
 }
 
-/// Guards against a store that is asked hundreds of times a second while it is away: each
-/// call is paid for, and its return is noticed by the first one that asks.
+/// Guards against hundreds of calls per second to an unreachable store. Each call is billed,
+/// and one instance that polls is enough to detect that the store is back.
 #[test]
 fn a_store_that_is_away_is_asked_ever_less() {
     let calls_during_outage = |span: Duration| {
@@ -392,13 +397,13 @@
     let first = calls_during_outage(Duration::from_secs(3));
     let later =
         calls_during_outage(Duration::from_secs(9)) - calls_during_outage(Duration::from_secs(6));
-    // The planner and the readers ask on, once in 350 ms and the time of a call.
+    // The planner and the readers keep polling, once in 350 ms plus the duration of a call.
     let steady = DOMAINS as u32 * 4;
     let others = INSTANCES as u32 - DOMAINS as u32;
     assert!(later <= steady + others * 2, "{first}, then {later}");
 }
 
-/// Guards against a store that is asked without end while all tables are arriving.
+/// Guards against endless calls to the store while transfers of all tables are in progress.
 #[test]
 fn the_store_is_not_due_for_tables_that_are_arriving() {
     let mut fresh = Freshness::<2>::new(TIMES);
--- a/crates/core/tests/heartbeats.rs
+++ b/crates/core/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats among 5 to 400 instances, in virtual time.
+//! Heartbeat timeouts among 5 to 400 instances, in virtual time.
 
 use {
     citron_core::freshness::{HEARTBEAT_TIMEOUT, HeartbeatSchedule, Sender},
@@ -7,16 +7,16 @@
     std::time::Duration,
 };
 
-/// Instances that hear each other, in deployments of up to 400 in five domains.
+/// Numbers of instances that exchange heartbeats, in deployments of up to 400 instances in
+/// five failure domains.
 const SIZES: [usize; 9] = [2, 5, 7, 12, 16, 28, 39, 60, 80];
 const SENDERS: [Sender; 3] = [Sender::SameDomain, Sender::OtherDomain, Sender::Planner];
-/// A small processor is taken away for so long at most.
+/// Longest time for which a small processor's quota suspends a process.
 const MAX_SUSPENSION: Duration = Duration::from_millis(100);
-/// Datagrams lost, in a hundred.
+/// Percentage of datagrams that are lost.
 const LOSS_PERCENT: u32 = 5;
 
-/// How often a sender that is always there counts as lost within ten minutes, by a
-/// silence of `lost`.
+/// How often a live sender counts as lost within ten minutes, with a given `timeout`.
 fn count_timeouts(
     schedule: HeartbeatSchedule,
     sender: Sender,
@@ -28,8 +28,8 @@
     let mut consecutive_losses = 0;
     while now < Duration::from_secs(600) {
         now += schedule.interval(sender) + MAX_SUSPENSION.mul_f64(rng.random());
-        // Two in a row may be lost, a third one is another matter: about one in
-        // eight thousand.
+        // Up to two datagrams in a row are lost. Three in a row have a probability of one
+        // in eight thousand and are left out.
         if consecutive_losses < 2 && rng.random_ratio(LOSS_PERCENT, 100) {
             consecutive_losses += 1;
             continue;
@@ -41,10 +41,11 @@
     count
 }
 
-/// Each instance writes hundreds of lines a second that others were heard again, and
-/// tells all of them at once, though nobody was away: 39 in a failure domain hear those
-/// of other domains every 1.5 s, which is as long as they take to count as lost. With
-/// the time going by how often a sender is heard, nobody is lost at any size.
+/// Guards against live instances that count as lost. With 39 instances in a failure domain,
+/// heartbeats from other domains arrive every 1.5 s, which was the fixed timeout as well. Each
+/// instance then logged hundreds of lines per second about peers that were back, and sent an
+/// immediate heartbeat to all of them. With a timeout that follows the heartbeat interval, no
+/// live instance counts as lost at any size.
 #[test]
 fn who_is_there_is_not_lost_at_any_size() {
     let with_fixed_timeout = count_timeouts(
@@ -66,8 +67,8 @@
     }
 }
 
-/// A planner that is lost is noticed as soon among hundreds of instances as among ten:
-/// its silence must not grow with the time between heartbeats of the others.
+/// Guards against a lost planner that is detected later in larger deployments: the planner's
+/// timeout must not grow with the heartbeat interval of other instances.
 #[test]
 fn a_lost_planner_is_noticed_at_any_size() {
     for size in SIZES {
--- a/crates/core/tests/route_map.rs
+++ b/crates/core/tests/route_map.rs
@@ -1,4 +1,4 @@
-//! A map made step by step from changes is the one built from the whole table.
+//! Route maps: an incremental update gives the same map as a build from the whole table.
 
 use {
     citron_core::{
@@ -108,7 +108,7 @@
     row.key()
 }
 
-/// All that a map says, as text.
+/// The routes of a map as text.
 fn render(map: &RouteMap) -> String {
     let mut lines = vec![map.revision.to_string()];
     for service in map.services() {
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request has.
+//! Selection of the route for a request.
 
 use {
     citron_core::routes::{
@@ -31,8 +31,8 @@
     RouteConfig::new(ConfigVersion(1), limits, routes, [])
 }
 
-/// Guards against a request without a route as its caller, or the operators, write the
-/// name of the host in capitals.
+/// Guards against requests that match no route because the caller or the operator has written
+/// the host name in upper case.
 #[test]
 fn names_of_hosts_are_the_same_in_any_case() {
     let config = config(&["bars.example", "KEGS.example"]);
--- a/crates/core/tests/slo.rs
+++ b/crates/core/tests/slo.rs
@@ -1,4 +1,4 @@
-//! Burn rates, and what is reached and moved.
+//! Burn rates, reachability of shards, and counts of moved shards.
 
 use {
     citron_core::{
@@ -18,7 +18,7 @@
 
 const NOW: Minute = Minute(10_000);
 
-/// From and to so many minutes back, and failures a minute.
+/// A period, given by its limits in minutes before [`NOW`], and the failures per minute.
 type Span = (u64, u64, u64);
 
 fn service() -> ServiceRow {
@@ -94,7 +94,7 @@
     RouteMap::build(&table)
 }
 
-/// A record of 1000 requests a minute.
+/// A series with 1000 requests per minute.
 fn series(spans: &[Span]) -> TallySeries {
     let name: ServiceName = "kegs".parse().unwrap();
     let mut series = TallySeries::default();
@@ -137,9 +137,9 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Two instances watch the same minute. Both see the same move, and one of them
-/// is cut off for half of it: callers find a key unreachable for a quarter of
-/// the minute on the mean.
+/// Guards against a move that counts twice when the series of two instances are merged. Both
+/// instances observe the same minute and the same move, and for one of them all shards are
+/// unreachable for half of the minute. On average, a key is unreachable for a quarter of it.
 #[test]
 fn instances_are_put_together_without_counting_a_move_twice() {
     let name: ServiceName = "kegs".parse().unwrap();
@@ -170,9 +170,9 @@
     assert_eq!(series.entries().count(), 5);
 }
 
-/// A shard counts as closed while it is released, and so do those that the
-/// instance has no leave to route to: elsewhere after the lease, in its own
-/// domain after the grace.
+/// A shard counts as unreachable while its owner releases it, and while the instance is not
+/// permitted to route to the owner: after the lease for owners in other failure domains, and
+/// after the grace period for owners in the instance's own domain.
 #[test]
 fn shards_are_closed_while_moving_and_without_leave() {
     let second = Duration::from_secs(1);
--- a/crates/core/tests/stale_reports/main.rs
+++ b/crates/core/tests/stale_reports/main.rs
@@ -1,7 +1,7 @@
-//! Many instances before the servers of a service without keys, in virtual time.
-//! Each instance knows what the others of its failure domain have at servers only
-//! from reports, the newest of which is as old as a request is long; of the other
-//! domains it knows nothing.
+//! Dispatch by many instances to the servers of a service, in virtual time, with outdated
+//! load reports. An instance knows the load that other instances of its failure domain put on
+//! a server only from reports, and the newest report is about as old as a request takes. It
+//! knows nothing about the load from other domains.
 
 mod simulation;
 
@@ -11,7 +11,7 @@
     std::time::Duration,
 };
 
-/// 84 instances before 57 servers, whose reports come every 0.4 s.
+/// 84 instances that dispatch to 57 servers and report every 0.4 s.
 const LARGE: Shape = Shape {
     domains: 3,
     instances: 28,
@@ -29,7 +29,7 @@
     reports_room: false,
 };
 
-/// Nine instances before six servers, with ten reports a second.
+/// Nine instances that dispatch to six servers and report ten times per second.
 const SMALL: Shape = Shape {
     domains: 3,
     instances: 3,
@@ -38,8 +38,8 @@
     ..LARGE
 };
 
-/// 75 instances in five domains before 155 servers that own keys: each instance
-/// hears of a fifth of the requests at a server.
+/// 75 instances in five domains that dispatch to 155 servers that own keys. Each instance gets
+/// reports on a fifth of the requests at a server.
 const SHARDED: Shape = Shape {
     domains: 5,
     instances: 15,
@@ -64,10 +64,11 @@
     Simulation::new(shape, 7).run_for(Duration::from_secs(40))
 }
 
-/// Callers ask for 0.7 of what the servers can run, and a tenth of them waits
-/// beyond a second, where servers close each connection after its answer: all instances of a domain see the same server with free
-/// slots, and send there until the next reports come 0.4 s later. With the better
-/// one of two drawn at random they spread.
+/// Guards against instances that all choose the same server. At a demand of 0.7 of the
+/// capacity, with servers that close each connection after its response, a tenth of the
+/// requests took longer than a second: all instances of a domain saw the same server with free
+/// slots and sent requests there until the next reports, 0.4 s later. Choosing the better of
+/// two random servers spreads the requests.
 #[test]
 fn old_reports_do_not_make_all_instances_choose_the_same_server() {
     let closing = Shape {
@@ -86,9 +87,10 @@
     assert!(compare_sample.served() > 0.98, "{compare_sample}");
 }
 
-/// Callers ask for 1.3 times what the servers can run. Every instance sees room
-/// at servers of other domains, where the instances there fill it. All queues are
-/// full, and half of the answers are late. The limit follows the answers' times.
+/// Guards against full queues under overload. At a demand of 1.3 of the capacity, every instance
+/// sees free slots at servers of other domains, which the instances there fill. All queues were
+/// full, and half of the responses were late. The rate limit, which follows response times,
+/// prevents this.
 #[test]
 fn demand_beyond_capacity_is_refused_and_the_rest_is_in_time() {
     let demand = 1.3;
@@ -108,7 +110,7 @@
     }
 }
 
-/// The limit must not cost anything while there is room for all.
+/// Guards against a rate limit that rejects requests although there is capacity for all of them.
 #[test]
 fn the_limit_refuses_next_to_nothing_below_capacity() {
     for shape in [LARGE, SMALL] {
@@ -117,9 +119,10 @@
     }
 }
 
-/// Each new connection holds one of a server's slots for a moment, and 65 in 100
-/// requests needed one: spread over 57 servers an instance asks each of them once
-/// in two seconds. A kept connection decides between servers that are as good.
+/// Guards against a new connection for most requests. Each new connection briefly occupies one
+/// of a server's slots, and 65 in 100 requests needed one, because an instance that spreads its
+/// requests over 57 servers uses each of them once in two seconds. A kept connection now decides
+/// between servers that are otherwise equal.
 #[test]
 fn kept_connections_are_used_where_the_service_has_room() {
     let large = simulate(LARGE);
@@ -128,10 +131,10 @@
     assert!(small.connections() < 0.15, "{small}");
 }
 
-/// Callers of keys are refused though their owner has a free slot. The instance
-/// hears of a fifth of the requests there, and one that happens to be under way
-/// stands for five: at 0.55 of the capacity 9 in 100 were refused. Those that are
-/// not heard of count by their mean.
+/// Guards against rejected requests although the key's owner has a free slot. An instance gets
+/// reports on a fifth of the requests at the owner, and counting each reported request five
+/// times rejected 9 in 100 requests at 0.55 of the capacity. The unreported requests now count
+/// with their mean.
 #[test]
 fn one_request_at_an_owner_does_not_make_it_full() {
     let figures = simulate(Shape {
@@ -142,9 +145,9 @@
     assert!(figures.served() > 0.95, "{figures}");
 }
 
-/// Guards against instances that send next to nothing to servers which refuse half of what
-/// they get at random, with slots free: every refusal counted as a late answer, and the
-/// limit fell to its least. What servers tell of their load shows that they have room.
+/// Guards against instances that send almost no requests to servers that randomly reject half of
+/// them while slots are free. Every rejection counted as a late response, and the rate limit
+/// fell to its minimum. The load that servers report with a rejection shows that they have room.
 #[test]
 fn servers_that_shed_at_random_go_on_getting_requests() {
     let shedding = Shape {
@@ -161,7 +164,7 @@
         without_room.served() < 0.3,
         "the fault does not occur: {without_room}"
     );
-    // All that servers do not refuse at random.
+    // All requests that the servers do not reject at random.
     assert!(with_room.served() > 0.43, "{with_room}");
     assert!(with_room.refused() < 0.02, "{with_room}");
 }
--- a/crates/core/tests/stale_reports/simulation.rs
+++ b/crates/core/tests/stale_reports/simulation.rs
@@ -1,4 +1,4 @@
-//! Instances, servers and what passes between them.
+//! Simulation of instances, backend servers and the messages between them.
 
 use {
     citron_core::{
@@ -20,60 +20,59 @@
     },
 };
 
-/// One way between an instance and a server.
+/// Network delay between an instance and a server, in one direction.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
-/// Requests that wait at a server beyond its slots.
+/// Most requests that wait at a server in addition to those in its slots.
 const MAX_QUEUE_LENGTH: usize = 16;
-/// How long a connection may have been quiet for a request that may run once.
+/// Longest idle time of a connection that is reused for a request that may run only once.
 const MAX_IDLE: Duration = Duration::from_millis(1_500);
-/// Callers wait for so long.
+/// Time that callers wait for a response.
 const DEADLINE: Duration = Duration::from_millis(4_000);
-/// Time until instances have measured servers.
+/// Simulated time that is not measured, until instances have measured the servers.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// Sizes of a deployment, and its load.
+/// Size and load of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
     pub domains: usize,
-    /// Instances of a domain.
+    /// Instances per failure domain.
     pub instances: usize,
-    /// Servers of a domain.
+    /// Servers per failure domain.
     pub servers: usize,
     pub slots: u32,
-    /// Mean run time.
+    /// Mean run time of a request at a server of average speed.
     pub run_time: Duration,
-    /// Time between two reports of an instance.
+    /// Interval between load reports of an instance.
     pub report_interval: Duration,
-    /// Demand over what the servers can run.
+    /// Demand relative to the servers' capacity.
     pub demand: f64,
     /// Servers that an instance compares.
     pub sample_size: usize,
-    /// Whether instances limit themselves.
+    /// Whether instances limit their request rate.
     pub is_rate_limited: bool,
-    /// Whether connections are kept.
+    /// Whether connections are kept for further requests.
     pub keeps_connections: bool,
-    /// Whether a request goes to the owner of its key, drawn for each, and what
-    /// becomes of the others is not known.
+    /// Whether each request goes to one random server, the owner of its key.
     pub is_sharded: bool,
     /// The latency objective.
     pub objective: Duration,
-    /// Part of the requests that servers refuse at random.
+    /// Share of the requests that servers reject at random.
     pub shed_ratio: f64,
-    /// Whether servers tell their load with that.
+    /// Whether servers report their load with such a rejection.
     pub reports_room: bool,
 }
 
-/// What became of the requests.
+/// Counts of requests by outcome.
 #[derive(Debug, Default)]
 pub struct Figures {
     pub requests: u32,
     pub in_time: u32,
     pub late: u32,
-    /// Refused by a server whose queue was full.
+    /// Rejected by a server whose queue was full.
     pub queue_full: u32,
-    /// Refused without having been sent.
+    /// Rejected by the instance without being sent.
     pub refused: u32,
-    /// Connections made.
+    /// New connections.
     pub connections: u32,
 }
 
@@ -82,22 +81,22 @@
         f64::from(count) / f64::from(self.requests)
     }
 
-    /// Part of the requests that ended within the objective.
+    /// Share of the requests that completed within the objective.
     pub fn served(&self) -> f64 {
         self.share(self.in_time)
     }
 
-    /// Part of them that ended later.
+    /// Share of the requests that completed later.
     pub fn late(&self) -> f64 {
         self.share(self.late)
     }
 
-    /// Connections for each of them.
+    /// New connections per request.
     pub fn connections(&self) -> f64 {
         self.share(self.connections)
     }
 
-    /// Part of them that was refused at once.
+    /// Share of the requests that the instance rejected without sending them.
     pub fn refused(&self) -> f64 {
         self.share(self.refused)
     }
@@ -137,7 +136,7 @@
     sent: Time,
     share: f64,
     refused: bool,
-    /// Whether the server said that it had room when it refused.
+    /// Whether the server reported free slots when it rejected the request.
     has_room: bool,
 }
 
@@ -145,7 +144,7 @@
     name: InstanceId,
     domain: usize,
     loads: LoadTracker,
-    /// When the free connections to each server were last used.
+    /// Times at which the idle connections to each server were last used.
     idle: Vec<Vec<Time>>,
     pace: ConcurrencyLimit,
 }
@@ -332,7 +331,7 @@
 
     fn run(&mut self, request: usize) {
         let speed = self.servers[self.requests[request].server].speed;
-        // Half of the run time is the same for all requests.
+        // Half of the run time is constant, the other half is exponentially distributed.
         let mean = self.shape.run_time.as_secs_f64() / speed / 2.0;
         let span = Duration::from_secs_f64(mean) + self.exponential(mean);
         self.schedule(span, Event::Completed(request));
--- a/crates/core/tests/staleness.rs
+++ b/crates/core/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! When a table may decide that a request is denied for good, in virtual time.
+//! When a table copy may justify a final denial of a request, in virtual time.
 
 use {
     citron_core::{
@@ -10,7 +10,7 @@
 
 const TIMES: FreshnessTimes = FreshnessTimes::STANDARD;
 
-/// A table of an instance, by what it was told.
+/// An instance's table copy, with its age and known versions.
 struct Table {
     freshness: Freshness<1>,
     versions: VersionTracker,
@@ -26,7 +26,8 @@
         }
     }
 
-    /// The store tells all up to a version, in a call that began then.
+    /// Records the store's answer to a call that began at `begun`, with all changes up to a
+    /// version.
     fn record_answer(&mut self, version: u64, begun: Time) {
         self.freshness.record_read(0, begun);
         self.versions.record_applied(version);
@@ -43,7 +44,7 @@
     Time::ZERO + Duration::from_millis(millis)
 }
 
-/// Guards against a denial by a table that was never read.
+/// Guards against a denial based on a table that was never read.
 #[test]
 fn a_table_of_unknown_age_denies_nothing() {
     let mut table = Table::new();
@@ -52,7 +53,7 @@
     assert_eq!(table.stale_reason(at(5)), Some(StaleReason::UnknownAge));
 }
 
-/// Guards against a denial by a table whose changes no longer arrive.
+/// Guards against a denial based on a table whose changes no longer arrive.
 #[test]
 fn a_table_denies_only_as_long_as_the_store_is_heard_of() {
     let mut table = Table::new();
@@ -64,8 +65,8 @@
     assert_eq!(table.stale_reason(at(1_701)), None);
 }
 
-/// Guards against a denial by a table that others have a newer version of, until it has
-/// come whole.
+/// Guards against a denial based on a table of which other instances have a newer version,
+/// until all changes up to that version have arrived.
 #[test]
 fn a_table_that_is_behind_denies_nothing() {
     let mut table = Table::new();
@@ -78,12 +79,13 @@
     assert_eq!(table.stale_reason(at(30)), Some(StaleReason::Lagging));
     table.record_answer(15, at(40));
     assert_eq!(table.stale_reason(at(50)), None);
-    // Others that are behind in their turn say nothing about this one.
+    // An older version that another instance advertises does not make this copy stale.
     table.versions.record_advertised(12, at(55));
     assert_eq!(table.stale_reason(at(60)), None);
 }
 
-/// Guards against a denial by the last good version while a newer one cannot be read.
+/// Guards against a denial based on the last readable version while a newer version cannot
+/// be decoded.
 #[test]
 fn a_newer_row_that_cannot_be_read_denies_nothing() {
     let mut table = Table::new();
@@ -101,8 +103,9 @@
     assert_eq!(table.versions.lag(Some(at(50))), Lag::None);
 }
 
-/// Guards against a table that is doubted for good since an instance told of a newer one
-/// and ended; and against trust in it while another one still tells.
+/// Guards against a table that stays stale because an instance has advertised a newer version
+/// and then ended, and against a table that counts as current while another instance still
+/// advertises a newer version.
 #[test]
 fn a_newer_version_that_nobody_tells_of_any_more_is_forgotten() {
     let mut table = Table::new();
--- a/crates/core/tests/table.rs
+++ b/crates/core/tests/table.rs
@@ -1,4 +1,4 @@
-//! The copy of the table that an instance holds.
+//! The replica of the table that an instance holds.
 
 use citron_core::{
     id::Revision,
@@ -27,9 +27,9 @@
     }
 }
 
-/// Two answers cross on their way, one from the platform and one by relay, and
-/// the older one arrives last. Had it been applied, an accepted edit would be
-/// taken back here, and requests would follow an owner that has been replaced.
+/// Guards against responses that arrive out of order, one from the platform and one relayed by
+/// another instance. Applying the older response last would revert an accepted edit, and
+/// requests would be sent to a replaced owner.
 #[test]
 fn an_answer_that_was_overtaken_changes_nothing() {
     let newest = [Some(domain(true)), None];
@@ -43,7 +43,8 @@
     }
 }
 
-/// Changes that begin after what the copy holds would leave out rows in between.
+/// Guards against missing rows: changes that start after the replica's revision would leave
+/// out the rows in between.
 #[test]
 fn changes_with_a_gap_are_refused() {
     let mut table = Table::default();
