--- a/crates/core/src/dispatch/concurrency.rs
+++ b/crates/core/src/dispatch/concurrency.rs
@@ -37,7 +37,7 @@
 /// a request is long, and only for some of them. Where more is asked for than
 /// the servers can run, each instance sees room that others fill, and all answers
 /// are late: with 84 instances and 1.3 times the capacity, 49 of 100 in time by
-/// reports alone and 70 with this limit (`tests/stale`). The time that answers
+/// reports alone and 70 with this limit (`tests/stale_reports`). The time that answers
 /// take tells without any report; the limit rises and falls with it, and what is
 /// over it is refused at once.
 ///
--- a/crates/core/src/freshness/ages.rs
+++ b/crates/core/src/freshness/ages.rs
@@ -9,8 +9,8 @@
 /// The age of a table copy; `None` if the table was never read.
 pub type Age = Option<Duration>;
 
-/// A period, longer than [`FreshnessTimes::outage_age`], in which no known instance received
-/// a response for a table.
+/// A period, longer than [`FreshnessTimes::outage_age`], in which no known instance
+/// received a response for a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreOutage {
     /// Length of the period.
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Records the answer to a call that began at `as_of`. Returns the outage that the answer
-    /// ends, if there was one.
+    /// Records the answer to a call that began at `as_of`. Returns the outage that the
+    /// answer ends, if there was one.
     pub fn record_read(&mut self, table: usize, as_of: Time) -> Option<StoreOutage> {
         let known = &mut self.as_of[table];
         let before = known.filter(|before| *before < as_of);
@@ -76,15 +76,16 @@
         })
     }
 
-    /// Records the age that a peer advertises for the same version of a table. Returns the
-    /// outage that the age ends, if there was one.
+    /// Records the age that a peer advertises for the same version of a table. Returns
+    /// the outage that the age ends, if there was one.
     pub fn record_peer_age(&mut self, table: usize, age: Age, now: Time) -> Option<StoreOutage> {
         let age = u64::try_from(age?.as_micros()).ok()?;
         let as_of = Time::from_micros(now.as_micros().checked_sub(age)?);
         self.record_read(table, as_of)
     }
 
-    /// The time at which a table was last known to be current; `None` if it was never read.
+    /// The time at which a table was last known to be current; `None` if it was never
+    /// read.
     pub fn as_of(&self, table: usize) -> Option<Time> {
         self.as_of[table]
     }
--- a/crates/core/src/freshness/fetches.rs
+++ b/crates/core/src/freshness/fetches.rs
@@ -6,17 +6,17 @@
     std::{array, time::Duration},
 };
 
-/// Delays and timeouts of a transfer. There is no limit on its total duration, which depends
-/// on the link; aborting a transfer would waste the parts already received.
+/// Delays and timeouts of a transfer. There is no limit on its total duration, which
+/// depends on the link; aborting a transfer would waste the parts already received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FetchTimes {
-    /// Time without a first part after which a second instance is asked as well, since the
-    /// first one may have ended or stalled.
+    /// Time without a first part after which a second instance is asked as well, since
+    /// the first one may have ended or stalled.
     pub hedge_delay: Duration,
     /// Time since the last part after which a second instance is asked as well.
     pub stall_delay: Duration,
-    /// Duration of a transfer, even one that makes progress, after which a second instance
-    /// is asked as well: the first one may be slower than the link.
+    /// Duration of a transfer, even one that makes progress, after which a second
+    /// instance is asked as well: the first one may be slower than the link.
     pub slow_delay: Duration,
     /// Time without a part after which a transfer is aborted.
     pub idle_timeout: Duration,
@@ -32,7 +32,7 @@
     };
 }
 
-/// Most concurrent fetches of a table, since they share the link.
+/// Maximum number of concurrent fetches of a table, since they share the link.
 const MAX_CONCURRENT: usize = 2;
 
 /// Handle of a fetch in progress.
--- a/crates/core/src/freshness/health.rs
+++ b/crates/core/src/freshness/health.rs
@@ -5,8 +5,8 @@
 /// Time since the last answer after which a failed call marks the store as unreachable. A
 /// shorter time would mistake a single lost answer for an outage.
 ///
-/// It must stay below the planner's poll interval plus the timeout of one call, so that the
-/// first call that fails after a network partition already reports the outage.
+/// It must stay below the planner's poll interval plus the timeout of one call, so that
+/// the first call that fails after a network partition already reports the outage.
 const ANSWER_TIMEOUT: Duration = FreshnessTimes::STANDARD.planner_interval.saturating_mul(2);
 
 /// Health of the store, as this instance's calls show it.
--- a/crates/core/src/freshness/heartbeats.rs
+++ b/crates/core/src/freshness/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeat intervals among instances, and timeouts after which an instance counts as lost.
+//! Heartbeat intervals among instances, and timeouts after which an instance counts as
+//! lost.
 
 use {super::PropagationTimes, std::time::Duration};
 
@@ -10,8 +11,8 @@
 /// Instances for each step of the interval. An interval that grows with the number of
 /// instances keeps the processor time spent on heartbeats constant.
 const INSTANCES_PER_STEP: usize = 7;
-/// Longest interval between heartbeats of the planner, so that three are missed before the
-/// planner counts as lost.
+/// Longest interval between heartbeats of the planner, so that three are missed before
+/// the planner counts as lost.
 const MAX_PLANNER_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The kind of a heartbeat's sender, which determines the interval.
@@ -25,8 +26,8 @@
     Planner,
 }
 
-/// Heartbeat intervals and timeouts for a number of instances that exchange heartbeats. The
-/// intervals grow with the number of instances, and the timeouts with the intervals.
+/// Heartbeat intervals and timeouts for a number of instances that exchange heartbeats.
+/// The intervals grow with the number of instances, and the timeouts with the intervals.
 ///
 /// ```
 /// use {citron_core::freshness::{HeartbeatSchedule, Sender}, std::time::Duration};
--- a/crates/core/src/freshness/mod.rs
+++ b/crates/core/src/freshness/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! A pending watch does not prove that nothing has changed, because its response may have
 //! been lost. Each table therefore has an age, which only a response resets. Instances
-//! advertise the ages of their tables to each other, and an instance whose table is too old
-//! polls the store.
+//! advertise the ages of their tables to each other, and an instance whose table is too
+//! old polls the store.
 
 mod ages;
 mod fetches;
--- a/crates/core/src/freshness/staleness.rs
+++ b/crates/core/src/freshness/staleness.rs
@@ -37,8 +37,8 @@
     Unreadable,
 }
 
-/// Staleness of a table copy. A final negative response requires a copy that is not stale,
-/// because another instance may have the route that is missing here.
+/// Staleness of a table copy. A final negative response requires a copy that is not
+/// stale, because another instance may have the route that is missing here.
 ///
 /// ```
 /// use {
@@ -74,9 +74,9 @@
 
 /// The applied version and the highest advertised version of a table.
 ///
-/// An advertised version expires [`FreshnessTimes::outage_age`] after it was last advertised.
-/// The peer may have advertised the version at which it read the table rather than that of
-/// a change, and may have ended since.
+/// An advertised version expires [`FreshnessTimes::outage_age`] after it was last
+/// advertised. The peer may have advertised the version at which it read the table rather
+/// than that of a change, and may have ended since.
 ///
 /// ```
 /// use citron_core::{freshness::{FreshnessTimes, Lag, VersionTracker}, time::Time};
--- a/crates/core/src/freshness/times.rs
+++ b/crates/core/src/freshness/times.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// The polling role of an instance. A role that fewer instances have polls earlier, so that
-/// one call to the store usually serves all instances.
+/// The polling role of an instance. A role that fewer instances have polls earlier, so
+/// that one call to the store usually serves all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// The one instance that plans moves of keys.
@@ -19,8 +19,8 @@
 pub struct FreshnessTimes {
     /// Poll interval of the planner.
     pub planner_interval: Duration,
-    /// Poll interval of a reader. It exceeds the planner's by enough for one lost datagram
-    /// and a busy processor.
+    /// Poll interval of a reader. It exceeds the planner's by enough for one lost
+    /// datagram and a busy processor.
     pub reader_interval: Duration,
     /// Poll interval of a follower, which exceeds a reader's for the same reason.
     pub follower_interval: Duration,
@@ -29,8 +29,8 @@
     /// Longest retry delay of followers. With hundreds of followers, one of them still
     /// detects soon that the store is reachable again.
     pub max_retry_delay: Duration,
-    /// Age above which the store is presumed unreachable. It must stay below three heartbeat
-    /// intervals of a backend server, after which registrations expire.
+    /// Age above which the store is presumed unreachable. It must stay below three
+    /// heartbeat intervals of a backend server, after which registrations expire.
     pub outage_age: Duration,
 }
 
@@ -79,15 +79,16 @@
 pub struct PropagationTimes {
     /// How often an instance checks the ages of its tables.
     pub poll_interval: Duration,
-    /// Time for a call to the store or to another instance, on a processor whose quota may
-    /// suspend the process for most of 100 ms.
+    /// Time for a call to the store or to another instance, on a processor whose quota
+    /// may suspend the process for most of 100 ms.
     pub call_duration: Duration,
-    /// Time between two heartbeats within a small failure domain; larger ones use a multiple.
+    /// Time between two heartbeats within a small failure domain; larger ones use a
+    /// multiple.
     pub heartbeat_interval: Duration,
     /// Factor by which heartbeats to other failure domains are less frequent.
     pub cross_domain_factor: u32,
-    /// How long an instance that will receive a change anyway lags behind before it fetches
-    /// the table from a peer, since traffic between failure domains is billed.
+    /// How long an instance that will receive a change anyway lags behind before it
+    /// fetches the table from a peer, since traffic between failure domains is billed.
     pub lag_grace: Duration,
 }
 
@@ -101,10 +102,10 @@
         lag_grace: Duration::from_millis(250),
     };
 
-    /// The longest propagation delay from the store's acknowledgement of a change to every
-    /// instance, as long as one instance reaches the store. In the worst case that instance
-    /// is a follower, which polls last, the datagram that advertises the change is lost, and
-    /// the receiver waits for its grace period before it fetches the table.
+    /// The longest propagation delay from the store's acknowledgement of a change to
+    /// every instance, as long as one instance reaches the store. In the worst case that
+    /// instance is a follower, which polls last, the datagram that advertises the change
+    /// is lost, and the receiver waits for its grace period before it fetches the table.
     ///
     /// ```
     /// use {citron_core::freshness::{FreshnessTimes, PropagationTimes}, std::time::Duration};
--- a/crates/core/src/id/number.rs
+++ b/crates/core/src/id/number.rs
@@ -41,12 +41,13 @@
 }
 
 number_type!(
-    /// Version of the whole table: the number of the last commit. Rows carry the revision of the
-    /// commit that wrote them; 0 means that the row does not exist.
+    /// Version of the whole table: the number of the last commit. Rows carry the revision
+    /// of the commit that wrote them; 0 means that the row does not exist.
     Revision, u64, 0, u64::MAX
 );
 number_type!(
-    /// Fencing token of a shard, which increases with every change of owner and is never reused.
+    /// Fencing token of a shard, which increases with every change of owner and is never
+    /// reused.
     Epoch, u64, 0, u64::MAX
 );
 number_type!(
@@ -54,8 +55,8 @@
     Incarnation, u64, 0, u64::MAX
 );
 number_type!(
-    /// Start time of a backend server, in Unix milliseconds by its own clock. The limit is the
-    /// year 2286: a larger value is in another unit.
+    /// Start time of a backend server, in Unix milliseconds by its own clock. The limit
+    /// is the year 2286: a larger value is in another unit.
     StartTime, u64, 0, 10_000_000_000_000_u64
 );
 number_type!(
--- a/crates/core/src/id/server.rs
+++ b/crates/core/src/id/server.rs
@@ -8,9 +8,9 @@
 /// Separator between a server's id and its start time.
 const START_SEPARATOR: char = '@';
 
-/// Name of one process start of a backend server: its id and, if the server reports it, its
-/// start time. A server that restarts under the same id has lost its keys and its state, so
-/// all records of a server refer to this name.
+/// Name of one process start of a backend server: its id and, if the server reports it,
+/// its start time. A server that restarts under the same id has lost its keys and its
+/// state, so all records of a server refer to this name.
 ///
 /// ```
 /// use citron_core::id::ServerName;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decision logic of citronproxy, without clocks, sockets, threads or unseeded randomness.
+//! Decision logic of citronproxy, without clocks, sockets, threads or unseeded
+//! randomness.
 //!
-//! Every component takes events and a [`time::Time`] and returns actions, so that production
-//! processes, the model checker and the tests run the same code.
+//! Every component takes events and a [`time::Time`] and returns actions, so that
+//! production processes, the model checker and the tests run the same code.
 
 pub mod admission;
 pub mod crash;
--- a/crates/core/src/routes/cluster.rs
+++ b/crates/core/src/routes/cluster.rs
@@ -12,7 +12,7 @@
     pub name: ServiceName,
     /// Whether the servers own keys, so that each request has exactly one target.
     pub is_sharded: bool,
-    /// Most connections that one server accepts from all instances together.
+    /// Maximum number of connections that one server accepts from all instances together.
     pub max_connections: u32,
     /// Path of the servers' health check, whose response also identifies the server.
     pub health_path: String,
--- a/crates/core/src/routes/config.rs
+++ b/crates/core/src/routes/config.rs
@@ -34,9 +34,9 @@
 /// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenerLimits {
-    /// Most bytes of a request head.
+    /// Maximum number of bytes of a request head.
     pub max_header_bytes: usize,
-    /// Most bytes of a request body.
+    /// Maximum number of bytes of a request body.
     pub max_body_bytes: u64,
     /// Time within which a request head must arrive.
     pub header_timeout: Duration,
@@ -70,7 +70,8 @@
             hosts.entry(host).or_default().push(rule);
         }
         for rules in hosts.values_mut() {
-            // The longest prefix comes first, so that the first match is the most specific.
+            // The longest prefix comes first, so that the first match is the most
+            // specific.
             rules.sort_by_key(|rule| std::cmp::Reverse(rule.prefix.len()));
         }
         let services = services.into_iter();
--- a/crates/core/src/routes/rule.rs
+++ b/crates/core/src/routes/rule.rs
@@ -83,7 +83,7 @@
     pub timeout: Duration,
     /// Latency within which a response should arrive.
     pub latency_objective: Duration,
-    /// Most backend servers to which one request is sent.
+    /// Maximum number of backend servers to which one request is sent.
     pub max_attempts: u32,
     /// Priority of the requests; 0 is the highest.
     pub priority: u32,
--- a/crates/core/src/slo/burn.rs
+++ b/crates/core/src/slo/burn.rs
@@ -7,8 +7,8 @@
 const PER_MILLION: f64 = 1_000_000.0;
 
 /// The burn rate: how many times faster than allowed an error budget is spent. At 1 the
-/// budget lasts for exactly the period of the objective, at 10 for a tenth of it. `budget`
-/// is in requests per million.
+/// budget lasts for exactly the period of the objective, at 10 for a tenth of it.
+/// `budget` is in requests per million.
 ///
 /// ```
 /// use citron_core::slo::burn_rate;
--- a/crates/core/src/slo/minute.rs
+++ b/crates/core/src/slo/minute.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Minutes since the Unix epoch. They align the series of several instances and of several
-/// process starts, which monotonic clocks cannot do. No decision on the ownership of keys
-/// depends on them.
+/// Minutes since the Unix epoch. They align the series of several instances and of
+/// several process starts, which monotonic clocks cannot do. No decision on the ownership
+/// of keys depends on them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Minute(pub u64);
 
--- a/crates/core/src/slo/mod.rs
+++ b/crates/core/src/slo/mod.rs
@@ -1,5 +1,5 @@
-//! Service-level objectives: request counts, reachability of shards, and burn rates of error
-//! budgets.
+//! Service-level objectives: request counts, reachability of shards, and burn rates of
+//! error budgets.
 
 mod burn;
 mod minute;
--- a/crates/core/src/slo/tally.rs
+++ b/crates/core/src/slo/tally.rs
@@ -39,8 +39,8 @@
 }
 
 impl Tally {
-    /// Merges the tally of another instance over the same period. Requests add up, whereas
-    /// a move counts once, however many instances observed it.
+    /// Merges the tally of another instance over the same period. Requests add up,
+    /// whereas a move counts once, however many instances observed it.
     ///
     /// ```
     /// use citron_core::slo::Tally;
@@ -54,8 +54,8 @@
         self.shards_moved = moved;
     }
 
-    /// Load of the most loaded server relative to the mean load, both weighted; `None` if no
-    /// requests ran. Idle servers count; servers with weight 0 do not.
+    /// Load of the most loaded server relative to the mean load, both weighted; `None` if
+    /// no requests ran. Idle servers count; servers with weight 0 do not.
     ///
     /// ```
     /// use {citron_core::{id::Weight, slo::Tally}, std::time::Duration};
@@ -81,7 +81,8 @@
         (busy > 0.0).then(|| max * weight / busy)
     }
 
-    /// The share of time for which keys were unreachable, as a mean over keys, from 0 to 1.
+    /// The share of time for which keys were unreachable, as a mean over keys, from 0 to
+    /// 1.
     pub fn unreachable_share(&self) -> f64 {
         if self.observed.is_zero() {
             return 0.0;
--- a/crates/core/src/table/commit.rs
+++ b/crates/core/src/table/commit.rs
@@ -17,8 +17,8 @@
     pub row: Option<Row>,
 }
 
-/// A precondition of a commit: the version of a row that the commit depends on but does not
-/// write.
+/// A precondition of a commit: the version of a row that the commit depends on but does
+/// not write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Check {
     /// Key of the row.
@@ -43,7 +43,8 @@
 pub struct HistoryRow {
     /// Name of the person or program that made the edit.
     pub author: String,
-    /// Time of the edit since the Unix epoch, by the clock of the instance that accepted it.
+    /// Time of the edit since the Unix epoch, by the clock of the instance that accepted
+    /// it.
     pub time: Duration,
     /// The rows that the edit changed.
     pub changes: Vec<RowChange>,
@@ -63,10 +64,10 @@
     /// next owners.
     ///
     /// They guard against this failure: a planner decides on a move and is suspended, an
-    /// operator deletes or retires the target server, which owns nothing yet, and the late
-    /// commit assigns shards to that server, which nobody can reach then. Since the version
-    /// of the server's row has changed, the commit fails with a conflict and the move is
-    /// planned again.
+    /// operator deletes or retires the target server, which owns nothing yet, and the
+    /// late commit assigns shards to that server, which nobody can reach then. Since the
+    /// version of the server's row has changed, the commit fails with a conflict and the
+    /// move is planned again.
     pub fn new_owner_checks(&self, table: &Table) -> Vec<Check> {
         let mut servers = BTreeSet::new();
         for write in &self.writes {
--- a/crates/core/src/table/domain.rs
+++ b/crates/core/src/table/domain.rs
@@ -33,6 +33,7 @@
     pub name: DomainName,
     /// State of the domain.
     pub state: DomainState,
-    /// The instances that confirm revisions while the domain is cut off from the platform.
+    /// The instances that confirm revisions while the domain is cut off from the
+    /// platform.
     pub confirmers: Vec<Confirmer>,
 }
--- a/crates/core/src/table/edit.rs
+++ b/crates/core/src/table/edit.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// Most rows in one edit.
+/// Maximum number of rows in one edit.
 pub const MAX_EDIT_ROWS: usize = 1_000;
 
 /// An operator's change to one row.
@@ -65,9 +65,9 @@
     /// ```
     ///
     /// # Errors
-    /// [`TableError::Conflict`] if a row has another version than the one the operator has
-    /// read, [`TableError::Invalid`] if a rule is violated, [`TableError::EditSize`] if there
-    /// are no rows or too many.
+    /// [`TableError::Conflict`] if a row has another version than the one the operator
+    /// has read, [`TableError::Invalid`] if a rule is violated, [`TableError::EditSize`]
+    /// if there are no rows or too many.
     pub fn plan(self, table: &Table) -> Result<EditPlan, TableError> {
         self.check_shape(table)?;
         let edited = EditedTable::new(table, &self.rows);
@@ -107,8 +107,8 @@
         writes.collect()
     }
 
-    /// The audit record. Its rows before the edit are exact, because the commit succeeds only
-    /// if the rows still have these versions.
+    /// The audit record. Its rows before the edit are exact, because the commit succeeds
+    /// only if the rows still have these versions.
     fn history(self, table: &Table) -> HistoryRow {
         let changes = self.rows.into_iter().map(|edit| RowChange {
             before: table.get(&edit.key).map(|row| row.value.clone()),
@@ -135,8 +135,8 @@
     })
 }
 
-/// Writes of system rows that an edit implies: the shards of a service are assigned when it
-/// gets its first servers, and deleted together with the service.
+/// Writes of system rows that an edit implies: the shards of a service are assigned when
+/// it gets its first servers, and deleted together with the service.
 fn derived_writes(edited: &EditedTable<'_>, edits: &[RowEdit]) -> Vec<Write> {
     let mut writes = Vec::new();
     for service in affected_services(edits) {
--- a/crates/core/src/table/edited.rs
+++ b/crates/core/src/table/edited.rs
@@ -106,7 +106,8 @@
         rows.collect()
     }
 
-    /// Preconditions on the rows that the rules depend on and that the edit does not write.
+    /// Preconditions on the rows that the rules depend on and that the edit does not
+    /// write.
     pub(super) fn checks(&self, edits: &[RowEdit]) -> Vec<Check> {
         let mut keys = BTreeSet::new();
         for edit in edits {
--- a/crates/core/src/table/error.rs
+++ b/crates/core/src/table/error.rs
@@ -42,7 +42,7 @@
     EditSize {
         /// Number of rows in the edit.
         found: usize,
-        /// Most rows allowed.
+        /// Maximum number of rows allowed.
         max: usize,
     },
 }
--- a/crates/core/src/table/initial.rs
+++ b/crates/core/src/table/initial.rs
@@ -54,7 +54,8 @@
         for (row, credit) in &mut self.servers {
             *credit += i64::from(row.weight.0);
         }
-        // Among equal credits the first server is chosen, so that the result is deterministic.
+        // Among equal credits the first server is chosen, so that the result is
+        // deterministic.
         let best = self
             .servers
             .iter_mut()
--- a/crates/core/src/table/instance.rs
+++ b/crates/core/src/table/instance.rs
@@ -12,8 +12,8 @@
     Live,
     /// The instance is shutting down and only completes requests in flight.
     Leaving,
-    /// Other instances have expelled the instance. It must not act any more, and its row is
-    /// kept until its last permission to route has certainly expired.
+    /// Other instances have expelled the instance. It must not act any more, and its row
+    /// is kept until its last permission to route has certainly expired.
     Expelled,
 }
 
@@ -34,6 +34,6 @@
     pub admin_address: SocketAddr,
     /// Lifecycle state.
     pub state: InstanceState,
-    /// The revision that the instance had applied when the row was written.
+    /// The table revision in use at the instance when the row was written.
     pub revision: Revision,
 }
--- a/crates/core/src/table/replica.rs
+++ b/crates/core/src/table/replica.rs
@@ -40,12 +40,12 @@
         self.rows.iter()
     }
 
-    /// Applies changes. Changes up to a revision that the replica already has are ignored,
-    /// so that responses that arrive out of order never revert a row.
+    /// Applies changes. Changes up to a revision that the replica already has are
+    /// ignored, so that responses that arrive out of order never revert a row.
     ///
     /// # Errors
-    /// [`TableError::Gap`] if the changes start after the replica's revision; the replica is
-    /// unchanged then.
+    /// [`TableError::Gap`] if the changes start after the replica's revision; the replica
+    /// is unchanged then.
     pub fn apply(&mut self, changes: Changes) -> Result<(), TableError> {
         let have = self.revision;
         if changes.since > have {
--- a/crates/core/src/table/row.rs
+++ b/crates/core/src/table/row.rs
@@ -18,9 +18,9 @@
     Domain(DomainName),
     /// An instance.
     Instance(InstanceId),
-    /// A run of shards.
+    /// A block of consecutive shards.
     Block(ServiceName, BlockId),
-    /// A key taken out of its shard.
+    /// A single key with its own owner.
     Override(ServiceName, KeyHash),
 }
 
@@ -49,9 +49,9 @@
     Domain(DomainRow),
     /// An instance.
     Instance(InstanceRow),
-    /// A run of shards.
+    /// A block of consecutive shards.
     Block(BlockRow),
-    /// A key taken out of its shard.
+    /// A single key with its own owner.
     Override(OverrideRow),
 }
 
--- a/crates/core/src/table/rules/server.rs
+++ b/crates/core/src/table/rules/server.rs
@@ -55,9 +55,9 @@
     }
 
     /// Rejects changes to a server that owns shards which would replace its process. An
-    /// instance with an older row would keep sending to the old address, and two processes
-    /// would run requests for the same keys. A change of the failure domain or of fencing
-    /// would change which instances a move in progress has to wait for.
+    /// instance with an older row would keep sending to the old address, and two
+    /// processes would run requests for the same keys. A change of the failure domain or
+    /// of fencing would change which instances a move in progress has to wait for.
     fn check_server_immutable(&self, row: &ServerRow) -> Result<(), TableError> {
         let Some(Row::Server(before)) = self.edited.before(self.key) else {
             return Ok(());
@@ -88,8 +88,8 @@
         Ok(())
     }
 
-    /// Rejects an edit that leaves a service with shards without a server that may own them,
-    /// since its keys could not be moved anywhere.
+    /// Rejects an edit that leaves a service with shards without a server that may own
+    /// them, since its keys could not be moved anywhere.
     pub(super) fn check_active_server_remains(&self, row: &ServerRow) -> Result<(), TableError> {
         let has_shards = !self.edited.assignment_rows(&row.service).is_empty();
         let service_remains = self.edited.service(&row.service).is_some();
--- a/crates/core/src/table/rules/service.rs
+++ b/crates/core/src/table/rules/service.rs
@@ -8,7 +8,8 @@
 
 /// Allowed numbers of shards that move for balance per minute.
 const SHARDS_PER_MINUTE: RangeInclusive<u32> = 0..=100_000;
-/// Allowed load thresholds for moves: load of the most loaded server in percent of the mean.
+/// Allowed load thresholds for moves: load of the most loaded server in percent of the
+/// mean.
 const THRESHOLD_PERCENT: RangeInclusive<u32> = 101..=1_000;
 /// Allowed error budgets, in requests per million.
 const PER_MILLION: RangeInclusive<u32> = 0..=1_000_000;
@@ -22,7 +23,7 @@
 const MAX_PREFIX_BYTES: usize = 256;
 /// Longest host name, in bytes: the limit of DNS.
 const MAX_HOST_BYTES: usize = 253;
-/// Most host names of one service.
+/// Maximum number of host names of one service.
 const MAX_HOSTS: usize = 64;
 
 impl Rules<'_> {
@@ -76,8 +77,8 @@
         self.check_unique_route(row)
     }
 
-    /// Rejects a route that another service has, since it would be undefined which of the two
-    /// services gets the requests.
+    /// Rejects a route that another service has, since it would be undefined which of the
+    /// two services gets the requests.
     fn check_unique_route(&self, row: &ServiceRow) -> Result<(), TableError> {
         let shares_host = |other: &ServiceRow| match (row.hosts.is_empty(), other.hosts.is_empty())
         {
@@ -137,9 +138,9 @@
             let allowed = format!("{}, as the service owns shards", before.shard_bits);
             return self.reject("shard_bits", &row.shard_bits.to_string(), &allowed);
         }
-        // An instance that is cut off from the platform keeps serving for the grace period
-        // that it knows. If the planner counted on a shorter period, it would assign the
-        // shards to another server too early, and two servers would own them.
+        // An instance that is cut off from the platform keeps serving for the grace
+        // period that it knows. If the planner counted on a shorter period, it would
+        // assign the shards to another server too early, and two servers would own them.
         if row.grace < before.grace {
             let allowed = format!(
                 "at least {}, as the service owns shards",
--- a/crates/core/src/table/server.rs
+++ b/crates/core/src/table/server.rs
@@ -42,7 +42,7 @@
     pub rate_cap: Option<u32>,
     /// Requests that the server runs concurrently.
     pub slots: Slots,
-    /// Most connections that the server accepts from all instances together.
+    /// Maximum number of connections that the server accepts from all instances together.
     pub max_connections: u32,
     /// Whether the server checks fencing tokens.
     pub fencing: Fencing,
--- a/crates/core/src/table/service.rs
+++ b/crates/core/src/table/service.rs
@@ -50,7 +50,8 @@
     pub key_source: KeySource,
     /// HTTP methods whose requests may run more than once.
     pub idempotent_methods: Vec<String>,
-    /// Number of shards, as a power of two. It cannot change while the service has shards.
+    /// Number of shards, as a power of two. It cannot change while the service has
+    /// shards.
     pub shard_bits: ShardBits,
     /// Time that a request may take, unless its caller asks for less.
     pub deadline: Duration,
--- a/crates/core/src/time/store_clock.rs
+++ b/crates/core/src/time/store_clock.rs
@@ -6,8 +6,8 @@
     std::{collections::VecDeque, fmt, ops::Add, str::FromStr, time::Duration},
 };
 
-/// Milliseconds on the store's clock, which all instances share and which keeps running when
-/// instances restart.
+/// Milliseconds on the store's clock, which all instances share and which keeps running
+/// when instances restart.
 ///
 /// ```
 /// use {citron_core::time::StoreTime, std::time::Duration};
@@ -45,17 +45,19 @@
     }
 }
 
-/// Most readings that are kept: those of some seconds at the planner's poll interval.
+/// Maximum number of readings that are kept: those of some seconds at the planner's poll
+/// interval.
 const MAX_READINGS: usize = 16;
-/// Largest drift of this process's clock relative to the store's, as a fraction. The bound is
-/// that for backend servers' clocks, since none is specified for the store's.
+/// Largest drift of this process's clock relative to the store's, as a fraction. The
+/// bound is that for backend servers' clocks, since none is specified for the store's.
 const MAX_CLOCK_DRIFT: f64 = 0.02;
 
 /// Readings of the store's clock from its responses.
 ///
-/// The offset between the two clocks is never used, because the clock of a suspended process
-/// stops as well. A local time is known to precede the reading of a call that began after
-/// it, and the store's clock is estimated as its last reading plus the local time since.
+/// The offset between the two clocks is never used, because the clock of a suspended
+/// process stops as well. A local time is known to precede the reading of a call that
+/// began after it, and the store's clock is estimated as its last reading plus the local
+/// time since.
 ///
 /// ```
 /// use {citron_core::time::{StoreClock, StoreTime, Time}, std::time::Duration};
@@ -80,8 +82,8 @@
 }
 
 impl StoreClock {
-    /// Records the store's time from the response to a call that began at `sent` and ended at
-    /// `received`.
+    /// Records the store's time from the response to a call that began at `sent` and
+    /// ended at `received`.
     pub fn record(&mut self, sent: Time, received: Time, store_time: StoreTime) {
         if self.readings.len() == MAX_READINGS {
             self.readings.pop_front();
@@ -93,8 +95,8 @@
         });
     }
 
-    /// A time on the store's clock that is certainly not before a local time; `None` until
-    /// a call that began no earlier than `moment` has been answered.
+    /// A time on the store's clock that is certainly not before a local time; `None`
+    /// until a call that began no earlier than `moment` has been answered.
     pub fn at_or_after(&self, moment: Time) -> Option<StoreTime> {
         let later = self
             .readings
--- a/crates/core/tests/edit.rs
+++ b/crates/core/tests/edit.rs
@@ -277,9 +277,9 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a lost update: an operator edits a row that somebody else has changed since
-/// it was read, and the edit would silently revert that change. The whole edit is rejected,
-/// and the error contains the current row.
+/// Guards against a lost update: an operator edits a row that somebody else has changed
+/// since it was read, and the edit would silently revert that change. The whole edit is
+/// rejected, and the error contains the current row.
 #[test]
 fn an_edit_of_an_older_version_is_lost_as_a_whole() {
     let mut table = deployment();
@@ -329,9 +329,9 @@
     );
 }
 
-/// Guards against reuse of an epoch when a service and its servers are deleted in one edit and
-/// created again under the same name. With a reused epoch, a backend server that still has the
-/// old grant would run requests for a shard that it no longer owns.
+/// Guards against reuse of an epoch when a service and its servers are deleted in one
+/// edit and created again under the same name. With a reused epoch, a backend server that
+/// still has the old grant would run requests for a shard that it no longer owns.
 #[test]
 fn a_deleted_service_takes_its_blocks_and_epochs_are_not_used_again() {
     let mut table = deployment();
@@ -356,10 +356,10 @@
     blocks.flatten().collect()
 }
 
-/// Guards against two edits that are each valid but together violate a rule: two operators
-/// concurrently drain the last two servers of a service through different instances. The
-/// precondition on the other server's row makes the later commit fail, so that it is planned
-/// again and rejected.
+/// Guards against two edits that are each valid but together violate a rule: two
+/// operators concurrently drain the last two servers of a service through different
+/// instances. The precondition on the other server's row makes the later commit fail, so
+/// that it is planned again and rejected.
 #[test]
 fn edits_that_are_valid_only_alone_check_each_other() {
     let mut table = deployment();
@@ -384,8 +384,8 @@
     assert!(plan(&table, drain(&table, 2)).is_err());
 }
 
-/// Guards against a shard whose owner does not exist: an operator deletes a server that owns
-/// nothing yet while a shard is moving to it.
+/// Guards against a shard whose owner does not exist: an operator deletes a server that
+/// owns nothing yet while a shard is moving to it.
 #[test]
 fn a_server_that_shards_are_moving_to_is_not_deleted() {
     let mut table = deployment();
@@ -438,10 +438,10 @@
     }
 }
 
-/// Guards against a shard whose owner does not exist: a planner decides on a move to an idle
-/// server and is suspended, an operator deletes that server, and the planner resumes. Without
-/// the precondition on the server's row the commit would succeed, and the keys would be
-/// unreachable.
+/// Guards against a shard whose owner does not exist: a planner decides on a move to an
+/// idle server and is suspended, an operator deletes that server, and the planner
+/// resumes. Without the precondition on the server's row the commit would succeed, and
+/// the keys would be unreachable.
 #[test]
 fn a_late_move_to_a_deleted_server_is_lost() {
     let mut table = deployment();
--- a/crates/core/tests/fetches.rs
+++ b/crates/core/tests/fetches.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Receives for one millisecond. The fetches whose source is sending share the link evenly.
+    /// Receives for one millisecond. The fetches whose source is sending share the link
+    /// evenly.
     fn receive(&mut self, now: Time, is_sending: impl Fn(usize, f64) -> bool) {
         let check = |(index, (_, remaining)): (usize, &(Fetch, f64))| is_sending(index, *remaining);
         let sending: Vec<bool> = self.open.iter().enumerate().map(check).collect();
@@ -134,8 +135,8 @@
     assert!(!fetches.time_until_idle(first, at(1_552)).is_zero());
 }
 
-/// Guards against polling the store for a table that is being received already, and against
-/// not polling it for one that is not.
+/// Guards against polling the store for a table that is being received already, and
+/// against not polling it for one that is not.
 #[test]
 fn only_a_table_of_which_parts_come_is_arriving() {
     let mut fetches = Fetches::<1>::new(FetchTimes::STANDARD);
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,6 +1,6 @@
-//! Propagation delay of changes in the store, in virtual time. Instances of several failure
-//! domains poll and exchange heartbeats as in production, while the store answers only some
-//! of them.
+//! Propagation delay of changes in the store, in virtual time. Instances of several
+//! failure domains poll and exchange heartbeats as in production, while the store answers
+//! only some of them.
 
 use {
     citron_core::{
@@ -14,8 +14,8 @@
 
 const TIMES: FreshnessTimes = FreshnessTimes::STANDARD;
 const PROPAGATION: PropagationTimes = PropagationTimes::STANDARD;
-/// Bound set by the operators for a change to take effect everywhere: for so long a server
-/// that leaves may still get requests, and an old configuration may be in use.
+/// Bound set by the operators for a change to take effect everywhere: for so long a
+/// server that leaves may still get requests, and an old configuration may be in use.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 const INSTANCES: usize = 10;
 const DOMAINS: usize = 4;
@@ -100,8 +100,8 @@
         }
     }
 
-    /// A simulation that has run for three seconds before the store stops answering some of
-    /// the instances.
+    /// A simulation that has run for three seconds before the store stops answering some
+    /// of the instances.
     fn with_cut_off_instances(seed: u64, loss: u32) -> Self {
         let mut simulation = Self::new(seed, loss);
         let cut_off = cut_off_instances(seed, &mut simulation.rng);
@@ -277,10 +277,10 @@
     }
 }
 
-/// Guards against changes that propagate too late when no pending watch reports them, since
-/// all responses to watches are lost. Whichever instances the store does not answer, and in
-/// whatever phase the others poll, every instance gets a change within the sum of the
-/// configured intervals, which is below the operators' bound.
+/// Guards against changes that propagate too late when no pending watch reports them,
+/// since all responses to watches are lost. Whichever instances the store does not
+/// answer, and in whatever phase the others poll, every instance gets a change within the
+/// sum of the configured intervals, which is below the operators' bound.
 #[test]
 fn a_change_is_known_everywhere_in_time_as_long_as_one_instance_hears_the_store() {
     let max_delay = PROPAGATION.max_delay(&TIMES);
@@ -342,9 +342,9 @@
 }
 
 /// Guards against requests to a server that has left. An instance that has not polled the
-/// store for long, because others have, has not seen an outage. If it assumed one, it would
-/// take a removal for a registration that expired in the outage, and keep the server until
-/// servers have had time to register again.
+/// store for long, because others have, has not seen an outage. If it assumed one, it
+/// would take a removal for a registration that expired in the outage, and keep the
+/// server until servers have had time to register again.
 #[test]
 fn what_others_heard_is_no_outage() {
     let mut fresh = Freshness::<1>::new(TIMES);
@@ -359,8 +359,8 @@
     assert_eq!(outage.end, at(27_000));
 }
 
-/// Guards against a false outage: whichever instance the store answers, no instance's table
-/// reaches the age of an outage.
+/// Guards against a false outage: whichever instance the store answers, no instance's
+/// table reaches the age of an outage.
 #[test]
 fn a_store_that_answers_one_instance_is_not_away() {
     for one in 0..INSTANCES {
@@ -379,8 +379,8 @@
     }
 }
 
-/// Guards against hundreds of calls per second to an unreachable store. Each call is billed,
-/// and one instance that polls is enough to detect that the store is back.
+/// Guards against hundreds of calls per second to an unreachable store. Each call is
+/// billed, and one instance that polls is enough to detect that the store is back.
 #[test]
 fn a_store_that_is_away_is_asked_ever_less() {
     let calls_during_outage = |span: Duration| {
@@ -397,13 +397,15 @@
     let first = calls_during_outage(Duration::from_secs(3));
     let later =
         calls_during_outage(Duration::from_secs(9)) - calls_during_outage(Duration::from_secs(6));
-    // The planner and the readers keep polling, once in 350 ms plus the duration of a call.
+    // The planner and the readers keep polling, once in 350 ms plus the duration of a
+    // call.
     let steady = DOMAINS as u32 * 4;
     let others = INSTANCES as u32 - DOMAINS as u32;
     assert!(later <= steady + others * 2, "{first}, then {later}");
 }
 
-/// Guards against endless calls to the store while transfers of all tables are in progress.
+/// Guards against endless calls to the store while transfers of all tables are in
+/// progress.
 #[test]
 fn the_store_is_not_due_for_tables_that_are_arriving() {
     let mut fresh = Freshness::<2>::new(TIMES);
--- a/crates/core/tests/heartbeats.rs
+++ b/crates/core/tests/heartbeats.rs
@@ -7,8 +7,8 @@
     std::time::Duration,
 };
 
-/// Numbers of instances that exchange heartbeats, in deployments of up to 400 instances in
-/// five failure domains.
+/// Numbers of instances that exchange heartbeats, in deployments of up to 400 instances
+/// in five failure domains.
 const SIZES: [usize; 9] = [2, 5, 7, 12, 16, 28, 39, 60, 80];
 const SENDERS: [Sender; 3] = [Sender::SameDomain, Sender::OtherDomain, Sender::Planner];
 /// Longest time for which a small processor's quota suspends a process.
@@ -41,11 +41,11 @@
     count
 }
 
-/// Guards against live instances that count as lost. With 39 instances in a failure domain,
-/// heartbeats from other domains arrive every 1.5 s, which was the fixed timeout as well. Each
-/// instance then logged hundreds of lines per second about peers that were back, and sent an
-/// immediate heartbeat to all of them. With a timeout that follows the heartbeat interval, no
-/// live instance counts as lost at any size.
+/// Guards against live instances that count as lost. With 39 instances in a failure
+/// domain, heartbeats from other domains arrive every 1.5 s, which was the fixed timeout
+/// as well. Each instance then logged hundreds of lines per second about peers that were
+/// back, and sent an immediate heartbeat to all of them. With a timeout that follows the
+/// heartbeat interval, no live instance counts as lost at any size.
 #[test]
 fn who_is_there_is_not_lost_at_any_size() {
     let with_fixed_timeout = count_timeouts(
@@ -67,8 +67,8 @@
     }
 }
 
-/// Guards against a lost planner that is detected later in larger deployments: the planner's
-/// timeout must not grow with the heartbeat interval of other instances.
+/// Guards against a lost planner that is detected later in larger deployments: the
+/// planner's timeout must not grow with the heartbeat interval of other instances.
 #[test]
 fn a_lost_planner_is_noticed_at_any_size() {
     for size in SIZES {
--- a/crates/core/tests/leadership.rs
+++ b/crates/core/tests/leadership.rs
@@ -12,13 +12,14 @@
     Time::ZERO + Duration::from_millis(millis)
 }
 
-/// Guards against a chain of takeovers when all instances start together: each instance that
-/// has not yet received a heartbeat from the new planner would claim the leadership in turn.
+/// Guards against a chain of takeovers when all instances start together: each instance
+/// that has not yet received a heartbeat from the new planner would claim the leadership
+/// in turn.
 #[test]
 fn a_claim_is_a_sign_of_life() {
     let mut instances: Vec<HolderLiveness> = (0..985).map(|_| HolderLiveness::new(at(0))).collect();
-    // The claim is made 1.6 s after the start, and the last instance receives the claimant's
-    // first heartbeat 1.2 s later.
+    // The claim is made 1.6 s after the start, and the last instance receives the
+    // claimant's first heartbeat 1.2 s later.
     let is_lost = |liveness: &mut HolderLiveness, millis: u64| {
         liveness.record_claim(230, at(millis));
         liveness.is_lost(None, at(millis))
@@ -31,7 +32,8 @@
     }
 }
 
-/// Guards against a late takeover: a failed holder counts as lost right after the timeout.
+/// Guards against a late takeover: a failed holder counts as lost right after the
+/// timeout.
 #[test]
 fn a_holder_that_falls_silent_is_lost_in_time() {
     let mut liveness = HolderLiveness::new(at(0));
@@ -44,13 +46,13 @@
     ));
 }
 
-/// Guards against a change of planner whenever a single answer of the store is lost, while
-/// most calls are answered.
+/// Guards against a change of planner whenever a single answer of the store is lost,
+/// while most calls are answered.
 #[test]
 fn single_lost_answers_do_not_lose_the_store() {
     let mut health = StoreHealth::default();
-    // Two reads per second are answered. Four in ten writes fail, and the failures come between
-    // the reads.
+    // Two reads per second are answered. Four in ten writes fail, and the failures come
+    // between the reads.
     for step in 0..60 {
         let now = at(step * 250);
         match step % 2 {
@@ -61,8 +63,8 @@
     }
 }
 
-/// Guards against late detection of an unreachable store: the first read that fails after a
-/// network partition is enough.
+/// Guards against late detection of an unreachable store: the first read that fails after
+/// a network partition is enough.
 #[test]
 fn a_cut_loses_the_store_with_the_first_read_that_fails() {
     let mut health = StoreHealth::default();
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -31,8 +31,8 @@
     RouteConfig::new(ConfigVersion(1), limits, routes, [])
 }
 
-/// Guards against requests that match no route because the caller or the operator has written
-/// the host name in upper case.
+/// Guards against requests that match no route because the caller or the operator has
+/// written the host name in upper case.
 #[test]
 fn names_of_hosts_are_the_same_in_any_case() {
     let config = config(&["bars.example", "KEGS.example"]);
--- a/crates/core/tests/slo.rs
+++ b/crates/core/tests/slo.rs
@@ -137,9 +137,10 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Guards against a move that counts twice when the series of two instances are merged. Both
-/// instances observe the same minute and the same move, and for one of them all shards are
-/// unreachable for half of the minute. On average, a key is unreachable for a quarter of it.
+/// Guards against a move that counts twice when the series of two instances are merged.
+/// Both instances observe the same minute and the same move, and for one of them all
+/// shards are unreachable for half of the minute. On average, a key is unreachable for a
+/// quarter of it.
 #[test]
 fn instances_are_put_together_without_counting_a_move_twice() {
     let name: ServiceName = "kegs".parse().unwrap();
@@ -170,9 +171,9 @@
     assert_eq!(series.entries().count(), 5);
 }
 
-/// A shard counts as unreachable while its owner releases it, and while the instance is not
-/// permitted to route to the owner: after the lease for owners in other failure domains, and
-/// after the grace period for owners in the instance's own domain.
+/// A shard counts as unreachable while its owner releases it, and while the instance is
+/// not permitted to route to the owner: after the lease for owners in other failure
+/// domains, and after the grace period for owners in the instance's own domain.
 #[test]
 fn shards_are_closed_while_moving_and_without_leave() {
     let second = Duration::from_secs(1);
--- a/crates/core/tests/stale_reports/main.rs
+++ b/crates/core/tests/stale_reports/main.rs
@@ -1,7 +1,7 @@
 //! Dispatch by many instances to the servers of a service, in virtual time, with outdated
-//! load reports. An instance knows the load that other instances of its failure domain put on
-//! a server only from reports, and the newest report is about as old as a request takes. It
-//! knows nothing about the load from other domains.
+//! load reports. An instance knows the load that other instances of its failure domain
+//! put on a server only from reports, and the newest report is about as old as a request
+//! takes. It knows nothing about the load from other domains.
 
 mod simulation;
 
@@ -21,7 +21,7 @@
     report_interval: Duration::from_millis(400),
     demand: 0.7,
     sample_size: 0,
-    is_rate_limited: true,
+    has_concurrency_limit: true,
     keeps_connections: true,
     is_sharded: false,
     objective: Duration::from_millis(1_000),
@@ -38,8 +38,8 @@
     ..LARGE
 };
 
-/// 75 instances in five domains that dispatch to 155 servers that own keys. Each instance gets
-/// reports on a fifth of the requests at a server.
+/// 75 instances in five domains that dispatch to 155 servers that own keys. Each instance
+/// gets reports on a fifth of the requests at a server.
 const SHARDED: Shape = Shape {
     domains: 5,
     instances: 15,
@@ -47,7 +47,7 @@
     slots: 3,
     run_time: Duration::from_millis(190),
     report_interval: Duration::from_millis(200),
-    is_rate_limited: false,
+    has_concurrency_limit: false,
     is_sharded: true,
     objective: Duration::from_millis(600),
     ..LARGE
@@ -66,9 +66,9 @@
 
 /// Guards against instances that all choose the same server. At a demand of 0.7 of the
 /// capacity, with servers that close each connection after its response, a tenth of the
-/// requests took longer than a second: all instances of a domain saw the same server with free
-/// slots and sent requests there until the next reports, 0.4 s later. Choosing the better of
-/// two random servers spreads the requests.
+/// requests took longer than a second: all instances of a domain saw the same server with
+/// free slots and sent requests there until the next reports, 0.4 s later. Choosing the
+/// better of two random servers spreads the requests.
 #[test]
 fn old_reports_do_not_make_all_instances_choose_the_same_server() {
     let closing = Shape {
@@ -87,16 +87,16 @@
     assert!(compare_sample.served() > 0.98, "{compare_sample}");
 }
 
-/// Guards against full queues under overload. At a demand of 1.3 of the capacity, every instance
-/// sees free slots at servers of other domains, which the instances there fill. All queues were
-/// full, and half of the responses were late. The rate limit, which follows response times,
-/// prevents this.
+/// Guards against full queues under overload. At a demand of 1.3 of the capacity, every
+/// instance sees free slots at servers of other domains, which the instances there fill.
+/// All queues were full, and half of the responses were late. The concurrency limit,
+/// which follows response times, prevents this.
 #[test]
 fn demand_beyond_capacity_is_refused_and_the_rest_is_in_time() {
     let demand = 1.3;
     let unlimited = simulate(Shape {
         demand,
-        is_rate_limited: false,
+        has_concurrency_limit: false,
         ..LARGE
     });
     assert!(
@@ -110,7 +110,8 @@
     }
 }
 
-/// Guards against a rate limit that rejects requests although there is capacity for all of them.
+/// Guards against a concurrency limit that rejects requests although there is capacity
+/// for all of them.
 #[test]
 fn the_limit_refuses_next_to_nothing_below_capacity() {
     for shape in [LARGE, SMALL] {
@@ -119,10 +120,10 @@
     }
 }
 
-/// Guards against a new connection for most requests. Each new connection briefly occupies one
-/// of a server's slots, and 65 in 100 requests needed one, because an instance that spreads its
-/// requests over 57 servers uses each of them once in two seconds. A kept connection now decides
-/// between servers that are otherwise equal.
+/// Guards against a new connection for most requests. Each new connection briefly
+/// occupies one of a server's slots, and 65 in 100 requests needed one, because an
+/// instance that spreads its requests over 57 servers uses each of them once in two
+/// seconds. A kept connection now decides between servers that are otherwise equal.
 #[test]
 fn kept_connections_are_used_where_the_service_has_room() {
     let large = simulate(LARGE);
@@ -131,10 +132,10 @@
     assert!(small.connections() < 0.15, "{small}");
 }
 
-/// Guards against rejected requests although the key's owner has a free slot. An instance gets
-/// reports on a fifth of the requests at the owner, and counting each reported request five
-/// times rejected 9 in 100 requests at 0.55 of the capacity. The unreported requests now count
-/// with their mean.
+/// Guards against rejected requests although the key's owner has a free slot. An instance
+/// gets reports on a fifth of the requests at the owner, and counting each reported
+/// request five times rejected 9 in 100 requests at 0.55 of the capacity. The unreported
+/// requests now count with their mean.
 #[test]
 fn one_request_at_an_owner_does_not_make_it_full() {
     let figures = simulate(Shape {
@@ -145,9 +146,10 @@
     assert!(figures.served() > 0.95, "{figures}");
 }
 
-/// Guards against instances that send almost no requests to servers that randomly reject half of
-/// them while slots are free. Every rejection counted as a late response, and the rate limit
-/// fell to its minimum. The load that servers report with a rejection shows that they have room.
+/// Guards against instances that send almost no requests to servers that randomly reject
+/// half of them while slots are free. Every rejection counted as a late response, and the
+/// concurrency limit fell to its minimum. The load that servers report with a rejection
+/// shows that they have room.
 #[test]
 fn servers_that_shed_at_random_go_on_getting_requests() {
     let shedding = Shape {
--- a/crates/core/tests/stale_reports/simulation.rs
+++ b/crates/core/tests/stale_reports/simulation.rs
@@ -22,7 +22,7 @@
 
 /// Network delay between an instance and a server, in one direction.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
-/// Most requests that wait at a server in addition to those in its slots.
+/// Maximum number of requests that wait at a server in addition to those in its slots.
 const MAX_QUEUE_LENGTH: usize = 16;
 /// Longest idle time of a connection that is reused for a request that may run only once.
 const MAX_IDLE: Duration = Duration::from_millis(1_500);
@@ -48,8 +48,8 @@
     pub demand: f64,
     /// Servers that an instance compares.
     pub sample_size: usize,
-    /// Whether instances limit their request rate.
-    pub is_rate_limited: bool,
+    /// Whether instances limit their concurrent requests.
+    pub has_concurrency_limit: bool,
     /// Whether connections are kept for further requests.
     pub keeps_connections: bool,
     /// Whether each request goes to one random server, the owner of its key.
@@ -146,7 +146,7 @@
     loads: LoadTracker,
     /// Times at which the idle connections to each server were last used.
     idle: Vec<Vec<Time>>,
-    pace: ConcurrencyLimit,
+    limit: ConcurrencyLimit,
 }
 
 struct Server {
@@ -177,7 +177,7 @@
             domain: number % shape.domains,
             loads: LoadTracker::default(),
             idle: vec![Vec::new(); shape.domains * shape.servers],
-            pace: ConcurrencyLimit::default(),
+            limit: ConcurrencyLimit::default(),
         });
         let servers = (0..shape.domains * shape.servers).map(|number| Server {
             known: known_server(number, number % shape.domains, shape.slots),
@@ -276,7 +276,7 @@
         let rng = &mut self.rng;
         let is_measured = now > Time::ZERO + WARM_UP;
         self.figures.requests += u32::from(is_measured);
-        if shape.is_rate_limited && !from.pace.admits(rng.random()) {
+        if shape.has_concurrency_limit && !from.limit.admits(rng.random()) {
             self.figures.refused += u32::from(is_measured);
             return;
         }
@@ -297,7 +297,7 @@
         idle.retain(is_fresh);
         let connects = idle.pop().is_none();
         self.figures.connections += u32::from(is_measured && connects);
-        from.pace.begin();
+        from.limit.begin();
         self.requests.push(Request {
             instance,
             server,
@@ -361,7 +361,7 @@
         if self.shape.keeps_connections {
             instance.idle[request.server].push(now);
         }
-        instance.pace.end(
+        instance.limit.end(
             match (finish, span > self.shape.objective.mul_f64(ON_TIME_SHARE)) {
                 (AttemptOutcome::Shed, _) => Timeliness::Unknown,
                 (AttemptOutcome::Full, _) | (_, true) => Timeliness::Late,
--- a/crates/core/tests/staleness.rs
+++ b/crates/core/tests/staleness.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Records the store's answer to a call that began at `begun`, with all changes up to a
-    /// version.
+    /// Records the store's answer to a call that began at `begun`, with all changes up to
+    /// a version.
     fn record_answer(&mut self, version: u64, begun: Time) {
         self.freshness.record_read(0, begun);
         self.versions.record_applied(version);
@@ -65,8 +65,8 @@
     assert_eq!(table.stale_reason(at(1_701)), None);
 }
 
-/// Guards against a denial based on a table of which other instances have a newer version,
-/// until all changes up to that version have arrived.
+/// Guards against a denial based on a table of which other instances have a newer
+/// version, until all changes up to that version have arrived.
 #[test]
 fn a_table_that_is_behind_denies_nothing() {
     let mut table = Table::new();
@@ -84,8 +84,8 @@
     assert_eq!(table.stale_reason(at(60)), None);
 }
 
-/// Guards against a denial based on the last readable version while a newer version cannot
-/// be decoded.
+/// Guards against a denial based on the last readable version while a newer version
+/// cannot be decoded.
 #[test]
 fn a_newer_row_that_cannot_be_read_denies_nothing() {
     let mut table = Table::new();
@@ -103,9 +103,9 @@
     assert_eq!(table.versions.lag(Some(at(50))), Lag::None);
 }
 
-/// Guards against a table that stays stale because an instance has advertised a newer version
-/// and then ended, and against a table that counts as current while another instance still
-/// advertises a newer version.
+/// Guards against a table that stays stale because an instance has advertised a newer
+/// version and then ended, and against a table that counts as current while another
+/// instance still advertises a newer version.
 #[test]
 fn a_newer_version_that_nobody_tells_of_any_more_is_forgotten() {
     let mut table = Table::new();
--- a/crates/core/tests/table.rs
+++ b/crates/core/tests/table.rs
@@ -27,9 +27,9 @@
     }
 }
 
-/// Guards against responses that arrive out of order, one from the platform and one relayed by
-/// another instance. Applying the older response last would revert an accepted edit, and
-/// requests would be sent to a replaced owner.
+/// Guards against responses that arrive out of order, one from the platform and one
+/// relayed by another instance. Applying the older response last would revert an accepted
+/// edit, and requests would be sent to a replaced owner.
 #[test]
 fn an_answer_that_was_overtaken_changes_nothing() {
     let newest = [Some(domain(true)), None];
@@ -43,8 +43,8 @@
     }
 }
 
-/// Guards against missing rows: changes that start after the replica's revision would leave
-/// out the rows in between.
+/// Guards against missing rows: changes that start after the replica's revision would
+/// leave out the rows in between.
 #[test]
 fn changes_with_a_gap_are_refused() {
     let mut table = Table::default();
