--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request has.
+//! Selection of the route for a request.
 
 use {
     citron_core::routes::{
@@ -7,7 +7,7 @@
     std::time::Duration,
 };
 
-fn rule(prefix: &str) -> RouteRule {
+fn route(prefix: &str) -> RouteRule {
     RouteRule {
         name: prefix.to_string(),
         prefix: prefix.to_string(),
@@ -27,12 +27,12 @@
         header_timeout: Duration::from_secs(1),
         idle_timeout: Duration::from_secs(1),
     };
-    let rules = hosts.iter().map(|host| (host.to_string(), rule("/a/")));
-    RouteConfig::new(ConfigVersion(1), limits, rules, [])
+    let routes = hosts.iter().map(|host| (host.to_string(), route("/a/")));
+    RouteConfig::new(ConfigVersion(1), limits, routes, [])
 }
 
-/// Guards against a request without a route as its caller, or the operators, write the
-/// name of the host in capitals.
+/// Guards against requests that match no route because the caller or the operator has
+/// written the host name in upper case.
 #[test]
 fn names_of_hosts_are_the_same_in_any_case() {
     let config = config(&["bars.example", "KEGS.example"]);
--- a/crates/core/tests/stale_reports/main.rs
+++ b/crates/core/tests/stale_reports/main.rs
@@ -1,158 +1,172 @@
-//! Many instances before the servers of a service without keys, in virtual time.
-//! Each instance knows what the others of its failure domain have at servers only
-//! from reports, the newest of which is as old as a request is long; of the other
-//! domains it knows nothing.
+//! Dispatch by many instances to the servers of a service, in virtual time, with outdated
+//! load reports. An instance knows the load that other instances of its failure domain
+//! put on a server only from reports, and the newest report is about as old as a request
+//! takes. It knows nothing about the load from other domains.
 
 mod simulation;
 
 use {
     citron_core::dispatch::sample_size,
-    simulation::{Figures, Shape, World},
+    simulation::{Figures, Shape, Simulation},
     std::time::Duration,
 };
 
-/// 84 instances before 57 servers, whose reports come every 0.4 s.
+/// 84 instances that dispatch to 57 servers and report every 0.4 s.
 const LARGE: Shape = Shape {
     domains: 3,
     instances: 28,
     servers: 19,
     slots: 4,
-    run: Duration::from_millis(300),
-    report: Duration::from_millis(400),
+    run_time: Duration::from_millis(300),
+    report_interval: Duration::from_millis(400),
     demand: 0.7,
     sample_size: 0,
-    paced: true,
-    keeps: true,
-    keyed: false,
+    has_concurrency_limit: true,
+    keeps_connections: true,
+    is_sharded: false,
     objective: Duration::from_millis(1_000),
-    shed: 0.0,
-    tells: false,
+    shed_ratio: 0.0,
+    reports_room: false,
 };
 
-/// Nine instances before six servers, with ten reports a second.
+/// Nine instances that dispatch to six servers and report ten times per second.
 const SMALL: Shape = Shape {
     domains: 3,
     instances: 3,
     servers: 2,
-    report: Duration::from_millis(100),
+    report_interval: Duration::from_millis(100),
     ..LARGE
 };
 
-/// 75 instances in five domains before 155 servers that own keys: each instance
-/// hears of a fifth of the requests at a server.
-const KEYED: Shape = Shape {
+/// 75 instances in five domains that dispatch to 155 servers that own keys. Each instance
+/// gets reports on a fifth of the requests at a server.
+const SHARDED: Shape = Shape {
     domains: 5,
     instances: 15,
     servers: 31,
     slots: 3,
-    run: Duration::from_millis(190),
-    report: Duration::from_millis(200),
-    paced: false,
-    keyed: true,
+    run_time: Duration::from_millis(190),
+    report_interval: Duration::from_millis(200),
+    has_concurrency_limit: false,
+    is_sharded: true,
     objective: Duration::from_millis(600),
     ..LARGE
 };
 
-fn played(shape: Shape) -> Figures {
+fn simulate(shape: Shape) -> Figures {
     let shape = Shape {
         sample_size: match shape.sample_size {
-            0 => sample_size(shape.report),
+            0 => sample_size(shape.report_interval),
             set => set,
         },
         ..shape
     };
-    World::new(shape, 7).play(Duration::from_secs(40))
+    Simulation::new(shape, 7).run_for(Duration::from_secs(40))
 }
 
-/// Callers ask for 0.7 of what the servers can run, and a tenth of them waits
-/// beyond a second, where servers close each connection after its answer: all instances of a domain see the same server with free
-/// slots, and send there until the next reports come 0.4 s later. With the better
-/// one of two drawn at random they spread.
+/// Guards against instances that all choose the same server. At a demand of 0.7 of the
+/// capacity, with servers that close each connection after its response, a tenth of the
+/// requests took longer than a second: all instances of a domain saw the same server with
+/// free slots and sent requests there until the next reports, 0.4 s later. Choosing the
+/// better of two random servers spreads the requests.
 #[test]
 fn old_reports_do_not_make_all_instances_choose_the_same_server() {
     let closing = Shape {
-        keeps: false,
+        keeps_connections: false,
         ..LARGE
     };
-    let all = played(Shape {
+    let compare_all = simulate(Shape {
         sample_size: usize::MAX,
         ..closing
     });
-    let few = played(closing);
-    assert!(all.served() < 0.95, "the pattern is gone: {all}");
-    assert!(few.served() > 0.98, "{few}");
+    let compare_sample = simulate(closing);
+    assert!(
+        compare_all.served() < 0.95,
+        "the fault does not occur: {compare_all}"
+    );
+    assert!(compare_sample.served() > 0.98, "{compare_sample}");
 }
 
-/// Callers ask for 1.3 times what the servers can run. Every instance sees room
-/// at servers of other domains, where the instances there fill it. All queues are
-/// full, and half of the answers are late. The limit follows the answers' times.
+/// Guards against full queues under overload. At a demand of 1.3 of the capacity, every
+/// instance sees free slots at servers of other domains, which the instances there fill.
+/// All queues were full, and half of the responses were late. The concurrency limit,
+/// which follows response times, prevents this.
 #[test]
 fn demand_beyond_capacity_is_refused_and_the_rest_is_in_time() {
     let demand = 1.3;
-    let unpaced = played(Shape {
+    let unlimited = simulate(Shape {
         demand,
-        paced: false,
+        has_concurrency_limit: false,
         ..LARGE
     });
-    assert!(unpaced.served() < 0.55, "the pattern is gone: {unpaced}");
+    assert!(
+        unlimited.served() < 0.55,
+        "the fault does not occur: {unlimited}"
+    );
     for shape in [LARGE, SMALL] {
-        let paced = played(Shape { demand, ..shape });
-        assert!(paced.served() > 0.65, "{paced}");
-        assert!(paced.late() < 0.1, "{paced}");
+        let limited = simulate(Shape { demand, ..shape });
+        assert!(limited.served() > 0.65, "{limited}");
+        assert!(limited.late() < 0.1, "{limited}");
     }
 }
 
-/// The limit must not cost anything while there is room for all.
+/// Guards against a concurrency limit that rejects requests although there is capacity
+/// for all of them.
 #[test]
 fn the_limit_refuses_next_to_nothing_below_capacity() {
     for shape in [LARGE, SMALL] {
-        let figures = played(shape);
+        let figures = simulate(shape);
         assert!(figures.refused() < 0.01, "{figures}");
     }
 }
 
-/// Each new connection holds one of a server's slots for a moment, and 65 in 100
-/// requests needed one: spread over 57 servers an instance asks each of them once
-/// in two seconds. A kept connection decides between servers that are as good.
+/// Guards against a new connection for most requests. Each new connection briefly
+/// occupies one of a server's slots, and 65 in 100 requests needed one, because an
+/// instance that spreads its requests over 57 servers uses each of them once in two
+/// seconds. A kept connection now decides between servers that are otherwise equal.
 #[test]
 fn kept_connections_are_used_where_the_service_has_room() {
-    let large = played(LARGE);
+    let large = simulate(LARGE);
     assert!(large.connections() < 0.15, "{large}");
-    let small = played(SMALL);
+    let small = simulate(SMALL);
     assert!(small.connections() < 0.15, "{small}");
 }
 
-/// Callers of keys are refused though their owner has a free slot. The instance
-/// hears of a fifth of the requests there, and one that happens to be under way
-/// stands for five: at 0.55 of the capacity 9 in 100 were refused. Those that are
-/// not heard of count by their mean.
+/// Guards against rejected requests although the key's owner has a free slot. An instance
+/// gets reports on a fifth of the requests at the owner, and counting each reported
+/// request five times rejected 9 in 100 requests at 0.55 of the capacity. The unreported
+/// requests now count with their mean.
 #[test]
 fn one_request_at_an_owner_does_not_make_it_full() {
-    let figures = played(Shape {
+    let figures = simulate(Shape {
         demand: 0.55,
-        ..KEYED
+        ..SHARDED
     });
     assert!(figures.refused() < 0.03, "{figures}");
     assert!(figures.served() > 0.95, "{figures}");
 }
 
-/// Guards against instances that send next to nothing to servers which refuse half of what
-/// they get at random, with slots free: every refusal counted as a late answer, and the
-/// limit fell to its least. What servers tell of their load shows that they have room.
+/// Guards against instances that send almost no requests to servers that randomly reject
+/// half of them while slots are free. Every rejection counted as a late response, and the
+/// concurrency limit fell to its minimum. The load that servers report with a rejection
+/// shows that they have room.
 #[test]
 fn servers_that_shed_at_random_go_on_getting_requests() {
     let shedding = Shape {
         demand: 0.6,
-        shed: 0.55,
+        shed_ratio: 0.55,
         ..LARGE
     };
-    let untold = played(shedding);
-    let told = played(Shape {
-        tells: true,
+    let without_room = simulate(shedding);
+    let with_room = simulate(Shape {
+        reports_room: true,
         ..shedding
     });
-    assert!(untold.served() < 0.3, "the pattern is gone: {untold}");
-    // All that servers do not refuse at random.
-    assert!(told.served() > 0.43, "{told}");
-    assert!(told.refused() < 0.02, "{told}");
+    assert!(
+        without_room.served() < 0.3,
+        "the fault does not occur: {without_room}"
+    );
+    // All requests that the servers do not reject at random.
+    assert!(with_room.served() > 0.43, "{with_room}");
+    assert!(with_room.refused() < 0.02, "{with_room}");
 }
