--- a/crates/core/src/freshness/staleness.rs
+++ b/crates/core/src/freshness/staleness.rs
@@ -27,13 +27,13 @@
     #[error("its age is unknown")]
     UnknownAge,
     /// The store has been unreachable for longer than [`FreshnessTimes::outage_age`].
-    #[error("it is {} ms old", .0.as_millis())]
+    #[error("it is {}ms old", .0.as_millis())]
     Expired(Duration),
     /// A newer version is known.
-    #[error("a newer version is known")]
+    #[error("a newer one is known of")]
     Lagging,
     /// The store has a newer version that cannot be decoded.
-    #[error("a newer version cannot be decoded")]
+    #[error("a newer one cannot be read")]
     Unreadable,
 }
 
