--- a/crates/citronproxy/src/edge/control/apply.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -1,4 +1,5 @@
-//! Rows from outside, and the product's own, taken in one by one.
+//! Applies rows of the watched tables to the control state, whether read from the store
+//! or fetched from another instance.
 
 use {
     super::{
@@ -19,12 +20,15 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Entries of servers that change together, up to which each has a log line.
+/// Largest number of server entries changed at once that are logged one by one; beyond
+/// it, only their count is logged.
 const LOGGED_SERVERS_MAX: usize = 16;
 
 impl<A: Adapter> Controller<A> {
-    /// Takes in what the store said of a watched table; `whole` if these are all
-    /// rows there are. Other instances hear of changes at once.
+    /// Applies a read of a watched table from the store. `is_snapshot` is true if
+    /// `row_set` holds all rows of the table, false if only the changed ones. A change
+    /// triggers a round of heartbeats, which advertises the new version to the other
+    /// instances.
     pub fn apply_store_rows(&self, table: usize, row_set: RowSet, is_snapshot: bool) {
         let newest_change = if is_snapshot { row_set.version } else { 0 };
         let changed = self.merge_rows(table, row_set, newest_change, is_snapshot);
@@ -33,8 +37,8 @@
         }
     }
 
-    /// Takes in what has changed by another instance's word, in an answer to a call
-    /// that began at `begun`.
+    /// Applies a table fetched from another instance by a call that began at
+    /// `call_started`.
     pub fn apply_peer_table(&self, table: usize, wire: TableWire, call_started: Time) {
         let (newest_change, is_snapshot) = (wire.head.changed, wire.head.whole);
         self.merge_peer_age(table, wire.head.age.into(), call_started);
@@ -48,7 +52,7 @@
         self.publish_freshness(table);
     }
 
-    /// Brings the copy of a table up to date; the changed rows.
+    /// Brings the replica of a table up to date and returns the rows that changed.
     fn merge_rows(
         &self,
         table: usize,
@@ -63,7 +67,8 @@
         }
     }
 
-    /// Whether there was anything to take in.
+    /// Applies changed rows, then publishes the view and wakes the planner. Returns false
+    /// if there were none.
     fn apply_changed_rows(&self, table: usize, changed: &[Row]) -> bool {
         if changed.is_empty() {
             return false;
@@ -73,7 +78,7 @@
         let is_logged = changed.len() <= LOGGED_SERVERS_MAX;
         if WATCHED[table] == RowTable::Servers && !is_logged {
             let (event, count) = (events::SERVER_STATE, changed.len());
-            log::info!("{event} {count} entries at once");
+            log::info!("{event} {count} entries changed at once");
         }
         for row in changed {
             match WATCHED[table] {
@@ -88,8 +93,9 @@
         true
     }
 
-    /// The newest configuration counts, whatever comes in which order; one that
-    /// cannot be read leaves the last good one in force.
+    /// Applies a row of the configuration table: an evacuation or a configuration. The
+    /// highest configuration version wins, in whatever order rows arrive; an unreadable
+    /// row leaves the last valid configuration in force.
     fn apply_config(&self, state: &mut ControlState, row: &Row) {
         match self.adapter.evacuation(row) {
             Ok(None) => {}
@@ -123,7 +129,9 @@
         let servers = servers.filter(|known| known.entry.domain == *domain);
         let servers = servers.count();
         let event = events::EVACUATION;
-        log::info!("{event} of {domain}: {change}, row {version}, {servers} servers known there");
+        log::info!(
+            "{event} of {domain}: {change}, row {version}, {servers} known servers affected"
+        );
         match evacuation {
             Evacuation::Begun(domain) => state.registry.evacuate(domain, now),
             Evacuation::Ended(domain) => {
@@ -143,7 +151,9 @@
             let retention = state.registry.remove_entry(&row.key, now);
             let (event, id, version) = (events::SERVER_STATE, &row.key, row.version);
             if is_logged {
-                log::info!("{event} {id}: listed no more, row {version}, kept for {retention:?}");
+                log::info!(
+                    "{event} {id}: no longer registered, row {version}, kept for {retention:?}"
+                );
             }
             return;
         }
--- a/crates/citronproxy/src/edge/control/codec.rs
+++ b/crates/citronproxy/src/edge/control/codec.rs
@@ -1,4 +1,4 @@
-//! The product's own rows and messages between instances.
+//! Formats of the rows that citronproxy itself writes to the store.
 
 use {
     citron_core::{
@@ -12,20 +12,20 @@
 
 /// Row key of the planner's leadership.
 pub const PLANNER_KEY: &str = "planner";
-/// Row key of the planners that were replaced.
+/// Row key of the list of former planners.
 pub const FORMER_PLANNERS_KEY: &str = "formers";
-/// Begin of the row keys of maps; the service's name follows, and for a part of its keys
-/// [`MAP_RANGE_SEPARATOR`] and these.
+/// Prefix of the row keys of maps. The service name follows; if the row holds only a part
+/// of the keys, [`MAP_RANGE_SEPARATOR`] and the key range come after it.
 const MAP_KEY_PREFIX: &str = "map.";
-/// Between a service's name, which cannot hold it, and the keys of a part.
+/// Separates the service name, which cannot contain it, from the key range of a part.
 const MAP_RANGE_SEPARATOR: char = '/';
 
-/// Where a part of a map is stored.
+/// Row key of a map, or of a part of a map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MapKey {
-    /// The service.
+    /// Service that the map belongs to.
     pub service: ServiceName,
-    /// Its keys that the row holds.
+    /// Keys that the row holds.
     pub range: KeyRange,
 }
 
@@ -45,7 +45,7 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let name = text
             .strip_prefix(MAP_KEY_PREFIX)
-            .ok_or("not the row of a map")?;
+            .ok_or("not the key of a map row")?;
         let (service, range) = match name.split_once(MAP_RANGE_SEPARATOR) {
             Some((service, range)) => (service, range.parse().map_err(error_text)?),
             None => (name, KeyRange::ALL),
@@ -59,41 +59,42 @@
     error.to_string()
 }
 
-/// Who plans.
+/// Row that names the current planner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipWire {
-    /// Name of the instance.
+    /// Name of the planner's instance.
     pub instance: String,
-    /// Its start.
+    /// Incarnation of that instance: a number drawn at each start of its process.
     pub start: u64,
-    /// Planners before it that may not have stopped yet: name and start.
+    /// Former planners that may still be acting: instance name and incarnation.
     #[serde(default)]
     pub before: Vec<(String, u64)>,
 }
 
-/// Planners that were replaced, and the store's milliseconds by which each has
-/// surely stopped: name, start, time.
+/// Former planners: instance name, incarnation, and the store time in milliseconds by
+/// which each has certainly stopped.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormerPlannersWire(pub Vec<(String, u64, u64)>);
 
-/// Where an instance reaches others.
+/// Row by which an instance announces its address to the others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberWire {
-    /// Its address for other instances.
+    /// Address on which the instance talks to other instances, over TCP and UDP.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
 }
 
-/// Slices of a map. Servers are listed once and named by their place.
+/// Slices of a map. Each server name is listed once; slices refer to it by its index.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MapWire {
     servers: Vec<String>,
     slices: Vec<SliceWire>,
 }
 
-/// First key, place of the owner, epoch, handover, and the store's milliseconds at
-/// which the lease has run out. A slice ends where the next one begins.
+/// First key, index of the owner in `servers`, epoch, handover, and the store time in
+/// milliseconds at which the lease expires. A slice ends before the first key of the next
+/// one.
 #[derive(Debug, Deserialize)]
 struct SliceWire(
     u16,
@@ -103,8 +104,8 @@
     #[serde(default)] Option<u64>,
 );
 
-/// Without what is missing at the end: a row holds little, and most slices carry
-/// neither a handover nor an end.
+/// Omits absent trailing fields: the size of a row is limited, and most slices have
+/// neither a handover nor an expiry.
 impl Serialize for SliceWire {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let Self(first, owner, epoch, handover, expiry) = self;
@@ -142,24 +143,30 @@
 }
 
 impl MapWire {
-    /// The slices, which must hold just the keys of a range.
+    /// Converts to slices, which must cover exactly the keys of `range`.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// A description of the first invalid slice.
     pub fn into_slices(self, range: KeyRange) -> Result<Vec<Slice>, String> {
         if self.slices.first().map(|slice| slice.0) != Some(range.first.0) {
-            return Err(format!("no slice begins at key {}", range.first));
+            return Err(format!(
+                "the first slice does not begin at key {}",
+                range.first
+            ));
         }
         let mut slices = Vec::with_capacity(self.slices.len());
         let last_keys = self.slices.iter().skip(1).map(|next| next.0.checked_sub(1));
         let last_keys = last_keys.chain([Some(range.last.0)]);
         for (slice, last) in self.slices.iter().zip(last_keys) {
-            let last = last.ok_or("a slice begins at key 0 after another")?;
+            let last = last.ok_or("a slice other than the first begins at key 0")?;
             let key_range = KeyRange::new(RangeKey(slice.0), RangeKey(last)).map_err(error_text)?;
             let owner = slice.1.map(|index| {
-                let name = self.servers.get(index).ok_or("an owner is not listed")?;
+                let name = self
+                    .servers
+                    .get(index)
+                    .ok_or("the index of an owner is out of range")?;
                 name.parse::<ServerName>()
-                    .map_err(|_| "an owner's name is malformed")
+                    .map_err(|_| "the name of an owner is malformed")
             });
             slices.push(Slice {
                 range: key_range,
--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -1,4 +1,4 @@
-//! What control knows, and the tasks that keep it so.
+//! State of the control thread, and the tasks that it runs.
 
 use {
     super::{
@@ -48,107 +48,111 @@
     },
 };
 
-/// How often entries whose time is over are looked for.
+/// Interval between two checks for expired server entries.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
-/// One start of an instance that plans, or planned.
+/// One incarnation of an instance that is, or was, the planner.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlannerId {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its start.
+    /// Number drawn at the start of its process.
     pub incarnation: u64,
 }
 
-/// Who plans, and the version of the row that says so.
+/// The current planner, and the version of the row that names it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Leadership {
-    /// The planner.
+    /// The current planner.
     pub planner: PlannerId,
-    /// Those before it that may not have stopped yet.
+    /// Former planners that may still be acting.
     pub predecessors: Vec<PlannerId>,
-    /// Version of the row.
+    /// Version of the row in the store.
     pub version: u64,
 }
 
-/// Everything that control knows.
+/// State of the control thread.
 #[derive(Debug)]
 pub struct ControlState {
-    /// Copies of the watched tables, in the order of [`WATCHED`].
+    /// Replicas of the watched tables, in the order of [`WATCHED`].
     pub replicas: [TableReplica; 3],
-    /// Servers.
+    /// Registered backend servers.
     pub registry: Registry,
-    /// The newest configuration.
+    /// Newest valid configuration.
     pub config: Option<Arc<RouteConfig>>,
-    /// Owners of keys.
+    /// Owners of keys, by service.
     pub maps: BTreeMap<ServiceName, Arc<PartitionedMap>>,
-    /// Who plans.
+    /// Current planner; `None` until the store has named one.
     pub leadership: Option<Leadership>,
     /// Other instances.
     pub peers: Peers,
-    /// Whether this instance acts as the planner.
+    /// Whether this instance is the planner.
     pub is_planning: bool,
-    /// When the store last told what the maps and the leadership are: the begin of
-    /// the call. Answers about other tables do not tell a planner that it still is.
+    /// Start of the last store call that returned the maps and the leadership, or wrote
+    /// under the condition that they are unchanged. Reads of other tables do not confirm
+    /// to a planner that it still has the leadership.
     pub ranges_confirmed_at: Time,
-    /// Planners that were replaced, and when each has surely stopped.
+    /// Former planners, and the store time by which each has certainly stopped.
     pub former_planners: BTreeMap<PlannerId, StoreTime>,
-    /// The store's clock.
+    /// Estimate of the store's clock.
     pub store_clock: StoreClock,
-    /// Whether the store answers.
+    /// Whether the store answers this instance.
     pub store_health: StoreHealth,
-    /// As of when the watched tables are known.
+    /// Moments as of which the watched tables are known.
     pub freshness: Freshness<{ WATCHED.len() }>,
-    /// The newest configuration that was heard of.
+    /// Configuration versions that this instance has applied and that peers advertise.
     pub config_versions: VersionTracker,
-    /// Who sends to cold servers, once the other instances are known.
+    /// Instances among which the request rate of cold servers is divided. `None` until
+    /// the other instances are known.
     pub slow_start_group: Option<Arc<SlowStartGroup>>,
 }
 
-/// The control thread's centre.
+/// Context of the control thread, shared by its tasks.
 #[derive(Debug)]
 pub struct Controller<A> {
-    /// The platform.
+    /// Adapter of the operator's platform.
     pub adapter: A,
-    /// The settings.
+    /// Settings of this instance.
     pub settings: EdgeSettings,
-    /// The clock.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// What is shared with traffic.
+    /// State shared with the traffic thread.
     pub shared: Arc<SharedState>,
-    /// Drawn at each start of the process.
+    /// Incarnation of this instance: a random number drawn at each start of the process.
     pub incarnation: u64,
-    /// What is known.
+    /// State of the control thread.
     pub state: RefCell<ControlState>,
-    /// Whether the store answers.
+    /// Whether the store is reachable; tasks wait for it to change.
     pub store_up: latest::Sender<bool>,
-    /// When this instance was entered among the members, and knew them.
+    /// When this instance had written its member row, or tried to, and had read those of
+    /// the others.
     pub registered_at: Cell<Option<Time>>,
-    /// Questions to the store that are open.
+    /// Long polls that are open at the store.
     pub long_polls: refresh::LongPolls,
-    /// What callers ask for, if this instance plans.
+    /// Demand for keys. Only the planner collects it.
     pub demands: RefCell<DemandTracker>,
-    /// Tables that are on their way here.
+    /// Transfers of tables to this instance that are in progress.
     pub fetches: RefCell<Fetches<{ WATCHED.len() }>>,
-    /// Tables asked for from others.
+    /// Exchange of tables with other instances.
     pub relay: relay::Relay,
-    /// Keys on their way, to be told to others.
+    /// Key moves that wait to be broadcast.
     pub move_outbox: MoveOutbox,
-    /// How many instances were heard for the first time, or again, since the last view.
+    /// Number of peers that appeared, or reappeared, since the last published view.
     pub new_peers: Cell<usize>,
-    /// Edits of the other instances that the group goes by.
+    /// Value of [`Peers::membership_edits`] as of which the slow-start group was
+    /// computed.
     grouped_edits: Cell<u64>,
     /// Wakes the planner.
     pub plan_trigger: Notify,
-    /// Wakes the sender of heartbeats.
+    /// Triggers a round of heartbeats to all recipients at once.
     pub heartbeat_trigger: Notify,
-    /// What is counted.
+    /// Metrics of the control thread.
     pub metrics: ControlMetrics,
 }
 
-/// Runs control until the process ends.
+/// Runs the control thread until the process exits.
 ///
 /// # Errors
-/// If an address cannot be listened on.
+/// If an address cannot be listened on, or a metric name is already registered.
 pub async fn run<A: Adapter>(
     adapter: A,
     settings: EdgeSettings,
@@ -192,8 +196,8 @@
             controller.publish_view();
         }
         if changed {
-            // Each start of a server has a name of its own: kept for ever, their
-            // loads would add up.
+            // Each start of a server has a name of its own, so the loads of expired
+            // servers would otherwise accumulate.
             let state = controller.state.borrow();
             let is_registered = |name: &ServerName| state.registry.get(name).is_some();
             controller.shared.loads().retain(is_registered);
@@ -254,21 +258,23 @@
         *self.shared.subscribe_leaving().borrow()
     }
 
-    /// Whether this instance plans under this version of the planner's row.
+    /// Whether this instance is the planner under the given version of the leadership
+    /// row.
     pub fn is_planning_under(&self, version: u64) -> bool {
         let state = self.state.borrow();
         let version_in_force = state.leadership.as_ref().map(|row| row.version);
         state.is_planning && version_in_force == Some(version)
     }
 
-    /// The store told what the maps and the leadership are, or took a write on the
-    /// condition of them, in a call that began at `begun`.
+    /// Records that a call begun at `call_started` returned the maps and the leadership,
+    /// or wrote under the condition that they are unchanged.
     pub fn confirm_ranges(&self, call_started: Time) {
         let mut state = self.state.borrow_mut();
         state.ranges_confirmed_at = state.ranges_confirmed_at.max(call_started);
     }
 
-    /// The store answered a call that began at `begun`, and may have told its time.
+    /// Records that the store answered a call begun at `call_started`. `store_time` is
+    /// the store's clock, if the answer contains it.
     pub fn on_store_success(&self, call_started: Time, store_time: Option<StoreTime>) {
         self.metrics.count_store_call(true);
         let mut state = self.state.borrow_mut();
@@ -282,8 +288,8 @@
             .send_if_modified(|is_up| !std::mem::replace(is_up, true));
     }
 
-    /// The store answered a question about a table that began at `begun`; `whole` if
-    /// it told all rows there are.
+    /// Applies a read of a table from the store, begun at `call_started`. `is_snapshot`
+    /// is true if `row_set` holds all rows of the table.
     pub fn on_table_read(
         &self,
         table: usize,
@@ -297,7 +303,7 @@
         }
         self.record_store_read(table, call_started);
         for other in 0..WATCHED.len() {
-            // Nothing at all was written since that one was read.
+            // No row of any table has been written since the other table was read.
             if self.state.borrow().replicas[other].version == row_set.version {
                 self.record_store_read(other, call_started);
             }
@@ -306,20 +312,22 @@
         (0..WATCHED.len()).for_each(|table| self.publish_freshness(table));
     }
 
-    /// A table is known as of a moment. To be called before what it tells is taken in:
-    /// entries that are missing after an outage may have lapsed in it.
+    /// Records that a table is known as of `as_of`. Must run before the rows are applied:
+    /// entries missing after an outage may have expired during the outage.
     fn record_store_read(&self, table: usize, as_of: Time) {
         let outage = self.state.borrow_mut().freshness.record_read(table, as_of);
         self.on_outage_end(table, outage);
     }
 
-    /// Another instance, whose table is the same, said then how old it is.
+    /// Records the age that a peer with the same version of a table reported at
+    /// `said_at`, and publishes the freshness.
     pub fn record_peer_age(&self, table: usize, age: Option<Duration>, said_at: Time) {
         self.merge_peer_age(table, age, said_at);
         self.publish_freshness(table);
     }
 
-    /// As [`Self::known_elsewhere`], before the other's table is taken in.
+    /// Records the age that a peer reported at `said_at`, without publishing it. Used
+    /// before the rows of the peer's table are applied.
     pub fn merge_peer_age(&self, table: usize, age: Option<Duration>, said_at: Time) {
         let outage = self
             .state
@@ -329,8 +337,9 @@
         self.on_outage_end(table, outage);
     }
 
-    /// Tells traffic how current a table is. To be called once what is known is in
-    /// force: traffic would deny requests by the old table as if it were the new one.
+    /// Publishes to the traffic thread how current a table is. Must run after the rows
+    /// are in force; otherwise traffic would deny requests by the old table as if it were
+    /// the new one.
     pub fn publish_freshness(&self, table: usize) {
         let mut state = self.state.borrow_mut();
         if table == CONFIG {
@@ -344,7 +353,7 @@
         }
     }
 
-    /// Another instance says which configuration it has.
+    /// Records the configuration version that a peer advertises.
     pub fn record_peer_config_version(&self, heartbeat: &Heartbeat) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
@@ -368,13 +377,13 @@
             .registry
             .on_store_recovered(outage.end);
         log::info!(
-            "{} nothing heard for {:?}",
+            "{} no instance reached the store for {:?}",
             events::STORE_BACK,
             outage.duration
         );
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed. `call` names the call in the log.
     pub fn on_store_failure(&self, call: &str, error: &StoreError) {
         self.metrics.count_store_call(false);
         let mut state = self.state.borrow_mut();
@@ -392,7 +401,7 @@
         }
     }
 
-    /// Takes in parts of a map that this instance has just written.
+    /// Applies parts of a map that this instance has just written.
     pub fn apply_committed_parts(
         &self,
         service: &ServiceName,
@@ -413,12 +422,12 @@
         self.publish_view();
     }
 
-    /// Hands what is known to traffic, once there is a configuration and servers
-    /// have been read.
+    /// Publishes a view to the traffic thread, once a configuration is known and the
+    /// table of servers has been read.
     pub fn publish_view(&self) {
         let new_peers = self.new_peers.take();
         if new_peers > heartbeat::LOGGED_PEERS_MAX {
-            log::info!("{} {new_peers} instances", events::PEER_HEARD);
+            log::info!("{} {new_peers} instances appeared", events::PEER_HEARD);
         }
         let servers = self.state.borrow_mut().registry.server_lists().clone();
         let state = self.state.borrow();
@@ -445,7 +454,8 @@
         });
     }
 
-    /// Works out anew who sends to cold servers; whether that has changed.
+    /// Recomputes the instances among which the request rate of cold servers is divided.
+    /// Returns whether they have changed.
     fn update_slow_start_group(&self) -> bool {
         let now = self.clock.now();
         let is_settled = |registered_at| now - registered_at > COLD_WINDOW;
@@ -481,7 +491,7 @@
             .map(Into::into)
     }
 
-    /// What this instance tells others now.
+    /// Builds the heartbeat that this instance sends now.
     pub fn heartbeat(&self) -> Heartbeat {
         let now = self.clock.now();
         let loads = self.shared.loads().local_loads(now);
--- a/crates/citronproxy/src/edge/control/demand.rs
+++ b/crates/citronproxy/src/edge/control/demand.rs
@@ -1,4 +1,4 @@
-//! What callers ask for, as the planner hears it.
+//! Demand for keys, as reported to the planner.
 
 use {
     citron_core::{
@@ -17,7 +17,7 @@
 }
 
 impl DemandTracker {
-    /// Counts a request.
+    /// Counts a request for a key.
     pub fn add(&mut self, service: &ServiceName, key: RangeKey, now: Time) {
         if !self.services.contains_key(service) {
             self.services
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Looks whether other keys of a service are asked for all of a sudden.
+    /// Checks whether the demand of a service has shifted abruptly to other keys, and
+    /// remembers it for [`Self::take_sudden_change`].
     pub fn check_sudden_change(&mut self, service: &ServiceName, now: Time) -> bool {
         let windows = self.services.get_mut(service);
         let is_sudden = windows.is_some_and(|windows| windows.detect_change(now));
@@ -36,23 +37,23 @@
         is_sudden
     }
 
-    /// Whether that was so since the last call.
+    /// Whether any service has had a sudden change since the last call.
     pub fn take_sudden_change(&mut self) -> bool {
         std::mem::take(&mut self.has_sudden_change)
     }
 
-    /// Whether too little is known yet of a change.
+    /// Whether a recent change has not been observed long enough for planning.
     pub fn is_settling(&self, now: Time) -> bool {
         let mut services = self.services.values();
         services.any(|windows| windows.is_settling(now))
     }
 
-    /// Whether callers have asked for keys of a service.
+    /// Whether any key of a service has been requested.
     pub fn is_requested(&self, service: &ServiceName) -> bool {
         self.services.contains_key(service)
     }
 
-    /// The demand that plans go by.
+    /// Demand of a service that plans are based on.
     pub fn current(&self, service: &ServiceName, now: Time) -> Demand {
         let windows = self.services.get(service);
         windows.map_or_else(Demand::default, |windows| windows.snapshot(now))
--- a/crates/citronproxy/src/edge/control/election.rs
+++ b/crates/citronproxy/src/edge/control/election.rs
@@ -1,8 +1,8 @@
-//! Which instance plans.
+//! Election of the planner.
 //!
-//! A row of the store names it. Safety never rests on there being one planner:
-//! each change of a map is written under the condition that the row is still the
-//! planner's own. The row only keeps two from working against each other.
+//! A row in the store names the planner. Correctness does not depend on there being only
+//! one: each change of a map is written under the condition that the row still names its
+//! writer. The row only prevents two planners from working against each other.
 
 use {
     super::{
@@ -15,29 +15,30 @@
     std::time::Duration,
 };
 
-/// Pause between the claims of two instances, by their rank: the first one's is
-/// written and known to all meanwhile.
+/// Delay between the claims of two instances, multiplied by their rank. It suffices for
+/// the first claim to be written and to reach all instances.
 const CLAIM_STAGGER: Duration = Duration::from_millis(150);
-/// How long a planner that the store does not answer is left its leadership: it may
-/// still renew, and only lacks moves.
+/// How long a planner that cannot reach the store keeps the leadership. It can still
+/// renew leases meanwhile; only moves are delayed.
 const STORE_OUTAGE_GRACE: Duration = Duration::from_secs(2);
 
-/// How long the first instances of a deployment wait before one of them claims: by then they
-/// have heard which of them has the most of a processor.
+/// How long the first instances of a deployment wait before one of them claims. By then
+/// their heartbeats have been exchanged, which report how large a share of a processor
+/// each has.
 const FIRST_CLAIM_DELAY: Duration = Duration::from_secs(1);
 
-/// An instance that may claim the leadership.
+/// Instance that may claim the leadership.
 #[derive(Debug)]
 pub struct Claimant<'a> {
-    /// Its settings.
+    /// Settings of the instance.
     pub settings: &'a EdgeSettings,
-    /// Its start.
+    /// Incarnation of the instance.
     pub incarnation: u64,
-    /// When it was entered among the members.
+    /// When the instance was registered as a member and knew the others; `None` before.
     pub registered_at: Option<Time>,
 }
 
-/// Watches the leadership.
+/// Decides when this instance claims the leadership.
 #[derive(Debug)]
 pub struct Election {
     started_at: Time,
@@ -46,7 +47,7 @@
 }
 
 impl Election {
-    /// For an instance that started now.
+    /// Creates the state of an instance that started at `now`.
     pub fn new(now: Time) -> Self {
         Self {
             started_at: now,
@@ -75,7 +76,7 @@
         now - vacant_since >= CLAIM_STAGGER * claim_rank(state, claimant.settings, now)
     }
 
-    /// After a claim that was not the first: others are given time.
+    /// Restarts the delay after a claim, so that other instances get their turn.
     pub fn restart_claim_delay(&mut self, now: Time) {
         self.vacant_since = Some(now);
     }
@@ -86,13 +87,15 @@
         };
         let planner = &leadership.planner;
         if planner.instance == claimant.settings.instance {
-            // This start is named and does not plan if the answer to its claim was lost.
+            // If the answer to a claim was lost, the row names this incarnation although
+            // it does not plan.
             return planner.incarnation != claimant.incarnation || !state.is_planning;
         }
         if has_ended(state, planner) {
             return true;
         }
-        // Before others know this instance they cannot tell it anything.
+        // Until this instance is registered, the others do not know its address, so that
+        // their silence means nothing.
         let Some(registered_at) = claimant.registered_at else {
             return false;
         };
@@ -111,15 +114,16 @@
     }
 }
 
-/// Whether a start has surely ended.
+/// Whether an incarnation has certainly ended: a heartbeat of another incarnation of the
+/// same instance was received.
 pub fn has_ended(state: &ControlState, planner: &PlannerId) -> bool {
     let peer = state.peers.get(&planner.instance);
     let heartbeat = peer.and_then(|peer| peer.heartbeat.as_ref());
     heartbeat.is_some_and(|heartbeat| heartbeat.start != planner.incarnation)
 }
 
-/// Whether a former planner has surely stopped, now that `version` of the row
-/// names another.
+/// Whether a former planner has certainly stopped, given that `version` of the leadership
+/// row names another one.
 pub fn has_stopped_planning(state: &ControlState, planner: &PlannerId, version: u64) -> bool {
     let peer = state.peers.get(&planner.instance);
     let heartbeat = peer.and_then(|peer| peer.heartbeat.as_ref());
@@ -128,8 +132,8 @@
     has_ended(state, planner) || heartbeat.is_some_and(stopped_planning)
 }
 
-/// Whether a planner's heartbeats reach this instance: with many instances only in
-/// its failure domain, and the first one of each other.
+/// Whether the planner's heartbeats reach this instance. In a partial mesh, they reach
+/// only its own failure domain and the first instance of each other one.
 fn receives_planner_heartbeats(state: &ControlState, settings: &EdgeSettings, now: Time) -> bool {
     let same_domain = |peer: &Peer| peer.domain.as_ref() == Some(&settings.domain);
     let mut live = state.peers.live(now);
@@ -141,7 +145,7 @@
     is_first || state.peers.is_full_mesh() || planner.is_some_and(same_domain)
 }
 
-/// Live instances that come before this one.
+/// Number of live instances that claim before this one.
 fn claim_rank(state: &ControlState, settings: &EdgeSettings, now: Time) -> u32 {
     let preferred = state
         .peers
--- a/crates/citronproxy/src/edge/control/heartbeat.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between instances, over UDP.
+//! UDP datagrams between instances: heartbeats, reports of requested keys, and key moves.
 
 use {
     super::{controller::Controller, key_report, moves, peers::HeartbeatRound, refresh, relay},
@@ -14,15 +14,17 @@
     tokio::{net::UdpSocket, time::timeout},
 };
 
-/// Instances heard anew together, up to which each has a log line.
+/// Largest number of peers appearing between two views that are logged one by one; beyond
+/// it, only their count is logged.
 pub const LOGGED_PEERS_MAX: usize = 8;
-/// Datagrams that are taken before other tasks have their turn.
+/// Largest number of datagrams handled before other tasks run.
 const RECEIVE_BATCH_MAX: usize = 64;
-/// Datagrams that are read longer after the socket was empty count as sent then: the
-/// process was suspended or starved, and they may have waited since.
+/// If the socket was last empty longer ago than this, the process was suspended or
+/// starved, and its datagrams may have been queued since. They then count as sent when
+/// the socket was last empty, so that the ages they report are not underestimated.
 const QUEUE_DELAY_MAX: Duration = Duration::from_millis(200);
 
-/// Listens for datagrams.
+/// Binds the UDP socket.
 ///
 /// # Errors
 /// If the address is taken.
@@ -34,7 +36,7 @@
     })
 }
 
-/// Sends and takes datagrams for good.
+/// Sends and receives datagrams until the process exits.
 pub async fn run<A: Adapter>(controller: Rc<Controller<A>>, socket: UdpSocket) {
     tokio::join!(
         send_loop(&controller, &socket),
@@ -65,7 +67,8 @@
             .await
             .is_ok()
         {
-            // Something that all should know at once.
+            // The change is sent to all recipients at once: round 0 includes those that
+            // most rounds skip.
             round_number = 0;
         }
     }
@@ -96,7 +99,10 @@
     let (Some(without_loads), Some(full)) =
         (without_loads.encode_fitting(), heartbeat.encode_fitting())
     else {
-        return log::error!("{} a heartbeat is too long", events::DATAGRAM_REFUSED);
+        return log::error!(
+            "{} a heartbeat does not fit into a datagram",
+            events::DATAGRAM_REFUSED
+        );
     };
     for recipient in recipients {
         let bytes = if recipient.with_loads {
@@ -108,27 +114,29 @@
     }
 }
 
-/// Sends a datagram; what is lost is sent again with the next one.
+/// Sends a datagram. Failures are only logged: the information is sent again with the
+/// next one.
 pub async fn send_datagram(socket: &UdpSocket, bytes: &[u8], address: SocketAddr) {
     if let Err(error) = socket.send_to(bytes, address).await {
-        log::debug!("a datagram to {address}: {error}");
+        log::debug!("cannot send a datagram to {address}: {error}");
     }
 }
 
 async fn receive_loop<A: Adapter>(controller: &Rc<Controller<A>>, socket: &UdpSocket) {
-    // When no datagram was waiting.
+    // When the socket was last seen empty.
     let mut drained_at = controller.clock.now();
     loop {
         let wait_started = controller.clock.now();
         match timeout(PropagationTimes::STANDARD.poll_interval, socket.readable()).await {
             Ok(Ok(())) => drained_at = receive_batch(controller, socket, drained_at),
-            Ok(Err(error)) => log::debug!("receive datagrams: {error}"),
+            Ok(Err(error)) => log::debug!("cannot wait for datagrams: {error}"),
             Err(_) => drained_at = wait_started,
         }
     }
 }
 
-/// Takes datagrams that have come since a moment; when none was waiting any more.
+/// Handles the datagrams that have arrived since `drained_at`, when the socket was last
+/// empty. Returns when it was last empty now.
 fn receive_batch<A: Adapter>(
     controller: &Rc<Controller<A>>,
     socket: &UdpSocket,
@@ -149,29 +157,33 @@
                 }
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => return now,
-            Err(error) => log::debug!("receive a datagram: {error}"),
+            Err(error) => log::debug!("cannot receive a datagram: {error}"),
         }
     }
     drained_at
 }
 
-/// Answers the first heartbeat of an instance. Only that one is told: after a start of
-/// all at once, a round to all for each that is heard would be their number squared.
+/// Answers the first heartbeat of a peer, to this peer only. When all instances start at
+/// once, a full round for each new peer would send a number of datagrams that is the
+/// square of the number of instances.
 fn reply_to_new_peer<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket, to: SocketAddr) {
     let heartbeat = Heartbeat {
         loads: Vec::new(),
         ..controller.heartbeat()
     };
     let Some(bytes) = heartbeat.encode_fitting() else {
-        return log::error!("{} a heartbeat is too long", events::DATAGRAM_REFUSED);
+        return log::error!(
+            "{} a heartbeat does not fit into a datagram",
+            events::DATAGRAM_REFUSED
+        );
     };
     if let Err(error) = socket.try_send_to(&bytes, to) {
-        log::debug!("a datagram to {to}: {error}");
+        log::debug!("cannot send a datagram to {to}: {error}");
     }
 }
 
-/// Takes a datagram that was sent then, as far as is known; whether its sender was not
-/// known, or lost, before.
+/// Handles a datagram that was sent at `sent`, as far as is known. Returns whether its
+/// sender was unknown, lost or restarted before.
 fn handle_datagram<A: Adapter>(
     controller: &Rc<Controller<A>>,
     from: SocketAddr,
@@ -190,7 +202,10 @@
         Some(Datagram::Moves(moves)) => controller.apply_moves(moves),
         None => {
             let size = bytes.len();
-            log::warn!("{} {size} bytes from {from}", events::DATAGRAM_REFUSED);
+            log::warn!(
+                "{} cannot decode {size} bytes from {from}",
+                events::DATAGRAM_REFUSED
+            );
         }
     }
     false
@@ -241,8 +256,8 @@
 }
 
 impl<A: Adapter> Controller<A> {
-    /// Whether a heartbeat tells its sender's loads. Without any it may say that there
-    /// are none, or only that this instance is not told.
+    /// Whether a heartbeat reports its sender's loads. An empty list may mean either that
+    /// the sender has no loads or that this instance is not a recipient of them.
     fn reports_loads(&self, heartbeat: &Heartbeat) -> bool {
         if !heartbeat.loads.is_empty() {
             return true;
--- a/crates/citronproxy/src/edge/control/key_report.rs
+++ b/crates/citronproxy/src/edge/control/key_report.rs
@@ -1,4 +1,4 @@
-//! The keys that callers ask for, on their way to the planner.
+//! Reports the keys that callers request to the planner.
 
 use {
     super::{controller::Controller, heartbeat::send_datagram},
@@ -9,13 +9,14 @@
     tokio::{net::UdpSocket, time::sleep},
 };
 
-/// Time between two reports. A range of keys that turns hot loses its callers for so
-/// long; with hundreds of instances heartbeats are rarer.
+/// Interval between two reports. For about this long after a key range becomes hot,
+/// callers of its keys are rejected. Heartbeats do not carry the reports because they are
+/// less frequent with hundreds of instances.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
-/// Keys in one datagram at most.
+/// Largest number of keys in one datagram.
 const KEYS_PER_DATAGRAM_MAX: usize = 400;
 
-/// Tells the planner of the keys that callers ask for, for good.
+/// Reports requested keys to the planner until the process exits.
 pub async fn run<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket) {
     loop {
         send_keys(controller, socket).await;
@@ -60,8 +61,8 @@
 }
 
 impl<A: Adapter> Controller<A> {
-    /// Counts requests for keys, if this instance plans. A sudden change is looked at
-    /// at once.
+    /// Counts requests for keys, if this instance is the planner. A sudden change of the
+    /// demand wakes the planner.
     pub fn record_keys(&self, service: &str, keys: &[u16]) {
         let Ok(service) = service.parse() else { return };
         let now = self.clock.now();
--- a/crates/citronproxy/src/edge/control/members.rs
+++ b/crates/citronproxy/src/edge/control/members.rs
@@ -1,4 +1,4 @@
-//! How an instance that starts learns of the others, and they of it.
+//! Registration of this instance in the table of members, and discovery of the others.
 
 use {
     super::{
@@ -14,13 +14,15 @@
     tokio::time::sleep,
 };
 
-/// Delay of a call that was throttled, in seconds: some hundred instances start at the same
-/// moment then, and the store takes the writes of a second or so at a time.
+/// Range of the random delay after a throttled call, in seconds. Several hundred
+/// instances may start at the same moment, and the store accepts only about a second's
+/// worth of writes at a time.
 const THROTTLED_DELAY_SECS: Range<f64> = 0.5..4.5;
 
-/// Enters this instance into the table of members and learns of the others. Read after it
-/// was written, so that of two which start at once at least one learns of the other; an
-/// instance whose write is turned away makes itself known to those that it finds meanwhile.
+/// Writes this instance's row to the table of members, then reads the rows of the others.
+/// The order ensures that of two instances that start at once at least one reads the row
+/// of the other. If the write fails, the instance sends heartbeats to the members that it
+/// has read, and retries the write.
 pub async fn register<A: Adapter>(controller: Rc<Controller<A>>) {
     let member = MemberWire {
         address: controller.settings.peer_address,
@@ -61,7 +63,7 @@
     Ok(())
 }
 
-/// Reads all members; the version as of which they are known.
+/// Reads all members, and returns the version of the read.
 async fn read_members<A: Adapter>(controller: &Controller<A>) -> u64 {
     let mut retry = RetryDelay::default();
     loop {
@@ -82,7 +84,7 @@
     }
 }
 
-/// Reads the members that were entered after a version.
+/// Reads the members that were written after a version.
 async fn read_members_since<A: Adapter>(controller: &Controller<A>, version: u64) {
     let mut retry = RetryDelay::default();
     loop {
@@ -110,7 +112,11 @@
         let value = row.value.as_deref().unwrap_or_default();
         let (Ok(name), Ok(member)) = (row.key.parse(), serde_json::from_slice::<MemberWire>(value))
         else {
-            log::error!("{} member {}", events::MAP_REFUSED, row.key);
+            log::error!(
+                "{} unreadable row of member {}",
+                events::MAP_REFUSED,
+                row.key
+            );
             continue;
         };
         if name != controller.settings.instance {
@@ -121,8 +127,8 @@
     }
 }
 
-/// Delays between the tries of a call. Instances that start together retry together, and the
-/// store takes so many writes a second.
+/// Delay between retries of a call, randomised: instances that start together fail
+/// together, and the store accepts a limited number of writes a second.
 #[derive(Debug, Default)]
 struct RetryDelay {
     failures: u32,
--- a/crates/citronproxy/src/edge/control/metrics.rs
+++ b/crates/citronproxy/src/edge/control/metrics.rs
@@ -1,4 +1,4 @@
-//! What control counts.
+//! Metrics of the control thread.
 
 use {
     crate::metrics::register,
@@ -7,32 +7,33 @@
     std::time::Duration,
 };
 
-/// Counters and gauges of control, registered with those of traffic.
+/// Counters and gauges of the control thread, in the same registry as those of the
+/// traffic thread.
 #[derive(Debug)]
 pub struct ControlMetrics {
     /// Calls to the store, by result.
     store_calls: IntCounterVec,
     /// Tables fetched from other instances, by result.
     table_fetches: IntCounterVec,
-    /// Orders, by kind and result.
+    /// Orders to servers and commits, by kind and result.
     key_orders: IntCounterVec,
-    /// Seconds since the moment as of which the oldest watched table is known.
+    /// Age of the oldest watched table, in seconds.
     oldest_table_age: Gauge,
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub config_version: IntGauge,
-    /// 1 while this instance plans.
+    /// 1 while this instance is the planner, otherwise 0.
     pub planning: IntGauge,
-    /// Instances heard of lately, this one included.
+    /// Live instances, including this one.
     pub instances: IntGauge,
-    /// Failure domains that are evacuated.
+    /// Failure domains that are being evacuated.
     pub evacuated_domains: IntGauge,
 }
 
 impl ControlMetrics {
-    /// All at zero.
+    /// Registers all metrics, with value zero.
     ///
     /// # Errors
-    /// If one of the names is taken.
+    /// If a metric name is already registered.
     pub fn new(registry: &Registry) -> prometheus::Result<Self> {
         let counter = |name: &str, help: &str, labels: &[&str]| {
             register(registry, IntCounterVec::new(Opts::new(name, help), labels)?)
@@ -41,7 +42,7 @@
         Ok(Self {
             store_calls: counter(
                 "citron_store_calls_total",
-                "Calls to the outside platform's store.",
+                "Calls to the store of the external platform.",
                 &["result"],
             )?,
             table_fetches: counter(
@@ -51,54 +52,51 @@
             )?,
             key_orders: counter(
                 "citron_key_orders_total",
-                "Grants, releases and commits of the planner.",
+                "Grants and releases sent to servers, and commits of maps.",
                 &["order", "result"],
             )?,
             oldest_table_age: register(
                 registry,
                 Gauge::new(
                     "citron_table_age_seconds",
-                    "Seconds since the moment as of which the oldest table is known.",
+                    "Age of the oldest watched table in seconds.",
                 )?,
             )?,
             config_version: gauge(
                 "citron_configuration_version",
                 "Version of the configuration in force.",
             )?,
-            planning: gauge("citron_planning", "1 while this instance plans.")?,
-            instances: gauge(
-                "citron_instances",
-                "Instances heard of lately, this one included.",
-            )?,
+            planning: gauge("citron_planning", "1 while this instance is the planner.")?,
+            instances: gauge("citron_instances", "Live instances, including this one.")?,
             evacuated_domains: gauge(
                 "citron_evacuated_domains",
-                "Failure domains to whose servers nothing is sent.",
+                "Failure domains that are being evacuated.",
             )?,
         })
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store; `answered` is true if it succeeded.
     pub fn count_store_call(&self, answered: bool) {
         self.store_calls
             .with_label_values(&[result_label(answered)])
             .inc();
     }
 
-    /// Counts a table that was asked for at another instance.
+    /// Counts a fetch of a table from another instance.
     pub fn count_table_fetch(&self, fetched: bool) {
         self.table_fetches
             .with_label_values(&[result_label(fetched)])
             .inc();
     }
 
-    /// Shows how old the watched tables are.
+    /// Sets the age of the oldest watched table from the ages of all.
     pub fn set_table_age(&self, ages: &[Age]) {
         let oldest = ages.iter().flatten().max();
         self.oldest_table_age
             .set(oldest.map_or(0.0, Duration::as_secs_f64));
     }
 
-    /// Counts an order.
+    /// Counts an order, by its kind and result.
     pub fn count_order(&self, order: &Order, done: bool) {
         let kind = match order {
             Order::Grant(_) => "grant",
--- a/crates/citronproxy/src/edge/control/mod.rs
+++ b/crates/citronproxy/src/edge/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control thread: the store, other instances, and the planner.
+//! Control thread: follows the store, exchanges state with other instances, and runs the
+//! planner.
 
 mod apply;
 mod codec;
--- a/crates/citronproxy/src/edge/control/moves.rs
+++ b/crates/citronproxy/src/edge/control/moves.rs
@@ -1,4 +1,4 @@
-//! Keys on their way, told to all instances ahead of the map.
+//! Broadcast of key moves to all instances, ahead of the map that the planner commits.
 
 use {
     super::{controller::Controller, heartbeat::send_datagram},
@@ -13,20 +13,21 @@
     tokio::{net::UdpSocket, sync::Notify, time::sleep},
 };
 
-/// Pieces of news in one datagram at most; fewer if their names are long.
+/// Largest number of moves in one datagram; fewer fit if their names are long.
 const MOVES_PER_DATAGRAM_MAX: usize = 40;
 
-/// How long news waits for more: hundreds of grants end within some milliseconds.
+/// How long a move waits so that others can share its datagram: hundreds of grants
+/// complete within a few milliseconds.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// News that wait to be sent.
+/// Moves that wait to be broadcast.
 #[derive(Debug, Default)]
 pub struct MoveOutbox {
     pending: RefCell<Vec<(ServiceName, MoveNotice)>>,
     pending_added: Notify,
 }
 
-/// Sends news to all instances for good.
+/// Broadcasts moves to all instances until the process exits.
 pub async fn run<A: Adapter>(controller: &Controller<A>, socket: &UdpSocket) {
     loop {
         controller.move_outbox.pending_added.notified().await;
@@ -41,7 +42,7 @@
     }
 }
 
-/// Sends news of one service in as many datagrams as it takes.
+/// Sends moves of one service in as many datagrams as they need.
 async fn broadcast<A: Adapter>(
     controller: &Controller<A>,
     socket: &UdpSocket,
@@ -56,7 +57,10 @@
     while let Some(part) = parts.pop() {
         let Some(bytes) = encode(part) else {
             match part.len() {
-                0 | 1 => log::warn!("{} news of a move is too long", events::DATAGRAM_REFUSED),
+                0 | 1 => log::warn!(
+                    "{} a key move does not fit into a datagram",
+                    events::DATAGRAM_REFUSED
+                ),
                 many => parts.extend([&part[..many / 2], &part[many / 2..]]),
             }
             continue;
@@ -78,7 +82,8 @@
 }
 
 impl<A: Adapter> Controller<A> {
-    /// Tells all instances, this one included, which keys their owners give up.
+    /// Announces to all instances, including this one, which keys their owners are
+    /// releasing.
     pub fn announce_releases(&self, orders: &[(ServiceName, Order)]) {
         let releases = orders.iter().filter_map(|(service, order)| match order {
             Order::Release { range, epoch, .. } => {
@@ -94,7 +99,7 @@
         self.announce(releases.collect());
     }
 
-    /// Tells all instances that a server holds the keys of a slice now.
+    /// Announces to all instances that the owner of a slice now holds its keys.
     pub fn announce_owner(&self, service: &ServiceName, slice: &Slice) {
         let Some(owner) = &slice.owner else { return };
         let update = MoveNotice {
@@ -117,7 +122,7 @@
         self.move_outbox.pending_added.notify_one();
     }
 
-    /// Takes in what the planner tells.
+    /// Applies moves that the planner has announced.
     pub fn apply_moves(&self, wire: MovesWire) {
         let Ok(service) = wire.service.parse() else {
             return;
--- a/crates/citronproxy/src/edge/control/peers.rs
+++ b/crates/citronproxy/src/edge/control/peers.rs
@@ -1,4 +1,4 @@
-//! Other instances, as their heartbeats tell.
+//! Other instances, as known from their heartbeats and the table of members.
 
 use {
     citron_core::{
@@ -11,40 +11,40 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// After so long it is left alone but for a heartbeat now and then.
+/// Silence after which a peer is sent a heartbeat only occasionally.
 const SILENT_AFTER: Duration = Duration::from_secs(10);
 
-/// From so many others on heartbeats go by failure domain.
+/// Number of peers from which on heartbeats form a partial mesh by failure domain.
 const PARTIAL_MESH_MIN: usize = 16;
 
 /// Another instance.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Where it is reached.
+    /// Address of the peer, for datagrams and for fetching tables.
     pub address: SocketAddr,
-    /// Its failure domain, if known.
+    /// Failure domain of the peer, if known.
     pub domain: Option<DomainName>,
-    /// When it was last heard.
+    /// When its last heartbeat was received.
     pub last_heard: Option<Time>,
-    /// The last it said.
+    /// Last heartbeat received from it.
     pub heartbeat: Option<Heartbeat>,
     added_at: Time,
 }
 
-/// All others.
+/// All other instances.
 #[derive(Debug)]
 pub struct Peers {
-    /// The failure domain of this instance.
+    /// Failure domain of this instance.
     domain: DomainName,
     peers: BTreeMap<InstanceId, Peer>,
-    /// How many of them are in the same failure domain.
+    /// Number of peers in the failure domain of this instance.
     same_domain_count: usize,
-    /// How often an instance was added or has changed its failure domain.
+    /// Incremented when a peer is added or its failure domain changes.
     membership_edits: u64,
 }
 
 impl Peers {
-    /// None is known yet to an instance of a failure domain.
+    /// Creates an empty set for an instance of a failure domain.
     pub fn new(domain: DomainName) -> Self {
         Self {
             domain,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Learns of an instance from the store.
+    /// Adds a peer, or updates its address and failure domain.
     pub fn add(
         &mut self,
         name: InstanceId,
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Changes with each instance that is added or has changed its failure domain.
+    /// Counter that changes when a peer is added or its failure domain changes.
     pub fn membership_edits(&self) -> u64 {
         self.membership_edits
     }
 
-    /// Takes in a heartbeat; whether the sender was lost, unknown or another
-    /// start before.
+    /// Records a heartbeat. Returns whether its sender was unknown, lost or restarted
+    /// before.
     pub fn apply_heartbeat(
         &mut self,
         name: &InstanceId,
@@ -110,12 +110,12 @@
         is_new
     }
 
-    /// One instance.
+    /// The peer of that name, if it is known.
     pub fn get(&self, name: &InstanceId) -> Option<&Peer> {
         self.peers.get(name)
     }
 
-    /// Those that were heard of lately.
+    /// Peers from which a heartbeat was received recently.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (&InstanceId, &Peer)> {
         let timeouts = self.loss_timeouts();
         self.peers
@@ -123,7 +123,7 @@
             .filter(move |(_, peer)| timeouts.is_live(peer, now))
     }
 
-    /// After which silence others count as lost.
+    /// Silence after which a peer counts as lost, by failure domain.
     fn loss_timeouts(&self) -> LossTimeouts<'_> {
         let reporting_count = match self.is_full_mesh() {
             true => self.peers.len(),
@@ -137,11 +137,13 @@
         }
     }
 
-    /// Where heartbeats go now. With few instances everyone hears everyone, those in
-    /// other failure domains every third time. With many, a failure domain's
-    /// instances hear each other, the planner hears all, and one instance of each
-    /// other domain hears without loads: what an instance sends and takes in must
-    /// not grow with the number of all.
+    /// Recipients of the current round of heartbeats.
+    ///
+    /// With few instances (full mesh), each sends to all others, and to those of other
+    /// failure domains every third round. With many (partial mesh), an instance sends to
+    /// its own failure domain, to the planner, and without loads to the first instance of
+    /// each other failure domain; only the planner sends to all. This keeps the traffic
+    /// of an instance from growing with the number of all instances.
     pub fn recipients(&self, round: &HeartbeatRound<'_>, now: Time) -> Vec<Recipient> {
         let is_partial_mesh = self.peers.len() >= PARTIAL_MESH_MIN;
         let first_of_domains = self.first_of_other_domains(round.domain, now);
@@ -168,7 +170,8 @@
         self.peers.iter().filter_map(to_recipient).collect()
     }
 
-    /// The first instance of each other failure domain.
+    /// The first instance, by name, of each other failure domain, leaving out those that
+    /// have been silent for long.
     fn first_of_other_domains(&self, domain: &DomainName, now: Time) -> Vec<&InstanceId> {
         let mut first_by_domain: BTreeMap<&DomainName, &InstanceId> = BTreeMap::new();
         for (name, peer) in &self.peers {
@@ -186,8 +189,9 @@
         first_by_domain.into_values().collect()
     }
 
-    /// Live instances that the store answers and that should do a task before
-    /// this one: those with more of a processor, and the first by name.
+    /// Live peers that the store answers and that are preferred over this instance for a
+    /// task: those with a larger share of a processor and, at equal shares, those whose
+    /// names come first.
     pub fn preferred_with_store(
         &self,
         instance: &InstanceId,
@@ -203,7 +207,7 @@
         preferred.filter(move |(_, peer)| reaches_store(peer))
     }
 
-    /// The same, whether the store answers them or not.
+    /// Live peers preferred over this instance, whether or not the store answers them.
     pub fn preferred_over(
         &self,
         instance: &InstanceId,
@@ -219,8 +223,8 @@
         })
     }
 
-    /// All instances that were ever heard of, whether they are there or not, but for
-    /// those whose failure domain is not known.
+    /// All peers ever known, including lost ones, except those whose failure domain is
+    /// unknown.
     pub fn members(&self) -> GroupMembers {
         let peers = self.peers.iter();
         let known_peers =
@@ -228,14 +232,14 @@
         known_peers.collect()
     }
 
-    /// Where all others are reached that were not silent for long.
+    /// Addresses of all peers that have not been silent for long.
     pub fn active_addresses(&self, now: Time) -> Vec<SocketAddr> {
         let peers = self.peers.values();
         let active = peers.filter(|peer| self.is_active(peer, now));
         active.map(|peer| peer.address).collect()
     }
 
-    /// Whether others of this instance's failure domain are known.
+    /// Whether other instances of the same failure domain are known.
     pub fn has_same_domain_peers(&self) -> bool {
         self.same_domain_count > 0
     }
@@ -245,8 +249,8 @@
         self.peers.len() < PARTIAL_MESH_MIN
     }
 
-    /// How many instances there are, this one included: those that are live or
-    /// were not heard yet, and with many those of other failure domains.
+    /// Number of instances, including this one. Counts peers that were added, or sent a
+    /// heartbeat, recently and, in a partial mesh, all peers of other failure domains.
     pub fn instance_count(&self, now: Time) -> usize {
         let peers = self.peers.values();
         1 + peers.filter(|peer| self.is_active(peer, now)).count()
@@ -258,7 +262,7 @@
         heard_lately || (is_far && !self.is_full_mesh())
     }
 
-    /// How many instances report their loads to this one, itself included.
+    /// Number of instances that report their loads to this one, including itself.
     pub fn reporting_count(&self, domain: &DomainName, now: Time) -> usize {
         let reports_here =
             |peer: &Peer| peer.domain.as_ref() == Some(domain) || self.is_full_mesh();
@@ -272,32 +276,33 @@
 /// One round of heartbeats.
 #[derive(Debug)]
 pub struct HeartbeatRound<'a> {
-    /// Its number.
+    /// Number of the round. Recipients with a longer interval are included in multiples
+    /// of it only.
     pub number: u64,
-    /// The sender's failure domain.
+    /// Failure domain of the sender.
     pub domain: &'a DomainName,
-    /// The instance that plans.
+    /// The current planner, if known.
     pub planner: Option<&'a InstanceId>,
-    /// Whether that is the sender.
+    /// Whether the sender is the planner.
     pub is_planner: bool,
 }
 
-/// Where a heartbeat goes.
+/// Recipient of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Recipient {
-    /// The address.
+    /// Address of the recipient.
     pub address: SocketAddr,
-    /// Whether it is told of loads.
+    /// Whether the heartbeat includes the sender's loads.
     pub with_loads: bool,
 }
 
-/// After which silence others count as lost.
+/// Silence after which a peer counts as lost.
 struct LossTimeouts<'a> {
-    /// This instance's failure domain, if heartbeats go by them.
+    /// Failure domain of this instance in a partial mesh; `None` in a full mesh.
     domain: Option<&'a DomainName>,
-    /// In the same failure domain.
+    /// For peers of the same failure domain, and in a full mesh for all.
     same_domain: Duration,
-    /// In others, whose heartbeats are rarer.
+    /// For peers of other failure domains, which send less often.
     other_domain: Duration,
 }
 
--- a/crates/citronproxy/src/edge/control/planner/capacity.rs
+++ b/crates/citronproxy/src/edge/control/planner/capacity.rs
@@ -1,4 +1,4 @@
-//! What servers can do.
+//! Capacities of backend servers, by which keys are distributed.
 
 use {
     citron_core::{
@@ -8,23 +8,25 @@
     std::time::Duration,
 };
 
-/// Servers that start together are listed within this time of one another.
+/// Time since the last registration of a server after which the set counts as complete:
+/// servers that start together register within this time of one another.
 const NEWEST_AGE_MIN: Duration = Duration::from_millis(1_000);
-/// How long keys wait for more servers at most while callers ask for them.
+/// Longest wait for more servers while callers request keys of the service.
 const OLDEST_AGE_MAX_REQUESTED: Duration = Duration::from_secs(3);
-/// The same while nobody does: thousands of servers take some seconds to be listed, and
-/// those that come after the deal would get keys one by one.
+/// Longest wait while nobody requests keys. Thousands of servers take some seconds to
+/// register, and those that miss the first distribution would receive keys only one by
+/// one.
 const OLDEST_AGE_MAX_IDLE: Duration = Duration::from_secs(10);
-/// Run time that is assumed of servers before any was measured, in seconds.
+/// Run time of a request that is assumed before any was measured, in seconds.
 const DEFAULT_RUN_SECS: f64 = 0.2;
-/// How far a server's speed may lie from its service's mean, as a factor: the
-/// few samples of a start would else empty or flood a server.
+/// Bounds of a server's speed relative to the mean of its service. Without them, the few
+/// samples taken right after a start would leave a server without keys or overload it.
 const SPEED_RANGE: [f64; 2] = [0.35, 2.5];
-/// What a server that has just started is taken to do, as a part.
+/// Fraction of its speed that a cold server is expected to reach.
 const COLD_SPEED_FACTOR: f64 = 0.5;
 
-/// Whether a service's servers seem to be complete: none is new, or the first
-/// has waited long enough.
+/// Whether the set of a service's servers seems complete: the newest one has been
+/// registered for long enough, or the oldest one has waited for as long as allowed.
 pub fn is_server_set_complete(servers: &[&ServerRecord], is_requested: bool, now: Time) -> bool {
     let ages = || servers.iter().map(|known| now - known.first_seen);
     let newest = ages().min().unwrap_or_default();
@@ -37,8 +39,8 @@
     newest > NEWEST_AGE_MIN || oldest > oldest_max
 }
 
-/// What servers can do, by the run times measured. Cold ones that would crash above a
-/// rate take no more keys.
+/// Computes the capacities of servers from measured run times. Cold servers that would
+/// crash above a certain rate receive no more keys.
 pub fn capacities(
     servers: &[&ServerRecord],
     slow_start: Option<SlowStart>,
--- a/crates/citronproxy/src/edge/control/planner/claim.rs
+++ b/crates/citronproxy/src/edge/control/planner/claim.rs
@@ -1,4 +1,4 @@
-//! Taking over.
+//! Claiming the leadership.
 
 use {
     super::{
@@ -20,7 +20,7 @@
     tokio::task::spawn_local,
 };
 
-/// Whether this instance should plan from now on.
+/// Whether this instance should claim the leadership now.
 pub fn should_claim_leadership<A: Adapter>(
     controller: &Controller<A>,
     election: &mut Election,
@@ -38,7 +38,7 @@
     is_ready && election.should_claim(&state, &claimant, now)
 }
 
-/// Claims the planner's row, and begins a term if that was done.
+/// Claims the leadership row. Returns the new term, or `None` if the claim failed.
 pub async fn claim_leadership<A: Adapter>(
     controller: &Rc<Controller<A>>,
     election: &mut Election,
@@ -76,7 +76,7 @@
             return None;
         }
     }
-    // Whoever planned before may have written maps up to the claim.
+    // Former planners may have written maps until the claim was committed.
     let call_started = controller.clock.now();
     if !refresh::read_maps(controller).await {
         return None;
@@ -125,7 +125,7 @@
     let plans = plans.collect();
     state.is_planning = true;
     log::info!(
-        "{} this instance plans, row version {}",
+        "{} this instance is now the planner, row version {}",
         events::PLANNER,
         leadership.version
     );
--- a/crates/citronproxy/src/edge/control/planner/commit.rs
+++ b/crates/citronproxy/src/edge/control/planner/commit.rs
@@ -1,4 +1,4 @@
-//! Writing maps.
+//! Writing of maps to the store.
 
 use {
     crate::{
@@ -20,27 +20,28 @@
     tokio::time::{sleep, timeout},
 };
 
-/// What became of a commit, and the version of the newest row then.
+/// Result of a commit, and the version of the newest row after it.
 pub type CommitOutcome = (OrderOutcome, u64);
 
-/// How long a commit may be unanswered before it is sent again under the same
-/// condition; above what a store takes that is sixty times slower than usual.
+/// How long a commit may remain unanswered before it is sent again under the same
+/// condition. Above the response time of a store that is sixty times slower than usual.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause after the store has not accepted a map: the next one may be smaller.
+/// Delay after the store has rejected a map as invalid; the next map may be smaller.
 const INVALID_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Bytes of a row for each slice that it may hold: a slice with its owner's name and a
-/// handover is a quarter of that, and parts grow between two commits.
+/// Bytes of a row that are reserved for each slice. A slice with the name of its owner
+/// and a handover takes a quarter of this, and parts grow between two commits.
 const ROW_BYTES_PER_SLICE: usize = 256;
-/// Slices of a part at most: every instance reads the parts that a commit changes, whole.
+/// Largest number of slices in a part. Every instance reads the parts changed by a commit
+/// as a whole, so that large parts would cost much traffic.
 const SLICES_PER_PART_MAX: usize = 64;
-/// Entries of a transaction that the store takes.
+/// Largest number of entries that the store accepts in a transaction.
 const TRANSACTION_ENTRIES_MAX: usize = 100;
-/// Parts in one transaction: each is a condition and a write.
+/// Largest number of parts in a transaction; each part needs a condition and a write.
 const TRANSACTION_PARTS_MAX: usize = 40;
 
-/// Writes the parts of a map that have changed, if the leadership and the rows are still as
-/// this planner knows them. A transaction whose answer is lost is sent again: its condition
-/// holds only once, and what it wrote can be read back.
+/// Writes the changed parts of a map, on condition that the leadership row and the rows
+/// of the parts are unchanged since this planner read them. A transaction whose response
+/// is lost is sent again: its condition holds only once, and the rows can be read back.
 pub async fn commit_map<A: Adapter>(
     controller: &Controller<A>,
     service: &ServiceName,
@@ -70,7 +71,7 @@
     (OrderOutcome::Done { handover: None }, newest)
 }
 
-/// What a map has that differs from the stored one.
+/// Difference between a map and the stored one.
 struct MapChanges {
     parts: Vec<MapPartition>,
     removes: Vec<KeyRange>,
@@ -91,7 +92,8 @@
         Self { parts, removes }
     }
 
-    /// As many as the store takes at a time. Rows that others replace are removed last.
+    /// Splits the changes into transactions of a size that the store accepts. Rows
+    /// replaced by others are removed last.
     fn into_transactions(self) -> Vec<Self> {
         let mut transactions = Vec::new();
         let mut parts = self.parts.into_iter().peekable();
@@ -130,7 +132,7 @@
         for part in &self.parts {
             let (key, version) = (key(part.range), stored.version(part.range));
             let value = serde_json::to_vec(&MapWire::from(&part.slices[..]));
-            // Numbers and texts in lists always serialise.
+            // Lists of numbers and strings always serialise.
             let value = value.unwrap_or_default();
             commit
                 .expected
@@ -169,7 +171,7 @@
                 let sizes = commit.writes.iter().map(|(_, _, value)| value.len());
                 let largest = sizes.max().unwrap_or_default();
                 let event = events::ROW_REJECTED;
-                log::error!("{event} map of {service}, {largest} bytes a row: {reason}");
+                log::error!("{event} map of {service}, largest row {largest} bytes: {reason}");
                 sleep(INVALID_RETRY_DELAY).await;
                 return (OrderOutcome::Unknown, 0);
             }
@@ -187,13 +189,13 @@
     let result = timeout(COMMIT_TIMEOUT, controller.adapter.store().commit(commit)).await;
     result.unwrap_or_else(|_| {
         Err(StoreError::Unknown(format!(
-            "none within {COMMIT_TIMEOUT:?}"
+            "no response within {COMMIT_TIMEOUT:?}"
         )))
     })
 }
 
-/// After a conflict: an earlier try of the same write may have been done
-/// without an answer. Nothing if the store does not tell.
+/// Resolves a conflict, which may be due to an earlier attempt of the same write whose
+/// response was lost. Returns `None` if the store could not be read.
 async fn resolve_conflict<A: Adapter>(
     controller: &Controller<A>,
     service: &ServiceName,
--- a/crates/citronproxy/src/edge/control/planner/former_planners.rs
+++ b/crates/citronproxy/src/edge/control/planner/former_planners.rs
@@ -1,10 +1,10 @@
-//! Planners that were replaced, and until when each may still act.
+//! Former planners, and the time by which each must have stopped.
 //!
-//! One that is cut off, or gone for good, cannot say that it has stopped; it renews
-//! leases for as long as it may without the store, counted from when it was
-//! replaced. Only the planner that replaced it knows when that was. It writes it
-//! down for those after it: otherwise each of them would wait the whole time anew
-//! for an instance that left the deployment long ago.
+//! A former planner that is partitioned or permanently gone cannot report that it has
+//! stopped. It may renew leases without the store for a limited time, counted from when
+//! it was replaced. Only its successor can tell when that was, and stores the time for
+//! later planners. Each of them would otherwise wait the full time again for an instance
+//! that left the deployment long ago.
 
 use {
     crate::edge::control::{
@@ -17,8 +17,8 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Planners that may not know yet that another has the leadership. Not only the last
-/// one: an earlier one that is cut off may still renew when the last has ended.
+/// Former planners that may not have stopped yet. Includes earlier ones than the last:
+/// one that is partitioned may still renew leases although its successor has ended.
 pub fn still_acting<A: Adapter>(
     controller: &Controller<A>,
     current: Option<&Leadership>,
@@ -39,8 +39,8 @@
     predecessors
 }
 
-/// When the last of these has surely stopped, if they were replaced by now; `blind`
-/// is how long a planner acts without the store.
+/// Time by which all of `predecessors` have certainly stopped, if they were replaced by
+/// now. `offline_max` is how long a planner acts without reaching the store.
 pub fn stopped_by(
     state: &ControlState,
     predecessors: &[PlannerId],
@@ -55,8 +55,8 @@
     now + predecessors.iter().map(time_left).max().unwrap_or_default()
 }
 
-/// Writes down until when these may still act; they were replaced before a call
-/// that began at `read` was answered.
+/// Stores the times by which former planners have stopped. They were replaced before the
+/// response to a call that began at `read_started`.
 pub async fn store_stop_times<A: Adapter>(
     controller: Rc<Controller<A>>,
     leadership: Leadership,
@@ -81,9 +81,9 @@
         writes: vec![(RowTable::Ranges, FORMER_PLANNERS_KEY.to_string(), value)],
         removes: Vec::new(),
     };
-    // Without it the next planner waits longer, and nothing else.
+    // Without the row, the next planner waits longer, but nothing else goes wrong.
     if let Err(error) = controller.adapter.store().commit(&commit).await {
-        controller.on_store_failure("formers", &error);
+        controller.on_store_failure("former planners", &error);
     }
 }
 
--- a/crates/citronproxy/src/edge/control/planner/mod.rs
+++ b/crates/citronproxy/src/edge/control/planner/mod.rs
@@ -1,4 +1,5 @@
-//! The planner: one instance that grants, renews and moves keys.
+//! The planner: grants, renews and moves keys. It runs on the instance that has the
+//! leadership.
 
 mod capacity;
 mod claim;
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers that hold keys.
+//! Orders that the planner sends to backend servers: grants and releases of keys.
 
 use {
     crate::{edge::control::controller::Controller, events},
@@ -13,27 +13,27 @@
     tokio::sync::Semaphore,
 };
 
-/// How long a server may take to give keys up: it answers when the requests on
-/// them have ended, and they take up to two seconds.
+/// How long a server may take to release keys. It responds once the requests on them have
+/// ended, which takes up to two seconds.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long an answer to the question of who listens at an address may take: it
-/// waits for a slot as requests do.
+/// How long a server may take to answer a health check; like a request, the check waits
+/// for a free slot.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(700);
-/// The largest answer that is read.
+/// Largest response body that is read, in bytes.
 const RESPONSE_BYTES_MAX: usize = 64 * 1_024;
 
-/// Releases under way at one server at most. Each needs a connection until the
-/// requests on its keys have ended, and a server whose keys are divided among
-/// hundreds of others would reset what is over its limit of them.
+/// Largest number of concurrent releases at one server. Each occupies a connection until
+/// the requests on its keys have ended. A server whose keys are distributed among
+/// hundreds of others would reset connections above its own limit.
 const RELEASES_PER_SERVER_MAX: usize = 48;
 
-/// Sends orders, on connections that are kept.
+/// Client for orders. Keeps its connections open.
 #[derive(Debug, Default)]
 pub struct OrderClient {
     connections: RefCell<BTreeMap<SocketAddr, Connection>>,
 }
 
-/// What leads to one server.
+/// Connection to one server, and its limit of concurrent releases.
 #[derive(Debug, Clone)]
 struct Connection {
     client: KeptClient,
@@ -41,7 +41,8 @@
 }
 
 impl OrderClient {
-    /// Carries out an order to a server.
+    /// Sends an order to a server and returns its result. Commits are not sent to
+    /// servers.
     pub async fn send<A: Adapter>(
         &self,
         controller: &Controller<A>,
@@ -57,7 +58,7 @@
             } => {
                 let request = controller.adapter.release(*range, *epoch);
                 let connection = self.connection_to(controller, server);
-                // Nothing closes the semaphore.
+                // The semaphore is never closed.
                 let _permit = match &connection {
                     Some(connection) => connection.releases.acquire().await.ok(),
                     None => None,
@@ -79,10 +80,10 @@
         }
     }
 
-    /// Whether another start answers at a server's address. The process that
-    /// listened there has ended then, and holds nothing. An address may go to a
-    /// server of another service, which understands no orders: without asking who
-    /// it is, the keys of the one before would wait for the end of their lease.
+    /// Whether another incarnation responds at the server's address. If so, the process
+    /// that listened there has ended and holds no keys. The address may have been
+    /// reassigned to a server of another service, which does not understand orders;
+    /// without this check, the keys would remain unavailable until their lease expires.
     async fn is_replaced<A: Adapter>(
         &self,
         controller: &Controller<A>,
@@ -142,7 +143,7 @@
             Ok(StatusCode::OK) => OrderOutcome::Done { handover: None },
             Ok(StatusCode::CONFLICT) => {
                 log::info!(
-                    "{} {} at {owner}, epoch {}: a higher one was seen",
+                    "{} {} at {owner}, epoch {}: the server has seen a higher epoch",
                     events::GRANT_REFUSED,
                     slice.range,
                     slice.epoch
@@ -158,7 +159,7 @@
                 OrderOutcome::Unknown
             }
             Err(error) => {
-                log::debug!("grant of {} to {owner}: {error}", slice.range);
+                log::debug!("grant of {} to {owner} failed: {error}", slice.range);
                 match error {
                     CallError::NotSent(_) => OrderOutcome::NotSent,
                     CallError::Unknown(_) => OrderOutcome::Unknown,
@@ -175,7 +176,9 @@
         timeout: Duration,
     ) -> Result<Response<Bytes>, CallError> {
         let Some(connection) = self.connection_to(controller, server) else {
-            return Err(CallError::NotSent("the server is not known".to_string()));
+            return Err(CallError::NotSent(
+                "the server is not registered".to_string(),
+            ));
         };
         if let Ok(name) = HeaderValue::from_str(server.id()) {
             let header = controller.adapter.headers().instance.clone();
@@ -184,7 +187,7 @@
         connection.client.call(request, timeout).await
     }
 
-    /// Drops the connections to servers that hold nothing.
+    /// Drops connections to addresses that are no longer used.
     pub fn retain(&self, is_used: impl Fn(&SocketAddr) -> bool) {
         self.connections
             .borrow_mut()
@@ -192,8 +195,9 @@
     }
 }
 
-/// Where to ask who listens at a server's address: by the service of the start
-/// that is listed there now, or by its own.
+/// Address and path of a health check that reveals which incarnation listens at a
+/// server's address. The path is that of the service now registered there, or else of the
+/// server's own service.
 fn health_endpoint<A: Adapter>(
     controller: &Controller<A>,
     server: &ServerName,
@@ -217,9 +221,8 @@
         Ok(response) if response.status() == StatusCode::OK => OrderOutcome::Done {
             handover: controller.adapter.handover(response.headers()),
         },
-        // The order names the start that it is for, and another one has answered
-        // at the address: a process listens there that is not the one released,
-        // which therefore has ended and holds nothing.
+        // The order names the incarnation it is meant for, and another one has answered
+        // at that address. The released process has therefore ended and holds no keys.
         Ok(response) if response.status() == StatusCode::MISDIRECTED_REQUEST => {
             OrderOutcome::Done { handover: None }
         }
--- a/crates/citronproxy/src/edge/control/planner/run.rs
+++ b/crates/citronproxy/src/edge/control/planner/run.rs
@@ -1,4 +1,4 @@
-//! The planner's loop.
+//! Main loop of the planner.
 
 use {
     super::{
@@ -21,18 +21,18 @@
     tokio::{sync::mpsc, task::spawn_local, time::timeout},
 };
 
-/// Time between two plans, if nothing happens.
+/// Interval between two plans while no input changes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two looks at what is due, if nothing happens.
+/// Interval between two checks for due orders while nothing happens.
 const ORDER_INTERVAL: Duration = Duration::from_millis(25);
-/// Pause after a plan or a look, as a multiple of what it took: hundreds of orders end
-/// within some milliseconds, and a look after each of them would take a small processor
-/// for seconds.
+/// Pause after an iteration, as a multiple of its duration. Hundreds of orders complete
+/// within a few milliseconds, and an iteration after each of them would occupy a small
+/// processor for seconds.
 const IDLE_FACTOR: u32 = 3;
-/// The longest such pause: callers wait for keys on their way.
+/// Longest such pause: callers wait for keys that are being moved.
 const IDLE_MAX: Duration = Duration::from_millis(25);
 
-/// Watches the leadership, and plans while this instance has it.
+/// Claims the leadership when it is vacant, and plans while this instance has it.
 pub async fn run<A: Adapter>(controller: Rc<Controller<A>>) {
     let lease_times = LeaseTimes::with_max_lease(controller.settings.lease_max);
     let orders = Rc::new(OrderClient::default());
@@ -96,13 +96,13 @@
     }
 }
 
-/// What wakes the planner.
+/// Event that wakes the planner.
 enum Event {
-    /// An order has ended.
+    /// An order has completed.
     OrderFinished(Box<OrderResult>),
-    /// What plans go by has changed.
+    /// Configuration, servers, maps or demand have changed.
     InputChanged,
-    /// Nothing happened for a while.
+    /// No event occurred until the next wake-up time.
     Timer,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// One order under way.
+/// An order in progress.
 struct OrderTask<A> {
     controller: Rc<Controller<A>>,
     orders: Rc<OrderClient>,
@@ -136,8 +136,8 @@
         result_sender: mpsc::UnboundedSender<OrderResult>,
     ) {
         let (end, version) = match &order {
-            // The process stood still since the order was decided. Leases are
-            // counted from then: sent now, a grant would outlast its count.
+            // The process was suspended after the order was decided. Leases are counted
+            // from that moment; a grant sent now would outlast its lease as counted here.
             _ if self.controller.clock.now() - self.decided_at > lease_times.start_timeout => {
                 (OrderOutcome::NotSent, 0)
             }
@@ -160,7 +160,7 @@
             end,
             version,
         };
-        // The planner's loop never ends before its tasks.
+        // The planner's loop, which owns the receiver, outlives its tasks.
         let _ = result_sender.send(result);
     }
 }
@@ -170,7 +170,8 @@
     orders.retain(|address| state.registry.servers_at(address).next().is_some());
 }
 
-/// Gives up once another start has the leadership, or this one leaves.
+/// Ends the term if another incarnation has the leadership, or if this instance is
+/// leaving.
 fn resign_if_lost<A: Adapter>(controller: &Controller<A>, term: &mut Option<Term>) {
     let Some(held) = term else { return };
     let mut state = controller.state.borrow_mut();
@@ -182,7 +183,7 @@
         state.is_planning = false;
         drop(state);
         *term = None;
-        log::info!("{} this instance plans no more", events::PLANNER);
+        log::info!("{} this instance is no longer the planner", events::PLANNER);
         controller.heartbeat_trigger.notify_one();
     }
 }
--- a/crates/citronproxy/src/edge/control/planner/term.rs
+++ b/crates/citronproxy/src/edge/control/planner/term.rs
@@ -1,4 +1,4 @@
-//! The work of one term.
+//! One term of the planner: the time during which this instance has the leadership.
 
 use {
     super::capacity::{capacities, is_server_set_complete},
@@ -21,45 +21,45 @@
     std::collections::BTreeMap,
 };
 
-/// What became of an order of one service.
+/// Result of an order of one service.
 #[derive(Debug)]
 pub struct OrderResult {
-    /// The service.
+    /// Service that the order belongs to.
     pub service: ServiceName,
-    /// Version of the planner's row under which it was given.
+    /// Version of the leadership row under which the order was decided.
     pub leadership_version: u64,
     /// The order.
     pub order: Order,
-    /// What became of it.
+    /// How the order ended.
     pub end: OrderOutcome,
-    /// Version of the newest row after a commit that was done.
+    /// Version of the newest row after a successful commit; 0 for other orders.
     pub version: u64,
 }
 
-/// A reconciler, and what it plans by.
+/// Plan of one service.
 #[derive(Debug)]
 pub struct ServicePlan {
-    /// Grants, releases and moves.
+    /// Decides on grants, releases and moves.
     pub reconciler: Reconciler,
-    /// What callers ask for, as of the last plan for balance.
+    /// Demand as of the last plan for balance.
     pub demand: Demand,
 }
 
-/// The work of one term.
+/// State of one term.
 #[derive(Debug)]
 pub struct Term {
-    /// The planner's row.
+    /// Leadership row of this term.
     pub leadership: Leadership,
-    /// Planners before, while they may still act.
+    /// Former planners that may still be acting.
     pub predecessors: Vec<PlannerId>,
-    /// By service.
+    /// Plans by service.
     pub plans: BTreeMap<ServiceName, ServicePlan>,
-    /// When keys are moved for balance.
+    /// Decides when to move keys for balance.
     pub balance_clock: BalanceTimer,
 }
 
 impl Term {
-    /// Takes in what became of an order.
+    /// Applies the result of an order.
     pub fn apply_order_result<A: Adapter>(
         &mut self,
         result: OrderResult,
@@ -85,7 +85,7 @@
                     );
                 }
                 OrderOutcome::Outdated => {
-                    // Something else lies in the store: it counts.
+                    // The store holds another map, which takes precedence.
                     let state = controller.state.borrow();
                     let map = state.maps.get(&result.service);
                     if let Some(map) = map.and_then(|map| map.to_map()) {
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Once the planners before have stopped, leases of theirs need no longer wait.
+    /// Stops waiting for leases granted by former planners, once all of these have
+    /// stopped.
     pub fn settle_predecessors<A: Adapter>(&mut self, controller: &Controller<A>) {
         if self.predecessors.is_empty() {
             return;
@@ -120,14 +121,14 @@
         }
     }
 
-    /// Whether the store confirmed the leadership lately. Otherwise another may have it by
-    /// now, and counts on this one's silence.
+    /// Whether the store has recently confirmed the leadership. Otherwise another planner
+    /// may have it by now, and relies on this one to stop.
     pub fn may_act<A: Adapter>(controller: &Controller<A>, lease_times: &LeaseTimes) -> bool {
         controller.clock.now() - controller.state.borrow().ranges_confirmed_at
             <= lease_times.outage_limit
     }
 
-    /// Decides which keys move.
+    /// Computes which keys should move, for each service whose servers hold keys.
     pub fn plan<A: Adapter>(&mut self, controller: &Controller<A>, lease_times: LeaseTimes) {
         let now = controller.clock.now();
         let lists = controller
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The orders that are due.
+    /// Returns the orders that are due.
     pub fn due_orders<A: Adapter>(
         &mut self,
         controller: &Controller<A>,
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -1,4 +1,5 @@
-//! Asks the store anew where what is known has grown old.
+//! Polls the store for tables whose age has reached the limit, and detects stalled long
+//! polls.
 
 use {
     super::{
@@ -17,20 +18,20 @@
     tokio::{sync::Notify, time::sleep},
 };
 
-/// How long the begin of an answer may take: the store answers in some milliseconds,
-/// and in a quarter of a second when it is slow.
+/// How long the store may take to begin its response. It usually takes a few
+/// milliseconds, and a quarter of a second when it is slow.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
-/// The longest time between two looks, as the role may change meanwhile.
+/// Longest interval between two checks, as the role of the instance may change meanwhile.
 const CHECK_INTERVAL_MAX: Duration = Duration::from_millis(200);
-/// An open question whose news came on another way for so long counts as swallowed:
-/// its own answer cannot be that far behind.
+/// A long poll counts as stalled when a change that it should have returned arrived
+/// another way this long ago. Its own response cannot be that far behind.
 const STALLED_AFTER: Duration = PropagationTimes::STANDARD.call_duration;
 
-/// Questions to the store that stay open until there is news, one for each table.
+/// Long polls that are open at the store, one for each watched table.
 ///
-/// The failure: the answer to one is lost while its connection stays open, and each
-/// later change reaches this failure domain late, from another one. News that came on
-/// another way proves it.
+/// Guards against a lost response on a connection that stays open: each later change
+/// would then reach this failure domain only late, from another one. A change that
+/// arrives another way reveals the loss.
 #[derive(Debug, Default)]
 pub struct LongPolls {
     polls: [LongPoll; WATCHED.len()],
@@ -38,15 +39,15 @@
 
 #[derive(Debug, Default)]
 struct LongPoll {
-    /// When it was asked.
+    /// When the long poll began; `None` while there is none.
     started_at: Cell<Option<Time>>,
-    /// When news came that it should have told.
+    /// When a call began that returned a change which the long poll should have returned.
     overtaken_at: Cell<Option<Time>>,
     cancel: Notify,
 }
 
 impl LongPolls {
-    /// Asks a question; nothing if it was found to be swallowed.
+    /// Runs a long poll. Returns `None` if it was cancelled because it had stalled.
     pub async fn run<T>(
         &self,
         table: usize,
@@ -64,7 +65,7 @@
         answer
     }
 
-    /// News of a table came as the answer to a call that began at `begun`.
+    /// Records that a call begun at `call_started` returned a change of the table.
     pub fn record_change(&self, table: usize, call_started: Time) {
         let poll = &self.polls[table];
         let is_earlier = poll
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Drops questions that were swallowed, so that they are asked anew.
+    /// Cancels stalled long polls, so that they are started again.
     fn cancel_stalled(&self, now: Time) {
         for (poll, row_table) in self.polls.iter().zip(WATCHED) {
             let overtaken_at = poll.overtaken_at.get();
@@ -87,7 +88,7 @@
             if let Some(started_at) = poll.started_at.get() {
                 let open_for = now - started_at;
                 log::warn!(
-                    "{} {row_table:?}, asked {open_for:?} ago",
+                    "{} {row_table:?}, long poll open for {open_for:?}",
                     events::SWALLOWED
                 );
                 poll.cancel.notify_one();
@@ -96,7 +97,7 @@
     }
 }
 
-/// Looks after the ages of tables for good.
+/// Checks the ages of the tables, and refreshes them when due, until the process exits.
 pub async fn run<A: Adapter>(controller: Rc<Controller<A>>) {
     loop {
         let delay = controller.time_until_refresh();
@@ -110,7 +111,8 @@
     }
 }
 
-/// Another instance's heartbeat says how old its tables were when it was sent.
+/// Records the ages that a peer's heartbeat reports for tables of the same version.
+/// `sent` is when the heartbeat was sent.
 pub fn apply_peer_ages<A: Adapter>(controller: &Controller<A>, heartbeat: &Heartbeat, sent: Time) {
     for (table, age) in heartbeat.ages.into_iter().enumerate() {
         if heartbeat.versions[table] == controller.state.borrow().replicas[table].newest_change {
@@ -119,8 +121,8 @@
     }
 }
 
-/// Brings all tables up to date. The answer about one tells the newest version of
-/// all: as long as nothing is written, one call does.
+/// Refreshes all tables. The response for one table contains the newest version of all,
+/// so that a single call suffices while nothing is written.
 async fn refresh_tables<A: Adapter>(controller: &Rc<Controller<A>>) {
     let Some(newest) = refresh_table(controller, RANGES).await else {
         return;
@@ -135,11 +137,11 @@
         }
     };
     tokio::join!(refresh_if_older(CONFIG), refresh_if_older(SERVERS));
-    // Others are told at once how old their tables are.
+    // Reports the new ages to the other instances at once.
     controller.heartbeat_trigger.notify_one();
 }
 
-/// Reads all maps and the leadership; whether the store told them.
+/// Reads all maps and the leadership. Returns whether the read succeeded.
 pub async fn read_maps<A: Adapter>(controller: &Controller<A>) -> bool {
     let call_started = controller.clock.now();
     let mut transfer = TableTransfer::from_store(controller, RANGES, watch::READ_RESPONSE_TIMEOUT);
@@ -157,7 +159,8 @@
     true
 }
 
-/// Brings a table up to date, and waits for no change; the store's version.
+/// Reads the changes of a table without waiting for new ones, and applies them. Returns
+/// the store's version, or `None` if the read failed.
 async fn refresh_table<A: Adapter>(controller: &Rc<Controller<A>>, table: usize) -> Option<u64> {
     let call_started = controller.clock.now();
     match read_table(controller, table).await {
@@ -172,9 +175,10 @@
     }
 }
 
-/// What has changed in a table, or all there is, if so. What an instance knows that
-/// hears of changes from others may be older than the store's history, though nothing
-/// has changed since.
+/// Reads what has changed in a table, or all rows if the store's history no longer
+/// reaches back to the version of the replica. The latter can happen although nothing has
+/// changed: a replica that is kept current by peers does not advance its version while
+/// there are no changes. The flag is true if all rows were read.
 async fn read_table<A: Adapter>(
     controller: &Controller<A>,
     table: usize,
@@ -220,15 +224,19 @@
         .freshness
         .record_failure(role, jitter_factor(), now);
     let row_table = WATCHED[table];
-    log::warn!("{} {row_table:?} of the store: {error}", events::TABLE_LOST);
+    log::warn!(
+        "{} {row_table:?} from the store: {error}",
+        events::TABLE_LOST
+    );
     controller.on_store_failure(&format!("{row_table:?}"), error);
     None
 }
 
 impl<A: Adapter> Controller<A> {
-    /// How long until the store should be asked.
+    /// Time until the store should be polled.
     fn time_until_refresh(&self) -> Duration {
-        // The planner must hear from the store itself that it still has the leadership.
+        // A transfer from a peer does not postpone the poll of the ranges: the planner
+        // must confirm at the store itself that it still has the leadership.
         let in_transfer = [0, 1, 2].map(|table| table != RANGES && self.is_transferring(table));
         let state = self.state.borrow();
         let now = self.clock.now();
@@ -237,7 +245,7 @@
             .time_until_due_except(in_transfer, self.role(), now)
     }
 
-    /// Whether parts of a table are coming.
+    /// Whether a transfer of the table to this instance is in progress.
     pub fn is_transferring(&self, table: usize) -> bool {
         let now = self.clock.now();
         self.fetches.borrow().is_arriving(table, now)
@@ -247,7 +255,8 @@
         if self.state.borrow().is_planning {
             return Role::Planner;
         }
-        // Where the store answers nobody, all of a domain would read it.
+        // If the store answers no instance of the failure domain, only the first one
+        // polls as a reader; otherwise all of them would.
         let reads_store = match *self.store_up.borrow() {
             true => self.is_domain_reader(),
             false => self.is_first_in_domain(),
--- a/crates/citronproxy/src/edge/control/relay.rs
+++ b/crates/citronproxy/src/edge/control/relay.rs
@@ -1,11 +1,11 @@
-//! Tables handed from one instance to another.
+//! Exchange of tables between instances.
 //!
-//! One instance of a failure domain reads the store and hands what has changed
-//! to the others: each question to the store is paid for, and with a hundred
-//! instances that ask it would be overrun. It also helps where the store rejects
-//! a few instances while it serves the others and the operators: these would go
-//! on by an old configuration, and send requests to servers that have long said
-//! that they leave.
+//! One instance of each failure domain reads the store and passes changes on to the
+//! others: each call to the store has a cost, and a hundred polling instances would
+//! overload it. The exchange also helps when the store rejects some instances while it
+//! serves others and the operators: those instances would otherwise keep an old
+//! configuration, and send requests to servers that announced long ago that they are
+//! leaving.
 
 use {
     super::{controller::Controller, transfer::TableTransfer, watch::WATCHED},
@@ -23,12 +23,12 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// The largest table that is read, packed or not.
+/// Largest table that is accepted, in bytes, both compressed and uncompressed.
 const TABLE_BYTES_MAX: usize = 8 << 20;
-/// Pause after a failure.
+/// Delay after a failed fetch.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Tables asked for from others, and handed to them.
+/// State of fetching tables from other instances and serving them.
 #[derive(Debug)]
 pub struct Relay {
     lag_timer: RefCell<LagTimer<{ WATCHED.len() }>>,
@@ -47,13 +47,13 @@
 }
 
 impl Relay {
-    /// A table has taken changes in.
+    /// Records that a table has been brought up to date.
     pub fn caught_up(&self, table: usize) {
         self.lag_timer.borrow_mut().caught_up(table);
     }
 }
 
-/// Hands out a table.
+/// Serves a table, or its changes, to another instance.
 pub fn serve_table<A: Adapter>(controller: &Controller<A>, path: &str) -> HttpResponse {
     let query = path.parse::<TableQuestion>().ok();
     let query = query.filter(|query| query.table < WATCHED.len());
@@ -89,8 +89,8 @@
     }
 }
 
-/// Asks another instance for tables that are newer there, unless this one should
-/// hear of the change by itself in time.
+/// Fetches tables whose version in a heartbeat is newer than here, unless this instance
+/// should soon receive the change by itself.
 pub fn fetch_newer_tables<A: Adapter>(
     controller: &Rc<Controller<A>>,
     from: SocketAddr,
@@ -116,7 +116,8 @@
         .replicas
         .each_ref()
         .map(|replica| replica.newest_change);
-    // Others may be ahead still where this one is not; their own heartbeats tell.
+    // Tables that are newer only at other peers are fetched on the heartbeats of those
+    // peers.
     let is_newer = |table: &usize| heartbeat.versions[*table] > own_versions[*table];
     let newer: Vec<usize> = (0..own_versions.len()).filter(is_newer).collect();
     if newer.is_empty() {
@@ -124,7 +125,7 @@
     }
     let is_near = heartbeat.domain == controller.settings.domain.as_str();
     let reads_store = controller.reads_store() && *controller.store_up.borrow();
-    // The planner tells one instance of each failure domain.
+    // In each failure domain, only the reader fetches from the planner.
     let from_planner = heartbeat.planning
         && controller.is_domain_reader()
         && controller.receives_planner_heartbeats();
@@ -155,7 +156,7 @@
         Ok(response) => response,
         Err(error) => {
             log::warn!(
-                "{} {:?} of {from}: {error}",
+                "{} {:?} from {from}: {error}",
                 events::TABLE_LOST,
                 WATCHED[table]
             );
@@ -169,7 +170,7 @@
             controller.apply_peer_table(table, wire, call_started);
         }
         Err(error) => log::warn!(
-            "{} table {table} of {from}: {error}",
+            "{} table {table} from {from}: {error}",
             events::DATAGRAM_REFUSED
         ),
     }
--- a/crates/citronproxy/src/edge/control/replica.rs
+++ b/crates/citronproxy/src/edge/control/replica.rs
@@ -1,4 +1,4 @@
-//! This instance's copy of a table.
+//! Replica of a table.
 
 use {
     citron_ports::{Row, RowSet},
@@ -9,27 +9,29 @@
     },
 };
 
-/// Rows of a table as of a version; never goes back. Rows that were removed stay
-/// as such, so that what has changed can be told to others.
+/// Rows of a table as of a version, which never decreases. Removed rows are kept as
+/// tombstones, so that changes can be passed on to other instances.
 #[derive(Debug, Default)]
 pub struct TableReplica {
-    /// The version that questions go on from; 0 before the first read.
+    /// Version from which reads of changes continue; 0 before the first read.
     pub version: u64,
-    /// The version of the newest change known: instances compare it.
+    /// Version of the newest known change. Instances compare it to find out which of them
+    /// is behind.
     pub newest_change: u64,
-    /// The version of the last reading of all rows: a row that was removed before
-    /// it may have left no trace here.
+    /// Version of the last read of all rows. A row removed before it may have left no
+    /// tombstone here.
     snapshot_version: u64,
-    /// How often rows have changed here.
+    /// Number of times that rows have changed here.
     pub edit_count: u64,
-    /// The digest, and the edits as of which it was worked out.
+    /// Digest of the rows, and the value of `edit_count` for which it was computed.
     cached_digest: Cell<Option<(u64, Digest)>>,
     rows: BTreeMap<String, Row>,
 }
 
 impl TableReplica {
-    /// Takes in what changed, the newest change being `newest`; the changed rows,
-    /// or none if the set is old.
+    /// Applies changed rows, and returns those that are newer than the known ones.
+    /// Returns none if `row_set` is older than the replica. `newest_change` is the
+    /// version of the newest change in the table.
     pub fn apply(&mut self, row_set: RowSet, newest_change: u64) -> Vec<Row> {
         if row_set.version < self.version {
             return Vec::new();
@@ -50,8 +52,8 @@
         newer
     }
 
-    /// Replaces all rows by a newer reading, the newest change being `newest`; the
-    /// changed rows, the removed ones among them.
+    /// Replaces all rows by a newer read, and returns the changed ones, including those
+    /// that were removed.
     pub fn replace(&mut self, mut row_set: RowSet, newest_change: u64) -> Vec<Row> {
         if row_set.version < self.version {
             return Vec::new();
@@ -70,9 +72,11 @@
         self.apply(row_set, newest_change)
     }
 
-    /// What to hand to an instance that asks for the changes after a version and has
-    /// rows of this digest. The version of a reading of all rows is the newest change for
-    /// what is known, so that others ask, of whom most have the same rows.
+    /// Which rows to send to an instance that asks for the changes after a version and
+    /// whose rows have the given digest. After a read of all rows, the version of the
+    /// read stands for that of the newest change. Instances that have read the table at
+    /// different versions therefore ask each other, although most of them have the same
+    /// rows; the digest reveals that.
     pub fn part_since(&self, after: u64, digest: Option<Digest>) -> Part {
         let versions = self.rows.values().map(|row| row.version);
         match Part::since(after, self.snapshot_version, versions) {
@@ -81,7 +85,7 @@
         }
     }
 
-    /// What tells this copy apart from others with other rows.
+    /// Digest of the rows, which differs between replicas with different rows.
     pub fn digest(&self) -> Digest {
         if let Some((edit_count, digest)) = self.cached_digest.get()
             && edit_count == self.edit_count
@@ -94,7 +98,7 @@
         digest
     }
 
-    /// The rows of a part, in the order of keys.
+    /// Rows of a part, in the order of their keys.
     pub fn rows_in(&self, part: Part) -> Vec<TableRowWire> {
         let is_in = |row: &&Row| match part {
             Part::Whole => row.value.is_some(),
--- a/crates/citronproxy/src/edge/control/transfer.rs
+++ b/crates/citronproxy/src/edge/control/transfer.rs
@@ -1,4 +1,4 @@
-//! A table that is being transferred to this instance.
+//! Timeouts of a table transfer to this instance.
 
 use {
     super::controller::Controller,
@@ -7,20 +7,20 @@
     std::time::Duration,
 };
 
-/// Limits a transfer by its progress, and counts it among the instance's transfers from
-/// its first part on.
+/// Limits a transfer by its progress. Counts it among the transfers of the instance from
+/// the first bytes on.
 #[derive(Debug)]
 pub struct TableTransfer<'a, A: Adapter> {
     controller: &'a Controller<A>,
     table: usize,
-    /// By then the store's answer must have begun.
+    /// When the store's response must have begun.
     response_deadline: Time,
     /// The transfer, once it is counted.
     fetch: Option<Fetch>,
 }
 
 impl<'a, A: Adapter> TableTransfer<'a, A> {
-    /// A table that is asked for at the store, which must answer within a span.
+    /// A read from the store, which must begin its response within `timeout`.
     pub fn from_store(controller: &'a Controller<A>, table: usize, timeout: Duration) -> Self {
         Self {
             controller,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A table that is fetched from another instance.
+    /// A fetch from another instance.
     pub fn from_peer(controller: &'a Controller<A>, fetch: Fetch) -> Self {
         Self {
             controller,
@@ -61,7 +61,7 @@
 }
 
 impl<A: Adapter> Drop for TableTransfer<'_, A> {
-    /// A call that is cancelled must not count as a transfer any more.
+    /// A cancelled call must no longer count as a transfer.
     fn drop(&mut self) {
         if let Some(fetch) = self.fetch {
             self.controller.fetches.borrow_mut().end(fetch);
--- a/crates/citronproxy/src/edge/control/watch.rs
+++ b/crates/citronproxy/src/edge/control/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store's tables.
+//! Follows the store's tables by long polls.
 
 use {
     super::{controller::Controller, peers::Peer, transfer::TableTransfer},
@@ -12,48 +12,50 @@
 /// Tables that are followed.
 pub const WATCHED: [RowTable; 3] = [RowTable::Config, RowTable::Servers, RowTable::Ranges];
 
-/// The place of the configuration among them.
+/// Index of the configuration table in [`WATCHED`].
 pub const CONFIG: usize = 0;
-/// The place of the servers' entries.
+/// Index of the table of servers in [`WATCHED`].
 pub const SERVERS: usize = 1;
-/// The place of the maps and the planner's leadership.
+/// Index of the table of ranges, which holds the maps and the leadership, in [`WATCHED`].
 pub const RANGES: usize = 2;
 
-/// How long the begin of an answer may take beside the time that the store is asked to
-/// wait.
+/// How long the store may take to begin its response, in addition to the wait of a long
+/// poll.
 pub const READ_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the store keeps a question open. Each question is paid for, the
-/// connection's own probes tell when it is dead, and the age of a table when a
-/// question was swallowed.
+/// How long the store keeps a long poll open. Each call has a cost, so the wait is long:
+/// keep-alive probes detect a dead connection, and the age of the table detects a lost
+/// response.
 const LONG_POLL_WAIT: Duration = Duration::from_secs(12);
-/// The same where many instances fetch each change from the one that reads: with
-/// twenty servers that start, each of which writes its entry every second, there
-/// would be as many changes a second, times the instances.
+/// Delay between two long polls in a partial mesh, where many instances fetch each change
+/// from the one that reads it. Twenty starting servers that each write their entry every
+/// second would otherwise cause as many changes a second, multiplied by the number of
+/// instances.
 const PARTIAL_MESH_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// So lately the planner must have been heard to be relied on for changes: two of its
-/// heartbeats at the size where they are rarest.
+/// Silence after which the planner is not relied on for changes: two of its heartbeat
+/// intervals, at the deployment size where they are longest.
 const PLANNER_SILENCE_MAX: Duration = Duration::from_millis(1_100);
-/// How often an instance that does not read looks whether it should.
+/// How often an instance that does not read the store checks whether it should.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between two questions: changes come in groups, and one question for
-/// all of a group is enough.
+/// Delay between two long polls in a full mesh. Changes come in groups, and one call for
+/// the whole group is enough.
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// How long questions wait at most, after one has failed, until another call of
-/// this instance is answered: tables that grow old are asked for anyway.
+/// How long polling pauses at most after a failure, unless another call of this instance
+/// succeeds. Tables that reach their age limit are refreshed regardless.
 const STORE_WAIT_MAX: Duration = Duration::from_secs(3);
 
-/// How long an instance that has started waits for what its neighbours know, for each of
-/// them that comes before it: the whole of a table is read by few of a failure domain.
+/// How long a starting instance waits for tables from peers of its failure domain, for
+/// itself and for each peer that is preferred over it. Only few instances of a failure
+/// domain should read a whole table from the store.
 const PEER_TABLE_WAIT: Duration = Duration::from_secs(2);
-/// The same for one that could not enter itself among the members, and knows nobody.
+/// The same for an instance that has not been registered, and therefore knows no peers.
 const UNREGISTERED_PEER_TABLE_WAIT: Duration = Duration::from_secs(6);
-/// How long it takes until neighbours that are there have been heard.
+/// Time within which heartbeats of all live peers of the failure domain arrive.
 const FIRST_HEARTBEATS_WAIT: Duration = Duration::from_millis(150);
-/// How often it looks for either.
+/// How often a starting instance checks whether its wait is over.
 const PEER_TABLE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until a neighbour has handed a table over, or it is this instance's turn to
-/// ask the store. Few instances ask at once: where all were lost together, callers wait
+/// Waits until a peer has provided a table, or until this instance may read it from the
+/// store. Few instances read at once; but where all have started together, callers wait
 /// for the first table.
 async fn wait_for_peer_table<A: Adapter>(controller: &Controller<A>, table: usize) {
     let wait_started = controller.clock.now();
@@ -67,7 +69,7 @@
     }
 }
 
-/// Follows one table for good.
+/// Follows one table until the process exits.
 pub async fn follow_table<A: Adapter>(
     controller: Rc<Controller<A>>,
     table: usize,
@@ -130,32 +132,33 @@
         }
     }
 
-    /// Whether this instance asks the store for the changes of tables. The planner does,
-    /// as it must know that it still has the leadership, and tells all others; one of
-    /// each failure domain does where the planner is not heard.
+    /// Whether this instance reads changes from the store. The planner does, to confirm
+    /// that it still has the leadership, and passes changes on to all others. One
+    /// instance of each failure domain does if it receives no heartbeats of the planner.
     pub fn reads_store(&self) -> bool {
         self.state.borrow().is_planning
             || (self.is_domain_reader() && !self.receives_planner_heartbeats())
     }
 
-    /// Whether this instance is the one of its failure domain that others hear of
-    /// changes from.
+    /// Whether this instance is the reader of its failure domain, from which the others
+    /// learn of changes. Only instances that the store answers are considered.
     pub fn is_domain_reader(&self) -> bool {
         self.is_first_among(|heartbeat| heartbeat.store)
     }
 
-    /// Whether this instance comes before all others of its failure domain, also those
-    /// that the store does not answer.
+    /// Whether this instance is the first of its failure domain, also considering
+    /// instances that the store does not answer.
     pub fn is_first_in_domain(&self) -> bool {
         self.is_first_among(|_| true)
     }
 
-    /// Whether none of its failure domain that counts comes before this instance.
+    /// Whether no eligible peer of the failure domain is preferred over this instance.
     fn is_first_among(&self, is_eligible: impl Fn(&Heartbeat) -> bool) -> bool {
         self.count_ahead(is_eligible, 1) == 0
     }
 
-    /// How many of its failure domain that count come before this instance, up to `most`.
+    /// Number of eligible peers of the failure domain that are preferred over this
+    /// instance, counted up to `limit`.
     fn count_ahead(&self, is_eligible: impl Fn(&Heartbeat) -> bool, limit: usize) -> usize {
         let state = self.state.borrow();
         let now = self.clock.now();
@@ -173,7 +176,7 @@
             .count()
     }
 
-    /// How long this instance waits for tables of others before it reads them itself.
+    /// How long this instance waits for tables from peers before it reads them itself.
     fn peer_table_wait(&self) -> Duration {
         if self.registered_at.get().is_none() {
             return UNREGISTERED_PEER_TABLE_WAIT;
@@ -182,7 +185,8 @@
         PEER_TABLE_WAIT * (1 + ahead as u32)
     }
 
-    /// Whether the planner was heard lately, and the store answers it.
+    /// Whether a heartbeat of the planner was received recently, and reports that the
+    /// store answers it.
     pub fn receives_planner_heartbeats(&self) -> bool {
         let state = self.state.borrow();
         let now = self.clock.now();
@@ -199,7 +203,7 @@
             })
     }
 
-    /// Whether this instance, which has started, should read tables itself.
+    /// Whether this instance, which has just started, may read tables from the store.
     fn may_read_at_start(&self) -> bool {
         let Some(registered_at) = self.registered_at.get() else {
             return false;
@@ -214,15 +218,16 @@
     }
 }
 
-/// Waits after a call that failed.
+/// Waits after a failed call to the store.
 pub async fn wait_for_store<A: Adapter>(controller: &Controller<A>) {
     let mut store_up = controller.store_up.subscribe();
-    // Either the store answers again, or it is time to ask all the same.
+    // Polling resumes when the store answers another call, or else after the longest
+    // pause.
     let _ = timeout(STORE_WAIT_MAX, store_up.wait_for(|is_up| *is_up)).await;
     sleep(POLL_INTERVAL.mul_f64(jitter_factor())).await;
 }
 
-/// A factor around 1, so that instances do not ask in step.
+/// Random factor around 1, so that instances do not poll in step.
 pub fn jitter_factor() -> f64 {
     rand::rng().random_range(0.7..1.3)
 }
