--- a/crates/citronproxy/src/edge/error.rs
+++ b/crates/citronproxy/src/edge/error.rs
@@ -1,25 +1,25 @@
-//! What ends an instance.
+//! Errors that end an instance.
 
 use {std::io, thiserror::Error};
 
-/// Why an instance cannot run.
+/// Error that ends an instance.
 #[derive(Debug, Error)]
 pub enum EdgeError {
     /// An address cannot be listened on.
-    #[error("listen on {address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address that was to be listened on.
         address: String,
-        /// Why.
+        /// Cause reported by the operating system.
         source: io::Error,
     },
     /// A thread or its runtime cannot be started.
-    #[error("start a thread: {0}")]
+    #[error("cannot start a thread: {0}")]
     Thread(io::Error),
-    /// A metric's name is taken twice.
-    #[error("metrics: {0}")]
+    /// A metric name is registered twice.
+    #[error("cannot register metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// Signals cannot be caught.
-    #[error("catch signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
 }
--- a/crates/citronproxy/src/edge/freshness.rs
+++ b/crates/citronproxy/src/edge/freshness.rs
@@ -1,4 +1,4 @@
-//! As of when the tables are known that requests are decided by.
+//! Age of the tables by which requests are routed, shared between threads.
 
 use {
     citron_core::{
@@ -12,11 +12,12 @@
     },
 };
 
-/// The moments as of which an instance knows its tables, and whether its configuration lags
-/// behind a known version. Written by control, read by traffic with each response of its own.
+/// Moments as of which this instance knows its tables, and whether its configuration lags
+/// behind a known version. Written by the control thread; the traffic thread reads it for
+/// each response that it generates itself.
 ///
-/// Written with release after the view that they describe, [`Lag`] before the moments;
-/// read with acquire in the opposite order.
+/// The view is published first, then [`Lag`], then the moments, each with release
+/// ordering. Reads use acquire ordering in the opposite order.
 #[derive(Debug, Default)]
 pub struct SharedFreshness {
     /// Microseconds plus one; 0 if the table was never read.
@@ -25,17 +26,18 @@
 }
 
 impl SharedFreshness {
-    /// A table, by its place among the watched ones, is known as of a moment.
+    /// Sets the moment as of which a table is known. `table` is its index among the
+    /// watched tables.
     pub fn set_as_of(&self, table: usize, as_of: Time) {
         self.as_of_micros[table].store(as_of.as_micros() + 1, Ordering::Release);
     }
 
-    /// Whether the configuration lags behind a known version.
+    /// Sets whether the configuration lags behind a known version.
     pub fn set_lag(&self, lag: Lag) {
         self.lag.store(lag as u8, Ordering::Release);
     }
 
-    /// How current the configuration is.
+    /// Age and lag of the configuration.
     pub fn config_standing(&self, now: Time) -> Staleness {
         let age = self.ages(now).config;
         let lag = match self.lag.load(Ordering::Acquire) {
@@ -46,7 +48,7 @@
         Staleness { age, lag }
     }
 
-    /// How old what is known is.
+    /// Ages of all tables.
     pub fn ages(&self, now: Time) -> TableAges {
         let age = |as_of: &AtomicU64| {
             let micros = as_of.load(Ordering::Acquire).checked_sub(1)?;
@@ -61,14 +63,14 @@
     }
 }
 
-/// How old what is known is.
+/// Ages of the tables.
 #[derive(Debug, Clone, Copy)]
 pub struct TableAges {
-    /// The configuration.
+    /// Age of the configuration.
     pub config: Age,
-    /// The servers' entries.
+    /// Age of the table of servers.
     pub servers: Age,
-    /// The owners of keys.
+    /// Age of the maps, which name the owners of keys.
     pub keys: Age,
 }
 
--- a/crates/citronproxy/src/edge/http_server.rs
+++ b/crates/citronproxy/src/edge/http_server.rs
@@ -1,4 +1,5 @@
-//! A small server for pages that other programs fetch: readiness, metrics, tables.
+//! Minimal HTTP server for the endpoints that other programs poll: readiness, metrics,
+//! and tables for other instances.
 
 use {
     super::EdgeError,
@@ -11,16 +12,16 @@
     tokio::{net::TcpListener, task::spawn_local, time::sleep},
 };
 
-/// Pause after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A page, or the reason why there is none.
+/// Response whose body is held in memory.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Listens at an address.
+/// Binds a TCP listener.
 ///
 /// # Errors
-/// If it is taken, or is not this machine's.
+/// If the address is taken, or does not belong to this host.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, EdgeError> {
     let result = TcpListener::bind(address).await;
     result.map_err(|source| EdgeError::Listen {
@@ -29,7 +30,7 @@
     })
 }
 
-/// Answers for good.
+/// Accepts connections and answers their requests with `handler` until the process exits.
 pub async fn serve(
     listener: TcpListener,
     handler: impl Fn(&Request<Incoming>) -> HttpResponse + 'static,
@@ -48,13 +49,13 @@
             });
             let result = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = result.await {
-                log::debug!("a connection to a page ended: {error}");
+                log::debug!("HTTP connection ended: {error}");
             }
         });
     }
 }
 
-/// A page with a status.
+/// Builds a response with a status and a body.
 pub fn response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
--- a/crates/citronproxy/src/edge/mod.rs
+++ b/crates/citronproxy/src/edge/mod.rs
@@ -1,9 +1,9 @@
-//! An instance whose configuration and servers come from an outside platform,
-//! and whose keys are an ordered space that servers hold by lease.
+//! Instance mode for an external platform: configuration and servers come from the
+//! platform's store, and servers hold ranges of an ordered key space by lease.
 //!
-//! One control thread follows the store, talks with other instances and, on one
-//! of them, plans who owns which keys. One traffic thread serves callers by the
-//! last view that control has published.
+//! The control thread follows the store and exchanges state with other instances. On one
+//! of them, it also plans which server owns which keys. The traffic thread serves callers
+//! by the view that the control thread published last.
 
 mod control;
 mod error;
--- a/crates/citronproxy/src/edge/run.rs
+++ b/crates/citronproxy/src/edge/run.rs
@@ -1,4 +1,4 @@
-//! The threads of an instance, and its end.
+//! Threads of an instance, and its shutdown.
 
 use {
     super::{
@@ -21,11 +21,12 @@
     },
 };
 
-/// Stack of a thread in bytes: requests are futures on the heap.
+/// Stack size of the control thread in bytes. It can be small because requests are
+/// futures on the heap.
 const STACK_BYTES: usize = 512 * 1_024;
 
-/// Runs an instance until a signal has asked it to leave and its requests have
-/// ended. `file` is read again when SIGHUP tells that it has changed.
+/// Runs an instance until a signal has asked it to leave and its requests have ended.
+/// `settings_file` is checked again on SIGHUP.
 ///
 /// # Errors
 /// If a thread or a listener cannot be started.
@@ -47,7 +48,7 @@
     let thread = builder.spawn(move || {
         let control = control::run(adapter, control_settings, clock, control_shared, &registry);
         let result = runtime().and_then(|runtime| runtime.block_on(control));
-        // The receiver is gone only if traffic has ended before.
+        // The receiver is dropped early only if traffic has ended first.
         let _ = result_sender.send(result);
     });
     thread.map_err(EdgeError::Thread)?;
@@ -72,7 +73,7 @@
     runtime.map_err(EdgeError::Thread)
 }
 
-/// Tells of SIGTERM and SIGHUP for good.
+/// Handles SIGTERM, SIGINT and SIGHUP until the process exits.
 async fn handle_signals(shared: &SharedState, settings_file: PathBuf) -> Result<(), EdgeError> {
     let subscribe = |kind| signal(kind).map_err(EdgeError::Signals);
     let mut terminate = subscribe(SignalKind::terminate())?;
@@ -92,8 +93,9 @@
     shared.start_leaving();
 }
 
-/// Addresses and names cannot change while a process runs; a file that does not
-/// hold is told of before the next start.
+/// Checks the settings file and logs the result, so that an error is noticed before the
+/// next start. Changed settings do not take effect: addresses and names are fixed while a
+/// process runs.
 fn check_settings(settings_file: &Path) {
     match EdgeSettings::load(settings_file) {
         Ok(_) => log::info!("{} {}", events::RELOADED, settings_file.display()),
--- a/crates/citronproxy/src/edge/settings.rs
+++ b/crates/citronproxy/src/edge/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance on an outside platform.
+//! Settings of an instance on an external platform.
 
 use {
     crate::settings::{SettingsError, parse},
@@ -10,52 +10,53 @@
     std::{net::SocketAddr, path::Path, time::Duration},
 };
 
-/// The largest row that a store is taken to accept if the settings do not tell, in bytes.
+/// Largest row that the store is assumed to accept if the settings do not say, in bytes.
 const DEFAULT_ROW_BYTES_MAX: usize = 65_536;
 
-/// How much retries may add, over all instances together.
+/// Limit of additional requests due to retries, over all instances together.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Retries for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Retries beyond that within a window, for all instances.
+    /// Retries allowed in addition within a window, over all instances.
     pub extra: f64,
 }
 
 /// Settings of one instance.
 #[derive(Debug, Clone)]
 pub struct EdgeSettings {
-    /// Its name, the same across restarts.
+    /// Name of the instance; stays the same across restarts.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Where it takes callers' requests.
+    /// Address on which the instance serves callers.
     pub traffic_address: SocketAddr,
-    /// Where balancers ask whether it takes requests.
+    /// Address on which load balancers check whether the instance is ready.
     pub ready_address: SocketAddr,
-    /// Where it talks with other instances, over TCP and UDP.
+    /// Address on which the instance talks to other instances, over TCP and UDP.
     pub peer_address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// How long it may take to leave after SIGTERM.
+    /// How long the instance may take to leave after SIGTERM.
     pub leave_timeout: Duration,
-    /// How long after the news that a server leaves it may still get requests.
+    /// How long a leaving server may still be sent requests, counted from when its state
+    /// became known.
     pub drain_period: Duration,
-    /// The same after the news that its failure domain is evacuated.
+    /// The same for servers of a failure domain that is being evacuated.
     pub evacuation_period: Duration,
-    /// How far cold servers may be loaded.
+    /// Limit of the request rate of cold servers.
     pub cold_bound: ColdBound,
-    /// What retries may add.
+    /// Limit of retries.
     pub retry_budget: RetrySettings,
-    /// Where metrics are read; nowhere if it is not set.
+    /// Address of the metrics endpoint; metrics are not served if unset.
     pub metrics_address: Option<SocketAddr>,
-    /// The longest lease that servers take.
+    /// Longest lease that servers accept.
     pub lease_max: Duration,
-    /// The largest row that the store takes, in bytes.
+    /// Largest row that the store accepts, in bytes.
     pub row_bytes_max: usize,
-    /// Its part of a processor, in percent: the planner and the readers of the
-    /// store should be instances that have much of one.
+    /// Share of a processor that the instance may use, in percent. Instances with a
+    /// larger share are preferred as planner and as readers of the store.
     pub cpu_percent: u32,
 }
 
@@ -83,13 +84,14 @@
     metrics: Option<SocketAddr>,
 }
 
-/// How far above their rate cold servers may be loaded, over all instances.
+/// How far the request rate of cold servers may exceed their rated one, over all
+/// instances.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ColdSettings {
-    /// Factor of the rate.
+    /// Factor applied to the rate.
     factor: Option<f64>,
-    /// Requests in any second beyond that.
+    /// Additional requests in any one second.
     extra: Option<f64>,
 }
 
@@ -103,11 +105,11 @@
 }
 
 impl EdgeSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`] names the file, the field or line, what was found and
-    /// what is allowed.
+    /// [`SettingsError`] names the file, the field or line, what was found and what is
+    /// allowed.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let raw: RawSettings = parse::load(path)?;
         Ok(Self {
--- a/crates/citronproxy/src/edge/shared.rs
+++ b/crates/citronproxy/src/edge/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of an instance share.
+//! State shared by the threads of an instance.
 
 use {
     super::{freshness::SharedFreshness, view::View},
@@ -17,11 +17,11 @@
     tokio::sync::watch,
 };
 
-/// Keys that are kept for the planner at most, if it cannot be reached.
+/// Largest number of requested keys kept for the planner while it cannot be reached.
 const PENDING_KEYS_MAX: usize = 4_096;
 
-/// Handed from control to traffic and back. The locks are held for single
-/// steps on maps in memory only.
+/// State shared between the control thread and the traffic thread. The locks are held
+/// only for single operations on maps in memory.
 #[derive(Debug)]
 pub struct SharedState {
     view: ArcSwapOption<View>,
@@ -50,7 +50,7 @@
 }
 
 impl SharedState {
-    /// Makes a view the one that requests are routed by.
+    /// Replaces the view by which requests are routed, and notifies subscribers.
     pub fn publish(&self, view: View) {
         self.view.store(Some(Arc::new(view)));
         self.publications.send_modify(|count| *count += 1);
@@ -61,22 +61,22 @@
         self.view.load_full()
     }
 
-    /// As of when the tables behind the view are known.
+    /// Freshness of the tables behind the view.
     pub fn freshness(&self) -> &SharedFreshness {
         &self.freshness
     }
 
-    /// Tells every publication of a view.
+    /// Subscribes to publications of views. The value counts them.
     pub fn subscribe_views(&self) -> watch::Receiver<u64> {
         self.publications.subscribe()
     }
 
-    /// Loads of servers.
+    /// Load statistics of servers.
     pub fn loads(&self) -> MutexGuard<'_, LoadTracker> {
         self.loads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a request for a key.
+    /// Records a request for a key, to be reported to the planner.
     pub fn record_key(&self, service: &ServiceName, key: RangeKey) {
         let mut keys = self
             .pending_keys
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes the keys noted since the last call.
+    /// Removes and returns the keys recorded since the last call.
     pub fn take_keys(&self) -> Vec<(ServiceName, RangeKey)> {
         let mut keys = self
             .pending_keys
@@ -96,7 +96,7 @@
         std::mem::take(&mut *keys)
     }
 
-    /// Takes in what the planner says of keys on their way.
+    /// Records a key move announced by the planner.
     pub fn record_move(&self, service: &ServiceName, update: MoveNotice, now: Time) {
         let mut moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
         moves
@@ -105,7 +105,7 @@
             .insert(update, now);
     }
 
-    /// What is newer about a key than its slice of the map tells.
+    /// Hint about the owner of a key, if it is newer than the key's slice of the map.
     pub fn owner_hint(
         &self,
         service: &ServiceName,
@@ -117,24 +117,24 @@
         moves.get(service)?.find(key, slice, now).cloned()
     }
 
-    /// What was told lately of a service's keys on their way.
+    /// Recently announced moves of a service's keys.
     pub fn recent_moves(&self, service: &ServiceName, now: Time) -> Vec<MoveNotice> {
         let moves = self.moves.lock().unwrap_or_else(PoisonError::into_inner);
         let log = moves.get(service);
         log.map_or_else(Vec::new, |log| log.recent(now).cloned().collect())
     }
 
-    /// Requests that crash servers.
+    /// Log of requests that crash servers.
     pub fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The instance was asked to leave.
+    /// Starts the shutdown of this instance.
     pub fn start_leaving(&self) {
         self.leaving.send_replace(true);
     }
 
-    /// Whether the instance was asked to leave.
+    /// Subscribes to the start of the shutdown; true once the instance is leaving.
     pub fn subscribe_leaving(&self) -> watch::Receiver<bool> {
         self.leaving.subscribe()
     }
--- a/crates/citronproxy/src/edge/view.rs
+++ b/crates/citronproxy/src/edge/view.rs
@@ -1,4 +1,4 @@
-//! What requests are routed by.
+//! View by which requests are routed.
 
 use {
     citron_core::{
@@ -11,33 +11,34 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// All that control knows, as of one moment.
+/// Snapshot of what the control thread knows, as of one moment.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// The configuration in force.
+    /// Configuration in force.
     pub config: Arc<RouteConfig>,
-    /// Servers that are known, by service; also those that leave.
+    /// Known servers by service, including those that are leaving.
     pub servers: BTreeMap<ServiceName, ServerList>,
     /// Owners of keys, by service.
     pub maps: BTreeMap<ServiceName, Arc<PartitionedMap>>,
-    /// Instances that share the retry budget.
+    /// Number of instances that share the retry budget.
     pub instance_count: usize,
-    /// Those of them whose loads this instance hears of.
+    /// Number of instances, including this one, that report their loads to this one.
     pub reporting_count: usize,
-    /// Time between two reports of each of them.
+    /// Interval between two load reports of an instance.
     pub report_interval: Duration,
-    /// Who sends to cold servers; nobody yet if this instance does not know the others.
+    /// Instances among which the request rate of cold servers is divided. While `None`,
+    /// cold servers of services with slow start get no requests.
     pub slow_start_group: Option<Arc<SlowStartGroup>>,
 }
 
 impl View {
-    /// Servers of a service, in the order of their names.
+    /// Servers of a service, ordered by name.
     pub fn servers(&self, service: &ServiceName) -> &[Arc<ServerRecord>] {
         let servers = self.servers.get(service);
         servers.map_or(&[], |servers| servers.as_slice())
     }
 
-    /// A server of a service.
+    /// The server of that name in a service, if it is known.
     pub fn server(&self, service: &ServiceName, name: &ServerName) -> Option<&Arc<ServerRecord>> {
         let servers = self.servers(service);
         let index = servers.binary_search_by(|known| known.entry.name.cmp(name));
