--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -320,20 +320,20 @@
     }
 
     /// Records the age that a peer with the same version of a table reported at
-    /// `said_at`, and publishes the freshness.
-    pub fn record_peer_age(&self, table: usize, age: Option<Duration>, said_at: Time) {
-        self.merge_peer_age(table, age, said_at);
+    /// `reported_at`, and publishes the freshness.
+    pub fn record_peer_age(&self, table: usize, age: Option<Duration>, reported_at: Time) {
+        self.merge_peer_age(table, age, reported_at);
         self.publish_freshness(table);
     }
 
-    /// Records the age that a peer reported at `said_at`, without publishing it. Used
+    /// Records the age that a peer reported at `reported_at`, without publishing it. Used
     /// before the rows of the peer's table are applied.
-    pub fn merge_peer_age(&self, table: usize, age: Option<Duration>, said_at: Time) {
+    pub fn merge_peer_age(&self, table: usize, age: Option<Duration>, reported_at: Time) {
         let outage = self
             .state
             .borrow_mut()
             .freshness
-            .record_peer_age(table, age, said_at);
+            .record_peer_age(table, age, reported_at);
         self.on_outage_end(table, outage);
     }
 
