--- a/crates/citronproxy/src/edge/control/metrics.rs
+++ b/crates/citronproxy/src/edge/control/metrics.rs
@@ -42,7 +42,7 @@
         Ok(Self {
             store_calls: counter(
                 "citron_store_calls_total",
-                "Calls to the store of the external platform.",
+                "Calls to the outside platform's store.",
                 &["result"],
             )?,
             table_fetches: counter(
@@ -52,25 +52,28 @@
             )?,
             key_orders: counter(
                 "citron_key_orders_total",
-                "Grants and releases sent to servers, and commits of maps.",
+                "Grants, releases and commits of the planner.",
                 &["order", "result"],
             )?,
             oldest_table_age: register(
                 registry,
                 Gauge::new(
                     "citron_table_age_seconds",
-                    "Age of the oldest watched table in seconds.",
+                    "Seconds since the moment as of which the oldest table is known.",
                 )?,
             )?,
             config_version: gauge(
                 "citron_configuration_version",
                 "Version of the configuration in force.",
             )?,
-            planning: gauge("citron_planning", "1 while this instance is the planner.")?,
-            instances: gauge("citron_instances", "Live instances, including this one.")?,
+            planning: gauge("citron_planning", "1 while this instance plans.")?,
+            instances: gauge(
+                "citron_instances",
+                "Instances heard of lately, this one included.",
+            )?,
             evacuated_domains: gauge(
                 "citron_evacuated_domains",
-                "Failure domains that are being evacuated.",
+                "Failure domains to whose servers nothing is sent.",
             )?,
         })
     }
