--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/exchange.rs
@@ -13,7 +13,7 @@
         traffic::{
             pool::{Connection, Reuse},
             request::{kept_for, strip_hop_by_hop},
-            upload::{Source, Upload},
+            request_body::{Source, Upload},
         },
     },
     bytes::BytesMut,
--- a/crates/citronproxy/src/edge/traffic/proxy.rs
+++ b/crates/citronproxy/src/edge/traffic/proxy.rs
@@ -13,7 +13,7 @@
         traffic::{
             guard::Refusal,
             request::{host, prepare},
-            upload::Source,
+            request_body::Source,
         },
     },
     citron_core::{
--- a/crates/citronproxy/src/traffic/tries.rs
+++ b/crates/citronproxy/src/traffic/attempts.rs
@@ -2,17 +2,17 @@
 
 use {
     super::{
-        crashes::fingerprint,
+        crash_log::fingerprint,
         deadline,
         exchange::{Exchange, ExchangeError},
-        gates::{Denied, Slot},
-        owner::NoRoute,
+        limiters::{Denied, Slot},
         pool::Reuse,
         request::set_grant,
+        request_body::{Source, Upload},
+        route_wait::NoRoute,
+        socket::Wire,
         state::State,
         target::Target,
-        upload::{Source, Upload},
-        wire::Wire,
     },
     citron_core::{
         crash::Fingerprint,
--- a/crates/citronproxy/src/traffic/ask.rs
+++ b/crates/citronproxy/src/traffic/command.rs
@@ -1,7 +1,7 @@
 //! What control asks of a traffic thread.
 
 use {
-    super::{crashes::CrashNote, gates::Parts, load::LoadSample, state::State},
+    super::{crash_log::CrashNote, limiters::Parts, load::LoadSample, state::State},
     citron_core::{
         admission::Demand,
         crash::{CrashEntry, CrashReport},
--- a/crates/citronproxy/src/traffic/connection.rs
+++ b/crates/citronproxy/src/traffic/connection.rs
@@ -9,9 +9,9 @@
 
 use {
     super::{
-        early::{self, Early},
         guard::GuardStream,
         limits::Limits,
+        pipelined::{self, Early},
     },
     http::{Request, Response, header, request::Parts},
     http_body::Body,
@@ -178,7 +178,7 @@
     }
 
     fn begin(&self, bytes: &bytes::Bytes) -> Option<Early<S::Body>> {
-        let head = early::parse(bytes)?;
+        let head = pipelined::parse(bytes)?;
         if !head.method.is_safe() || !self.service.may_begin(&head) {
             return None;
         }
--- a/crates/citronproxy/src/traffic/crashes.rs
+++ b/crates/citronproxy/src/traffic/crash_log.rs
@@ -1,7 +1,7 @@
 //! Requests that crash servers, as one traffic thread knows of them.
 
 use {
-    super::upload::Source,
+    super::request_body::Source,
     crate::clock::Clock,
     citron_core::{
         crash::{CrashConfig, CrashEntry, CrashReport, CrashTracker, Fingerprint},
--- a/crates/citronproxy/src/traffic/call.rs
+++ b/crates/citronproxy/src/traffic/driver.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        answer::{from_verdict, mark, own},
-        body::{AnswerBody, Streamed},
-        crashes::CrashNote,
-        gates::{Denied, Slot},
+        attempts::{Answered, Ended, Tries},
+        crash_log::CrashNote,
+        limiters::{Denied, Slot},
+        local_response::{from_verdict, mark, own},
         request::strip_hop_by_hop,
-        tries::{Answered, Ended, Tries},
+        response_body::{AnswerBody, Streamed},
     },
     citron_core::{
         admission::ReleaseReason,
--- a/crates/citronproxy/src/traffic/exchange.rs
+++ b/crates/citronproxy/src/traffic/exchange.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        flights::Flight,
+        in_flight::Flight,
         pool::{Connection, Pool},
-        upload::{Source, Upload},
-        wire::Leave,
+        request_body::{Source, Upload},
+        socket::Leave,
     },
     citron_core::time::Time,
     http::{Request, Response},
--- a/crates/citronproxy/src/traffic/guard/mod.rs
+++ b/crates/citronproxy/src/traffic/guard/mod.rs
@@ -7,11 +7,11 @@
 //! and a caller would get an answer to a request that it never sent. Refusing
 //! such messages leaves nothing to disagree on.
 
-mod ahead;
-mod chunks;
+mod chunked;
 mod head;
+mod head_limit;
+mod lookahead;
 mod refusal;
-mod size;
 mod stream;
 
-pub use {refusal::Refusal, size::HeadSize, stream::GuardStream};
+pub use {head_limit::HeadSize, refusal::Refusal, stream::GuardStream};
--- a/crates/citronproxy/src/traffic/guard/stream.rs
+++ b/crates/citronproxy/src/traffic/guard/stream.rs
@@ -3,9 +3,9 @@
 use {
     super::{
         HeadSize, Refusal,
-        ahead::{self, Ahead},
-        chunks::Chunks,
+        chunked::Chunks,
         head::Framing,
+        lookahead::{self, Ahead},
     },
     crate::traffic::Limits,
     bytes::{Buf, Bytes, BytesMut},
@@ -149,7 +149,7 @@
     /// Checks the unread bytes as far as they go.
     fn check(&mut self) -> io::Result<()> {
         match &mut self.mode {
-            Mode::Head(scanned) => match ahead::find(&self.unread, *scanned, self.head) {
+            Mode::Head(scanned) => match lookahead::find(&self.unread, *scanned, self.head) {
                 Ok(None) => *scanned = self.unread.len(),
                 Ok(Some((end, framing))) => self.begin_body(end, framing),
                 Err(refusal) => self.refuse(refusal),
--- a/crates/citronproxy/src/traffic/handle.rs
+++ b/crates/citronproxy/src/traffic/handle.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        ask::Ask,
-        crashes::CrashNote,
-        gates::Parts,
+        command::Ask,
+        crash_log::CrashNote,
+        limiters::Parts,
         load::{LoadSample, merge},
         metrics::Metrics,
         phase::Phase,
--- a/crates/citronproxy/src/traffic/flights.rs
+++ b/crates/citronproxy/src/traffic/in_flight.rs
@@ -1,7 +1,7 @@
 //! Requests that a backend server may be running for this thread.
 
 use {
-    super::{burn::Burn, load::Load},
+    super::{load::Load, slo_counters::Burn},
     crate::clock::Clock,
     citron_core::{
         id::{Revision, ServerName},
--- a/crates/citronproxy/src/traffic/answer.rs
+++ b/crates/citronproxy/src/traffic/local_response.rs
@@ -1,7 +1,7 @@
 //! Answers of our own.
 
 use {
-    super::body::AnswerBody,
+    super::response_body::AnswerBody,
     bytes::Bytes,
     citron_core::routing::{LocalResponse, Outcome},
     http::{HeaderValue, Response, StatusCode, header},
--- a/crates/citronproxy/src/traffic/mod.rs
+++ b/crates/citronproxy/src/traffic/mod.rs
@@ -1,36 +1,36 @@
 //! The request path: hyper on both sides, one single-threaded runtime a thread.
 
-mod answer;
-mod ask;
-mod body;
-mod burn;
-mod call;
+mod attempts;
+mod command;
 pub(crate) mod connection;
-mod crashes;
+mod crash_log;
 mod deadline;
-mod early;
+mod driver;
 mod exchange;
-mod flights;
-mod gates;
 pub(crate) mod guard;
 mod handle;
+mod in_flight;
+mod limiters;
 mod limits;
 mod load;
+mod local_response;
 pub(crate) mod metrics;
-mod owner;
 mod phase;
+mod pipelined;
 pub(crate) mod pool;
 mod proxy;
 pub(crate) mod request;
+pub(crate) mod request_body;
+mod response_body;
+mod route_wait;
+mod slo_counters;
+mod socket;
 mod state;
 mod target;
-mod tries;
-pub(crate) mod upload;
-mod wire;
 mod worker;
 
 pub use {
-    crashes::CrashNote,
+    crash_log::CrashNote,
     deadline::HEADER_TIMEOUT,
     handle::TrafficHandle,
     limits::Limits,
--- a/crates/citronproxy/src/traffic/pool.rs
+++ b/crates/citronproxy/src/traffic/pool.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        upload::Upload,
-        wire::{Wire, WireStream},
+        request_body::Upload,
+        socket::{Wire, WireStream},
     },
     crate::clock::Clock,
     citron_core::time::Time,
--- a/crates/citronproxy/src/traffic/proxy.rs
+++ b/crates/citronproxy/src/traffic/proxy.rs
@@ -2,17 +2,17 @@
 
 use {
     super::{
-        answer::{outcome_of, own, unavailable},
-        body::AnswerBody,
-        call::Call,
+        attempts::Tries,
         deadline,
+        driver::Call,
         guard::Refusal,
         limits::Limits,
+        local_response::{outcome_of, own, unavailable},
         phase::Phase,
         request::{host, prepare},
+        request_body::{REPLAY_MAX, Source},
+        response_body::AnswerBody,
         state::State,
-        tries::Tries,
-        upload::{REPLAY_MAX, Source},
     },
     citron_core::{
         id::OperatorName,
--- a/crates/citronproxy/src/traffic/body.rs
+++ b/crates/citronproxy/src/traffic/response_body.rs
@@ -1,7 +1,7 @@
 //! The body of an answer: the backend server's, or a short one of ours.
 
 use {
-    super::{exchange::Exchange, gates::Slot},
+    super::{exchange::Exchange, limiters::Slot},
     bytes::Bytes,
     citron_core::admission::ReleaseReason,
     http_body::{Body, Frame, SizeHint},
--- a/crates/citronproxy/src/traffic/owner.rs
+++ b/crates/citronproxy/src/traffic/route_wait.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
+        attempts::Tries,
         state::State,
         target::{NoTarget, Target},
-        tries::Tries,
     },
     citron_core::{id::Revision, routing::SendAttempt},
     std::time::Duration,
--- a/crates/citronproxy/src/traffic/state.rs
+++ b/crates/citronproxy/src/traffic/state.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        crashes::Crashes, flights::Flights, gates::Gates, handle::TrafficHandle, limits::Limits,
-        metrics::LocalMetrics, pool::Pool,
+        crash_log::Crashes, handle::TrafficHandle, in_flight::Flights, limiters::Gates,
+        limits::Limits, metrics::LocalMetrics, pool::Pool,
     },
     crate::clock::Clock,
     citron_core::{
--- a/crates/citronproxy/src/traffic/target.rs
+++ b/crates/citronproxy/src/traffic/target.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        flights::{Flight, Flights},
         handle::TrafficHandle,
+        in_flight::{Flight, Flights},
         request::{host, key_hash},
-        wire::Leave,
+        socket::Leave,
     },
     citron_core::{
         id::Revision,
--- a/crates/citronproxy/src/traffic/worker.rs
+++ b/crates/citronproxy/src/traffic/worker.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        ask::{self, Ask},
-        body::AnswerBody,
+        command::{self, Ask},
         connection,
         handle::TrafficHandle,
         limits::Limits,
         phase::Phase,
         proxy::Proxy,
+        response_body::AnswerBody,
         state::State,
     },
     crate::{clock::Clock, events},
@@ -158,7 +158,7 @@
         let seed = rand::random();
         let state = State::new(self.handle.clone(), self.clock, self.limits, seed);
         let proxy = Proxy::new(&state);
-        spawn_local(ask::answer(self.asks, Rc::clone(&state)));
+        spawn_local(command::answer(self.asks, Rc::clone(&state)));
         spawn_local(tick());
         let (open, mut last) = mpsc::channel(1);
         let mut phases = self.handle.phases();
