--- a/crates/citronproxy/src/control/exchanging.rs
+++ b/crates/citronproxy/src/control/exchanging.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Node,
-    crate::traffic::CrashNote,
+    crate::traffic::CrashEvent,
     citron_core::{
         admission::{Demand, DemandTracker, ServerQuota},
         id::ServerName,
@@ -52,7 +52,8 @@
         let mut book = self.exchange().book.borrow_mut();
         book.record(sender.instance.clone(), report.demands, self.now());
         let report = report.crashes;
-        self.handle().note_crash(&CrashNote::Heard { from, report });
+        self.handle()
+            .send_crash_event(&CrashEvent::Reported { from, report });
     }
 
     fn divide(&self, demands: &Demands) -> Parts {
@@ -108,7 +109,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let demands = node.handle().demand().await;
+        let demands = node.handle().take_demand().await;
         let parts = node.divide(&demands);
         node.exchange().parts.replace(parts);
         let crashes = node.handle().crash_report().await;
--- a/crates/citronproxy/src/control/loads.rs
+++ b/crates/citronproxy/src/control/loads.rs
@@ -54,7 +54,7 @@
         for sample in samples {
             let key = (sample.service, sample.scope);
             let rate = self.rates.entry(key).or_default();
-            rate.busy += part * sample.busy.as_micros() as f64 / seconds;
+            rate.busy += part * sample.busy_time.as_micros() as f64 / seconds;
             rate.count += part * sample.count as f64 / seconds;
         }
         // What is left of a scope that is idle or gone counts for nothing.
--- a/crates/citronproxy/src/control/node.rs
+++ b/crates/citronproxy/src/control/node.rs
@@ -294,7 +294,10 @@
         }
         // Before the first publication no request is routed at all.
         if self.inner.handle.snapshot().is_some() {
-            self.inner.handle.quiet(&ask.server, ask.revision).await;
+            self.inner
+                .handle
+                .wait_quiescent(&ask.server, ask.revision)
+                .await;
         }
     }
 
--- a/crates/citronproxy/src/control/planning.rs
+++ b/crates/citronproxy/src/control/planning.rs
@@ -43,7 +43,7 @@
         sleep(PLAN_PAUSE).await;
         let span = node.now() - measured;
         if span >= LOAD_SPAN {
-            let sample = timeout(LOAD_SPAN, node.handle().load()).await;
+            let sample = timeout(LOAD_SPAN, node.handle().take_loads()).await;
             loads.add(sample.unwrap_or_default(), span);
             measured = node.now();
         }
--- a/crates/citronproxy/src/control/view.rs
+++ b/crates/citronproxy/src/control/view.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Node,
-    crate::{admin::ControlView, traffic::CrashNote},
+    crate::{admin::ControlView, traffic::CrashEvent},
     citron_core::{
         crash::{CrashEntry, Fingerprint},
         id::Revision,
@@ -32,7 +32,7 @@
     }
 
     fn lift(&self, print: Fingerprint) {
-        self.handle().note_crash(&CrashNote::Lift(print));
+        self.handle().send_crash_event(&CrashEvent::Lift(print));
     }
 
     /// Reads the edit back, then tells the other instances. The operator's answer
--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/call.rs
@@ -87,7 +87,7 @@
         let driven = timeout(left, self.drive()).await;
         let answer = driven.unwrap_or_else(|_| self.give_up("the deadline passed"));
         let mut counts = self.front.counts.borrow_mut();
-        counts.count(self.service, self.outcome.get(), self.sent, self.waited());
+        counts.count_request(self.service, self.outcome.get(), self.sent, self.waited());
         answer
     }
 
@@ -162,7 +162,7 @@
     fn print(&self) -> Fingerprint {
         let head = self.message.head;
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-        let body = self.message.source.kept();
+        let body = self.message.source.buffered();
         Fingerprint::from_parts(&[head.method.as_str().as_bytes(), path.as_bytes(), &body])
     }
 
--- a/crates/citronproxy/src/edge/traffic/denial.rs
+++ b/crates/citronproxy/src/edge/traffic/denial.rs
@@ -51,7 +51,11 @@
     fn is_by_config(self) -> bool {
         matches!(
             self,
-            Self::Route | Self::Large | Self::Outgrown | Self::Key | Self::Message(Refusal::Large)
+            Self::Route
+                | Self::Large
+                | Self::Outgrown
+                | Self::Key
+                | Self::Message(Refusal::HeadTooLarge)
         )
     }
 
--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/exchange.rs
@@ -12,8 +12,8 @@
         edge::shared::SharedState,
         traffic::{
             pool::{Connection, Reuse},
-            request::{kept_for, strip_hop_by_hop},
-            request_body::{Source, Upload},
+            request::{keep_alive_timeout, strip_hop_by_hop},
+            request_body::{CallerBody, UpstreamBody},
         },
     },
     bytes::BytesMut,
@@ -164,7 +164,7 @@
     /// The head, as the caller sent it.
     pub head: &'a Parts,
     /// The body.
-    pub source: &'a Rc<Source>,
+    pub source: &'a Rc<CallerBody>,
     /// How often it may run.
     pub repeat: Idempotency,
     /// When its answer loses worth.
@@ -226,7 +226,7 @@
     let service = &server.entry.service;
     let taken = front
         .pool
-        .take(address, reuse(front, service, message.repeat));
+        .acquire(address, reuse(front, service, message.repeat));
     let connected = timeout(CONNECT_TIME, taken).await;
     let connection = match connected {
         Ok(Ok(connection)) => connection,
@@ -240,8 +240,8 @@
         return Ended::Not(AttemptResult::Closed);
     }
     let mut kept = Kept::new(&front.pool, address, connection);
-    let before = kept.connection().wire.written();
-    let idle = front.clock.now() - kept.connection().wire.heard();
+    let before = kept.connection().socket.written_bytes();
+    let idle = front.clock.now() - kept.connection().socket.last_read();
     let reused = kept.connection().reused;
     let reused = reused.then(|| Reused::begin(&front.idles, service, idle, front.clock));
     let request = request(front, server, message);
@@ -256,7 +256,7 @@
         Err(error) => {
             reused.into_iter().for_each(Reused::broke);
             let reason = error.into_error().to_string();
-            match kept.connection().wire.written() > before {
+            match kept.connection().socket.written_bytes() > before {
                 true => Ended::Not(AttemptResult::Lost(reason)),
                 false => not_sent(reason),
             }
@@ -285,8 +285,8 @@
 /// Which kept connections a request may go on.
 pub fn reuse(front: &Front, service: &ServiceName, repeat: Idempotency) -> Reuse {
     match repeat {
-        Idempotency::Idempotent => Reuse::Told(IDLE),
-        Idempotency::AtMostOnce => Reuse::Within(front.idles.bound(service)),
+        Idempotency::Idempotent => Reuse::KeepAliveOr(IDLE),
+        Idempotency::AtMostOnce => Reuse::ReadWithin(front.idles.bound(service)),
     }
 }
 
@@ -294,8 +294,8 @@
     Ended::Not(AttemptResult::NotSent(reason))
 }
 
-fn request(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Request<Upload> {
-    let mut request = Request::new(Upload::new(message.source));
+fn request(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Request<UpstreamBody> {
+    let mut request = Request::new(UpstreamBody::new(message.source));
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message.head.uri.clone();
     *request.headers_mut() = message.head.headers.clone();
@@ -316,7 +316,7 @@
     let value = headers.get(&front.headers.load)?;
     let told = value.to_str().ok().and_then(|text| text.parse().ok());
     if told.is_none() {
-        front.counts.borrow_mut().count_bad_load();
+        front.counts.borrow_mut().count_invalid_load();
     }
     told
 }
@@ -328,7 +328,7 @@
     response: Response<Incoming>,
 ) -> Ended {
     let (mut head, body) = response.into_parts();
-    kept.connection().told = kept_for(&head.headers);
+    kept.connection().keep_alive = keep_alive_timeout(&head.headers);
     if !is_answer_to(front, message, &head) {
         // A late or doubled answer, or bytes behind one: this request's may come
         // after it, or never.
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/front.rs
@@ -105,7 +105,7 @@
         }
         self.counts.borrow_mut().flush();
         self.metrics.set_lost_lines(logs::lost());
-        response(StatusCode::OK, self.metrics.text())
+        response(StatusCode::OK, self.metrics.to_text())
     }
 
     /// How old what requests are decided by is.
@@ -284,20 +284,20 @@
 #[derive(Clone)]
 struct Answers(Rc<Front>);
 
-impl connection::Service for Answers {
+impl connection::RequestHandler for Answers {
     type Body = AnswerBody;
 
-    async fn answer(self, head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
+    async fn handle(self, head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
         proxy::serve(self.0, head, body).await
     }
 
-    fn may_begin(&self, head: &Parts) -> bool {
+    fn can_start_early(&self, head: &Parts) -> bool {
         proxy::may_begin(&self.0, head)
     }
 
-    fn head_max(&self) -> usize {
+    fn max_head_bytes(&self) -> usize {
         let view = self.0.board.view();
-        view.map_or(Limits::default().head, |view| {
+        view.map_or(Limits::default().max_head_bytes, |view| {
             view.config.limits.max_header_bytes
         })
     }
@@ -309,10 +309,10 @@
     let mut limits = Limits::default();
     if let Some(view) = front.board.view() {
         let set = view.config.limits;
-        limits.head = set.max_header_bytes;
-        limits.body = set.max_body_bytes;
-        limits.slow = set.header_timeout;
-        limits.idle = set.idle_timeout * IDLE_FACTOR;
+        limits.max_head_bytes = set.max_header_bytes;
+        limits.max_body_bytes = set.max_body_bytes;
+        limits.head_timeout = set.header_timeout;
+        limits.idle_timeout = set.idle_timeout * IDLE_FACTOR;
     }
     limits
 }
--- a/crates/citronproxy/src/edge/traffic/hold.rs
+++ b/crates/citronproxy/src/edge/traffic/hold.rs
@@ -32,6 +32,6 @@
     /// Back to the pool. What is left of the request is written on: the pool
     /// gives a connection away only after that.
     pub fn give(self) {
-        self.pool.give(self.address, self.connection);
+        self.pool.release(self.address, self.connection);
     }
 }
--- a/crates/citronproxy/src/edge/traffic/proxy.rs
+++ b/crates/citronproxy/src/edge/traffic/proxy.rs
@@ -12,8 +12,8 @@
         edge::view::View,
         traffic::{
             guard::Refusal,
-            request::{host, prepare},
-            request_body::Source,
+            request::{host, prepare_forward},
+            request_body::CallerBody,
         },
     },
     citron_core::{
@@ -64,9 +64,11 @@
 
 async fn route(front: &Front, mut head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
     let begun = front.clock.now();
-    match Refusal::of_path(head.uri.path()) {
+    match Refusal::from_path(head.uri.path()) {
         None => {}
-        Some(Refusal::Room) => return refuse(front, &head, None, &Refusal::Room.to_string()),
+        Some(Refusal::BufferTooSmall) => {
+            return refuse(front, &head, None, &Refusal::BufferTooSmall.to_string());
+        }
         Some(refusal) => return Denial::Message(refusal).answer(front, &head, None),
     }
     let Some(view) = first_view(front).await else {
@@ -78,18 +80,21 @@
         return deny(Denial::Route, &head);
     };
     let deadline = begun + patience(front, &head).min(rule.timeout);
-    let source = Source::new(body, config.limits.max_body_bytes, KEEP);
-    if source.length() > config.limits.max_body_bytes {
+    let source = CallerBody::new(body, config.limits.max_body_bytes, KEEP);
+    if source.declared_length() > config.limits.max_body_bytes {
         return deny(Denial::Large, &head);
     }
-    if timeout(deadline - begun, source.fill_kept()).await.is_err() {
+    if timeout(deadline - begun, source.buffer_prefix())
+        .await
+        .is_err()
+    {
         let reason = "its body did not come before its deadline";
         return refuse(front, &head, Some(config.version), reason);
     }
     if let Some(denial) = bad_body(&source) {
         return deny(denial, &head);
     }
-    prepare(&mut head);
+    prepare_forward(&mut head);
     let answer = call(front, config, rule, &head, &source, begun, deadline).await;
     match bad_body(&source) {
         Some(Denial::Large) => deny(Denial::Outgrown, &head),
@@ -116,7 +121,7 @@
     config: &RouteConfig,
     rule: &RouteRule,
     head: &Parts,
-    source: &Rc<Source>,
+    source: &Rc<CallerBody>,
     begun: Time,
     deadline: Time,
 ) -> Response<AnswerBody> {
@@ -172,9 +177,9 @@
     head.headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-fn bad_body(source: &Source) -> Option<Denial> {
-    match source.too_large() {
+fn bad_body(source: &CallerBody) -> Option<Denial> {
+    match source.is_too_large() {
         true => Some(Denial::Large),
-        false => source.cut().then_some(Denial::Cut),
+        false => source.is_truncated().then_some(Denial::Cut),
     }
 }
--- a/crates/citronproxy/src/lifecycle/machine.rs
+++ b/crates/citronproxy/src/lifecycle/machine.rs
@@ -29,7 +29,7 @@
 /// machine.handle(&Change::Noticed);
 /// assert_eq!(handle.phase(), Phase::Serving);
 /// machine.handle(&Change::Asked);
-/// assert_eq!(handle.phase(), Phase::Leaving);
+/// assert_eq!(handle.phase(), Phase::Draining);
 /// ```
 #[derive(Debug)]
 pub struct Lifecycle {
--- a/crates/citronproxy/src/lifecycle/run.rs
+++ b/crates/citronproxy/src/lifecycle/run.rs
@@ -33,7 +33,7 @@
     on_leave();
     sleep(LEAVE_TIME).await;
     machine.handle(&Change::Noticed);
-    handle.drained().await;
+    handle.wait_stopped().await;
     machine.handle(&Change::Finished);
     Ok(())
 }
--- a/crates/citronproxy/src/slo/recorder.rs
+++ b/crates/citronproxy/src/slo/recorder.rs
@@ -82,7 +82,7 @@
 
     /// Adds what happened since the last sample to a minute.
     pub async fn sample(&mut self, now: Time, minute: Minute) {
-        let mut tallies = self.handle.tallies().await;
+        let mut tallies = self.handle.take_tallies().await;
         self.watch(now, &mut tallies);
         let page = self.page(minute.hour());
         for (service, tally) in &tallies {
--- a/crates/citronproxy/src/traffic/attempts.rs
+++ b/crates/citronproxy/src/traffic/attempts.rs
@@ -7,11 +7,11 @@
         exchange::{Exchange, ExchangeError},
         limiters::{Denied, Slot},
         pool::Reuse,
-        request::set_grant,
-        request_body::{Source, Upload},
-        route_wait::NoRoute,
-        socket::Wire,
-        state::State,
+        request::set_grant_headers,
+        request_body::{CallerBody, UpstreamBody},
+        route_wait::RouteError,
+        socket::SocketState,
+        state::ThreadState,
         target::Target,
     },
     citron_core::{
@@ -39,16 +39,16 @@
 
 /// How a try ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The head of an answer was read.
-    Answered(Box<Answered>),
+    Answered(Box<ServerResponse>),
     /// It gave none.
     Failed(Event),
 }
 
 /// A server's answer, not yet passed on.
 #[derive(Debug)]
-pub struct Answered {
+pub struct ServerResponse {
     /// Which try.
     pub no: AttemptNo,
     /// The answer.
@@ -59,47 +59,49 @@
 
 /// One request that is being tried.
 #[derive(Debug)]
-pub struct Tries {
+pub struct Attempts {
     /// The thread's state.
-    pub state: Rc<State>,
+    pub state: Rc<ThreadState>,
     /// The head, ready to be passed on but for what differs by try.
     pub head: Parts,
     /// The body.
-    pub source: Rc<Source>,
+    pub body: Rc<CallerBody>,
     /// When the caller stops waiting.
     pub deadline: Time,
     /// The revision of the last route that was refused.
-    pub refused: Cell<Option<Revision>>,
+    pub refused_revision: Cell<Option<Revision>>,
     /// The server of the last try.
-    pub server: RefCell<Option<Arc<ServerRow>>>,
+    pub last_server: RefCell<Option<Arc<ServerRow>>>,
     /// Until when it waits for its key's owner to be certain.
-    pub patient: Cell<Option<Time>>,
+    pub wait_until: Cell<Option<Time>>,
     /// Begin and address of the first write on a connection that was used before.
-    pub reused: OnceCell<(Time, SocketAddr)>,
+    pub first_reused: OnceCell<(Time, SocketAddr)>,
     /// Tells when the field above is set.
-    pub noted: Notify,
+    pub reuse_notify: Notify,
 }
 
 /// How far a try has got; outlives it when it is cancelled.
 #[derive(Debug, Default)]
 struct Progress {
-    wire: RefCell<Option<(Rc<Wire>, u64)>>,
+    socket: RefCell<Option<(Rc<SocketState>, u64)>>,
 }
 
 impl Progress {
-    fn point(&self) -> ExchangeStage {
-        match &*self.wire.borrow() {
+    fn stage(&self) -> ExchangeStage {
+        match &*self.socket.borrow() {
             None => ExchangeStage::Unconnected,
-            Some((wire, begun)) if wire.written() == *begun => ExchangeStage::Connected,
+            Some((socket, start_bytes)) if socket.written_bytes() == *start_bytes => {
+                ExchangeStage::Connected
+            }
             Some(_) => ExchangeStage::Written,
         }
     }
 }
 
-impl Tries {
+impl Attempts {
     /// What tells the request from others.
     pub fn fingerprint(&self) -> Fingerprint {
-        fingerprint(&self.head, &self.source)
+        fingerprint(&self.head, &self.body)
     }
 
     /// Waits for a slot of the server that owns the key now.
@@ -115,98 +117,106 @@
             reroute: false,
         };
         // Without an owner there is no server to wait for; the first try tells so.
-        let Ok(Ok(target)) = timeout(first.timeout, self.target(first)).await else {
+        let Ok(Ok(target)) = timeout(first.timeout, self.wait_target(first)).await else {
             return Ok(None);
         };
         let server = Arc::clone(&target.server);
         drop(target);
-        let slot = self.state.gates.enter(&server, self.deadline).await?;
+        let slot = self.state.limiters.acquire(&server, self.deadline).await?;
         Ok(Some(slot))
     }
 
     /// Runs one try to the head of an answer.
-    pub async fn run(&self, send: SendAttempt) -> Ended {
+    pub async fn run(&self, send: SendAttempt) -> AttemptOutcome {
         let progress = Progress::default();
-        let tried = timeout(send.timeout + send.delay, self.try_once(send, &progress)).await;
+        let outcome = timeout(
+            send.timeout + send.delay,
+            self.attempt_once(send, &progress),
+        )
+        .await;
         // A try that ran out of time was dropped with its connection, so that
         // nothing is written any more: the point is final.
-        tried.unwrap_or_else(|_| Ended::Failed(Event::TimedOut(send.no, progress.point())))
+        outcome
+            .unwrap_or_else(|_| AttemptOutcome::Failed(Event::TimedOut(send.no, progress.stage())))
     }
 
-    async fn try_once(&self, send: SendAttempt, progress: &Progress) -> Ended {
+    async fn attempt_once(&self, send: SendAttempt, progress: &Progress) -> AttemptOutcome {
         if !send.delay.is_zero() {
             sleep(send.delay).await;
         }
-        let target = match self.target(send).await {
+        let target = match self.wait_target(send).await {
             Ok(target) => target,
-            Err(NoRoute::Unconfirmed) => return Ended::Failed(Event::Unconfirmed(send.no)),
-            Err(NoRoute::Moving) => return Ended::Failed(Event::Fenced(send.no)),
+            Err(RouteError::Unconfirmed) => {
+                return AttemptOutcome::Failed(Event::Unconfirmed(send.no));
+            }
+            Err(RouteError::NoOwner) => return AttemptOutcome::Failed(Event::Fenced(send.no)),
         };
-        let revision = target.leave.snapshot.map.revision;
+        let revision = target.permit.snapshot.map.revision;
         let address = target.server.address;
-        self.server.replace(Some(Arc::clone(&target.server)));
+        self.last_server.replace(Some(Arc::clone(&target.server)));
         let reuse = match send.connection {
             ConnectionPolicy::Any => Reuse::ANY,
-            ConnectionPolicy::Trusted => Reuse::FRESH,
+            ConnectionPolicy::Trusted => Reuse::RECENT,
             ConnectionPolicy::New => Reuse::Never,
         };
-        let connection = match self.state.pool.take(address, reuse).await {
+        let connection = match self.state.pool.acquire(address, reuse).await {
             Ok(connection) => connection,
             Err(error) => {
                 log::debug!("{address}: {error}");
-                return Ended::Failed(Event::Lost(send.no, ExchangeStage::Unconnected));
+                return AttemptOutcome::Failed(Event::Lost(send.no, ExchangeStage::Unconnected));
             }
         };
         let now = self.state.clock.now();
         if connection.reused {
-            let _ = self.reused.set((now, address));
-            self.noted.notify_one();
+            let _ = self.first_reused.set((now, address));
+            self.reuse_notify.notify_one();
         }
-        let wire = Rc::clone(&connection.wire);
+        let socket = Rc::clone(&connection.socket);
         progress
-            .wire
-            .replace(Some((Rc::clone(&wire), wire.written())));
-        let request = self.request(&target, now);
+            .socket
+            .replace(Some((Rc::clone(&socket), socket.written_bytes())));
+        let request = self.build_request(&target, now);
         let pool = &self.state.pool;
-        let mut exchange = Exchange::new(pool, address, connection, target.flight, &self.source);
-        match exchange.send(request, target.leave, self.deadline).await {
+        let mut exchange = Exchange::new(pool, address, connection, target.in_flight, &self.body);
+        match exchange.send(request, target.permit, self.deadline).await {
             Ok(response) => {
-                self.state.observe(address, self.state.clock.now() - now);
-                self.answered(send.no, response, exchange, revision)
+                self.state
+                    .observe_latency(address, self.state.clock.now() - now);
+                self.classify_response(send.no, response, exchange, revision)
             }
             Err(error) => {
                 log::debug!("{address}: {error}");
                 let event = match error {
-                    ExchangeError::Leave => Event::Unconfirmed(send.no),
-                    ExchangeError::Before(_) => Event::Lost(send.no, ExchangeStage::Connected),
-                    ExchangeError::After(_) => Event::Lost(send.no, ExchangeStage::Written),
+                    ExchangeError::PermitExpired => Event::Unconfirmed(send.no),
+                    ExchangeError::BeforeWrite(_) => Event::Lost(send.no, ExchangeStage::Connected),
+                    ExchangeError::AfterWrite(_) => Event::Lost(send.no, ExchangeStage::Written),
                 };
-                Ended::Failed(event)
+                AttemptOutcome::Failed(event)
             }
         }
     }
 
-    fn answered(
+    fn classify_response(
         &self,
         no: AttemptNo,
         response: Response<Incoming>,
         exchange: Exchange,
         revision: Revision,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         if let Some(reason) = response.headers().get(HEADER_REFUSED) {
-            let shed = reason == "shed";
+            let is_shed = reason == "shed";
             let wait = retry_after(response.headers());
-            exchange.refused(response.body().is_end_stream());
-            if shed {
-                return Ended::Failed(Event::Refused { no, wait });
+            exchange.finish_refused(response.body().is_end_stream());
+            if is_shed {
+                return AttemptOutcome::Failed(Event::Refused { no, wait });
             }
-            self.refused.set(Some(revision));
-            return Ended::Failed(Event::Fenced(no));
+            self.refused_revision.set(Some(revision));
+            return AttemptOutcome::Failed(Event::Fenced(no));
         }
         if !is_delimited(&response) {
-            return Ended::Failed(Event::Lost(no, ExchangeStage::AnswerPart));
+            return AttemptOutcome::Failed(Event::Lost(no, ExchangeStage::AnswerPart));
         }
-        Ended::Answered(Box::new(Answered {
+        AttemptOutcome::Answered(Box::new(ServerResponse {
             no,
             response,
             exchange,
@@ -214,20 +224,20 @@
     }
 
     /// Waits for the first write on a connection that was used before.
-    pub async fn reused(&self) -> (Time, SocketAddr) {
+    pub async fn wait_reused(&self) -> (Time, SocketAddr) {
         loop {
-            if let Some(reused) = self.reused.get() {
+            if let Some(reused) = self.first_reused.get() {
                 return *reused;
             }
-            self.noted.notified().await;
+            self.reuse_notify.notified().await;
         }
     }
 
-    fn request(&self, target: &Target, now: Time) -> Request<Upload> {
+    fn build_request(&self, target: &Target, now: Time) -> Request<UpstreamBody> {
         let mut head = self.head.clone();
-        set_grant(&mut head.headers, &target.service.row, &target.route);
-        deadline::pass_on(&mut head.headers, self.deadline, now);
-        Request::from_parts(head, Upload::new(&self.source))
+        set_grant_headers(&mut head.headers, &target.service.row, &target.route);
+        deadline::set_timeout_header(&mut head.headers, self.deadline, now);
+        Request::from_parts(head, UpstreamBody::new(&self.body))
     }
 }
 
--- a/crates/citronproxy/src/traffic/command.rs
+++ b/crates/citronproxy/src/traffic/command.rs
@@ -1,7 +1,7 @@
 //! What control asks of a traffic thread.
 
 use {
-    super::{crash_log::CrashNote, limiters::Parts, load::LoadSample, state::State},
+    super::{crash_log::CrashEvent, limiters::Quotas, load::LoadSample, state::ThreadState},
     citron_core::{
         admission::Demand,
         crash::{CrashEntry, CrashReport},
@@ -15,9 +15,9 @@
 /// A question to one traffic thread. The thread owns what it is asked about,
 /// so that requests take no lock that another thread can hold.
 #[derive(Debug)]
-pub enum Ask {
+pub enum Command {
     /// Whether no request that was routed below a revision can still reach a server.
-    Quiet {
+    IsQuiescent {
         /// The server.
         server: ServerName,
         /// The first revision that does not count.
@@ -26,7 +26,7 @@
         reply: oneshot::Sender<bool>,
     },
     /// Counts for service-level objectives since the last time they were asked for.
-    Burn {
+    Tallies {
         /// Takes the answer.
         reply: oneshot::Sender<Vec<(ServiceName, Tally)>>,
     },
@@ -36,14 +36,14 @@
         reply: oneshot::Sender<Vec<(ServerName, Demand)>>,
     },
     /// Sets what the instance may take of each server.
-    Parts {
+    SetQuotas {
         /// The parts.
-        parts: Arc<Parts>,
+        quotas: Arc<Quotas>,
         /// Told when they are in force.
         reply: oneshot::Sender<()>,
     },
     /// Notes a crash, an answer or what another instance or an operator says.
-    Crash(CrashNote),
+    ApplyCrash(CrashEvent),
     /// What this instance knows of crashes, for the others.
     CrashReport {
         /// Takes the answer.
@@ -67,30 +67,30 @@
 }
 
 /// Answers questions until the other side is gone.
-pub async fn answer(mut asks: mpsc::UnboundedReceiver<Ask>, state: Rc<State>) {
-    while let Some(ask) = asks.recv().await {
-        let mut flights = state.flights.borrow_mut();
+pub async fn serve(mut commands: mpsc::UnboundedReceiver<Command>, state: Rc<ThreadState>) {
+    while let Some(command) = commands.recv().await {
+        let mut in_flight = state.in_flight.borrow_mut();
         // Whoever asked may have stopped waiting.
-        match ask {
-            Ask::Quiet {
+        match command {
+            Command::IsQuiescent {
                 server,
                 below,
                 reply,
-            } => drop(reply.send(flights.quiet(&server, below))),
-            Ask::Burn { reply } => drop(reply.send(flights.burn.take())),
-            Ask::Demand { reply } => drop(reply.send(state.gates.demand())),
-            Ask::Parts { parts, reply } => {
-                state.gates.set_parts(parts);
+            } => drop(reply.send(in_flight.is_quiescent(&server, below))),
+            Command::Tallies { reply } => drop(reply.send(in_flight.slo_counters.take())),
+            Command::Demand { reply } => drop(reply.send(state.limiters.take_demand())),
+            Command::SetQuotas { quotas, reply } => {
+                state.limiters.set_quotas(quotas);
                 let _ = reply.send(());
             }
-            Ask::Crash(note) => state.crashes.note(note),
-            Ask::CrashReport { reply } => drop(reply.send(state.crashes.report())),
-            Ask::CrashEntries { reply } => drop(reply.send(state.crashes.entries())),
-            Ask::Metrics { reply } => {
+            Command::ApplyCrash(event) => state.crash_log.apply(event),
+            Command::CrashReport { reply } => drop(reply.send(state.crash_log.report())),
+            Command::CrashEntries { reply } => drop(reply.send(state.crash_log.entries())),
+            Command::Metrics { reply } => {
                 state.metrics.borrow_mut().flush();
-                let _ = reply.send(flights.count());
+                let _ = reply.send(in_flight.count());
             }
-            Ask::Load { reply } => drop(reply.send(flights.load.take())),
+            Command::Load { reply } => drop(reply.send(in_flight.load.take())),
         }
     }
 }
--- a/crates/citronproxy/src/traffic/connection.rs
+++ b/crates/citronproxy/src/traffic/connection.rs
@@ -11,7 +11,7 @@
     super::{
         guard::GuardStream,
         limits::Limits,
-        pipelined::{self, Early},
+        pipelined::{self, PipelinedRequest},
     },
     http::{Request, Response, header, request::Parts},
     http_body::Body,
@@ -36,32 +36,32 @@
 
 /// Bytes that are buffered of one caller's connection, each way, unless heads may be
 /// larger.
-const BUFFER_MAX: usize = 64 * 1_024;
+const MIN_BUFFER_BYTES: usize = 64 * 1_024;
 
 /// What answers the requests of a connection.
-pub trait Service: Clone + 'static {
+pub trait RequestHandler: Clone + 'static {
     /// The body of an answer.
     type Body: Body + 'static;
 
     /// Answers a request; one without a body if that is `None`.
-    fn answer(
+    fn handle(
         self,
         head: Parts,
         body: Option<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static;
 
     /// Whether a request without a body may be answered while one before it is not.
-    fn may_begin(&self, head: &Parts) -> bool;
+    fn can_start_early(&self, head: &Parts) -> bool;
 
     /// Bytes that a request's head may have now: connections outlive settings.
-    fn head_max(&self) -> usize;
+    fn max_head_bytes(&self) -> usize;
 }
 
 /// Answers a caller's requests until it closes the connection, or until `closing`
 /// resolves and the request under way has ended.
-pub async fn serve<S>(stream: TcpStream, limits: Limits, closing: impl Future, service: S)
+pub async fn serve<S>(stream: TcpStream, limits: Limits, closing: impl Future, handler: S)
 where
-    S: Service,
+    S: RequestHandler,
     <S::Body as Body>::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     if let Err(error) = stream.set_nodelay(true) {
@@ -69,33 +69,33 @@
         log::debug!("a caller's connection: {error}");
         return;
     }
-    let buffer = limits.head.max(BUFFER_MAX);
-    let caller = Rc::new(Caller {
+    let buffer = limits.max_head_bytes.max(MIN_BUFFER_BYTES);
+    let connection = Rc::new(CallerConnection {
         guard: RefCell::new(GuardStream::new(stream, limits, buffer)),
-        early: RefCell::default(),
-        service,
+        pipelined: RefCell::default(),
+        handler,
     });
-    let answer = |request| Rc::clone(&caller).answer(request);
+    let start = |request| Rc::clone(&connection).start(request);
     let mut served = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.idle)
+            .header_read_timeout(limits.idle_timeout)
             .max_buf_size(buffer)
             .serve_connection(
-                TokioIo::new(Guarded(Rc::clone(&caller))),
-                service_fn(answer)
+                TokioIo::new(SharedGuard(Rc::clone(&connection))),
+                service_fn(start)
             )
     );
     let mut closing = pin!(closing);
-    let mut closed = false;
+    let mut is_closing = false;
     let ended = poll_fn(|cx| {
-        if !closed && closing.as_mut().poll(cx).is_ready() {
-            closed = true;
+        if !is_closing && closing.as_mut().poll(cx).is_ready() {
+            is_closing = true;
             served.as_mut().graceful_shutdown();
         }
         let ended = served.as_mut().poll(cx);
         if ended.is_pending() {
-            caller.poll_ahead(cx);
+            connection.poll_pipelined(cx);
         }
         ended
     });
@@ -105,67 +105,70 @@
 }
 
 /// One caller's connection.
-struct Caller<S: Service> {
+struct CallerConnection<S: RequestHandler> {
     guard: RefCell<GuardStream>,
     /// Requests that were told ahead; `None` for one that waits for its turn.
-    early: RefCell<VecDeque<Option<Early<S::Body>>>>,
-    service: S,
+    pipelined: RefCell<VecDeque<Option<PipelinedRequest<S::Body>>>>,
+    handler: S,
 }
 
-impl<S: Service> Caller<S> {
+impl<S: RequestHandler> CallerConnection<S> {
     /// Takes a request that has its turn. Not a future yet: the library may read on
     /// before it polls one, and would be given the next head.
-    fn answer(
+    fn start(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<S::Body>, Infallible>> {
         let (head, body) = request.into_parts();
         // A request behind one that changes something may depend on it.
-        let told = self.guard.borrow_mut().begin(head.method.is_safe());
-        let early = match told {
-            true => self.early.borrow_mut().pop_front().flatten(),
+        let was_announced = self
+            .guard
+            .borrow_mut()
+            .begin_response(head.method.is_safe());
+        let pipelined = match was_announced {
+            true => self.pipelined.borrow_mut().pop_front().flatten(),
             false => None,
         };
-        self.finish(head, body, early)
+        self.finish(head, body, pipelined)
     }
 
     async fn finish(
         self: Rc<Self>,
         head: Parts,
         body: Incoming,
-        early: Option<Early<S::Body>>,
+        pipelined: Option<PipelinedRequest<S::Body>>,
     ) -> Result<Response<S::Body>, Infallible> {
-        let early = match early {
-            Some(early) => early.answer(&head).await,
+        let pipelined = match pipelined {
+            Some(pipelined) => pipelined.into_response(&head).await,
             None => None,
         };
-        let mut answer = match early {
+        let mut answer = match pipelined {
             Some(answer) => answer,
-            None => self.service.clone().answer(head, Some(body)).await,
+            None => self.handler.clone().handle(head, Some(body)).await,
         };
-        if !self.early.borrow().is_empty() {
+        if !self.pipelined.borrow().is_empty() {
             // Answers that are worked out would be thrown away with the connection.
             answer.headers_mut().remove(header::CONNECTION);
         }
-        self.guard.borrow_mut().answered();
+        self.guard.borrow_mut().end_response();
         Ok(answer)
     }
 
     /// The guard, to read heads that are allowed now.
-    fn reading(&self) -> RefMut<'_, GuardStream> {
+    fn guard_for_read(&self) -> RefMut<'_, GuardStream> {
         let mut guard = self.guard.borrow_mut();
-        guard.allow_head(self.service.head_max());
+        guard.set_max_head_bytes(self.handler.max_head_bytes());
         guard
     }
 
     /// Begins what has come behind the request under way.
-    fn poll_ahead(&self, cx: &mut Context<'_>) {
+    fn poll_pipelined(&self, cx: &mut Context<'_>) {
         loop {
-            let told = self.reading().poll_ahead(cx);
-            match told {
+            let announced = self.guard_for_read().poll_pipelined(cx);
+            match announced {
                 Poll::Ready(Some(bytes)) => {
-                    let early = self.begin(&bytes);
-                    self.early.borrow_mut().push_back(early);
+                    let pipelined = self.start_pipelined(&bytes);
+                    self.pipelined.borrow_mut().push_back(pipelined);
                 }
                 Poll::Ready(None) => {
                     // The library is to see the end, too.
@@ -177,30 +180,30 @@
         }
     }
 
-    fn begin(&self, bytes: &bytes::Bytes) -> Option<Early<S::Body>> {
-        let head = pipelined::parse(bytes)?;
-        if !head.method.is_safe() || !self.service.may_begin(&head) {
+    fn start_pipelined(&self, bytes: &bytes::Bytes) -> Option<PipelinedRequest<S::Body>> {
+        let head = pipelined::parse_head(bytes)?;
+        if !head.method.is_safe() || !self.handler.can_start_early(&head) {
             return None;
         }
-        let answer = self.service.clone().answer(head.clone(), None);
-        Some(Early::begin(&head, answer))
+        let answer = self.handler.clone().handle(head.clone(), None);
+        Some(PipelinedRequest::spawn(&head, answer))
     }
 }
 
 /// The guarded socket, for the HTTP library.
-struct Guarded<S: Service>(Rc<Caller<S>>);
+struct SharedGuard<S: RequestHandler>(Rc<CallerConnection<S>>);
 
-impl<S: Service> AsyncRead for Guarded<S> {
+impl<S: RequestHandler> AsyncRead for SharedGuard<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.0.reading()).poll_read(cx, out)
+        Pin::new(&mut *self.0.guard_for_read()).poll_read(cx, out)
     }
 }
 
-impl<S: Service> AsyncWrite for Guarded<S> {
+impl<S: RequestHandler> AsyncWrite for SharedGuard<S> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/citronproxy/src/traffic/crash_log.rs
+++ b/crates/citronproxy/src/traffic/crash_log.rs
@@ -1,7 +1,7 @@
 //! Requests that crash servers, as one traffic thread knows of them.
 
 use {
-    super::request_body::Source,
+    super::request_body::CallerBody,
     crate::clock::Clock,
     citron_core::{
         crash::{CrashConfig, CrashEntry, CrashReport, CrashTracker, Fingerprint},
@@ -20,11 +20,11 @@
 /// News of crashes. Every thread gets all of them, in the same order but for
 /// those that happen at the same time, and so keeps the same log.
 #[derive(Debug, Clone)]
-pub enum CrashNote {
+pub enum CrashEvent {
     /// A connection died with the request in flight.
     Crashed {
         /// Which request.
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         /// Method and path, for operators.
         label: String,
         /// Whose connection died.
@@ -35,7 +35,7 @@
     /// An operator lets such requests through again.
     Lift(Fingerprint),
     /// What another instance counted.
-    Heard {
+    Reported {
         /// Who.
         from: (InstanceId, Incarnation),
         /// What.
@@ -45,79 +45,85 @@
 
 /// The log of one thread.
 #[derive(Debug)]
-pub struct Crashes {
-    log: RefCell<CrashTracker>,
+pub struct CrashLog {
+    tracker: RefCell<CrashTracker>,
     /// Whether anything was ever noted: else no request needs a fingerprint.
-    noted: Cell<bool>,
+    has_entries: Cell<bool>,
     clock: Clock,
 }
 
-impl Crashes {
+impl CrashLog {
     /// Nothing noted.
     pub fn new(clock: Clock) -> Self {
         Self {
-            log: RefCell::new(CrashTracker::new(CrashConfig::STANDARD)),
-            noted: Cell::new(false),
+            tracker: RefCell::new(CrashTracker::new(CrashConfig::STANDARD)),
+            has_entries: Cell::new(false),
             clock,
         }
     }
 
     /// Whether requests have to be looked at.
-    pub fn noted(&self) -> bool {
-        self.noted.get()
+    pub fn has_entries(&self) -> bool {
+        self.has_entries.get()
     }
 
     /// Whether such requests crashed a server.
-    pub fn knows(&self, print: Fingerprint) -> bool {
-        self.noted() && self.log.borrow().has_crash(print, self.clock.now())
+    pub fn has_crash(&self, fingerprint: Fingerprint) -> bool {
+        self.has_entries()
+            && self
+                .tracker
+                .borrow()
+                .has_crash(fingerprint, self.clock.now())
     }
 
     /// Takes in news.
-    pub fn note(&self, note: CrashNote) {
+    pub fn apply(&self, event: CrashEvent) {
         let now = self.clock.now();
-        let mut log = self.log.borrow_mut();
-        match note {
-            CrashNote::Crashed {
-                print,
+        let mut tracker = self.tracker.borrow_mut();
+        match event {
+            CrashEvent::Crashed {
+                fingerprint,
                 label,
                 server,
-            } => log.record_crash(print, &label, &server, now),
-            CrashNote::Answered(print) => log.record_answer(print, now),
-            CrashNote::Lift(print) => log.lift(print, now),
-            CrashNote::Heard { from, report } => log.merge(from, report, now),
+            } => tracker.record_crash(fingerprint, &label, &server, now),
+            CrashEvent::Answered(fingerprint) => tracker.record_answer(fingerprint, now),
+            CrashEvent::Lift(fingerprint) => tracker.lift(fingerprint, now),
+            CrashEvent::Reported { from, report } => tracker.merge(from, report, now),
         }
-        self.noted.set(!log.entries(now).is_empty());
+        self.has_entries.set(!tracker.entries(now).is_empty());
     }
 
     /// How much longer such requests are refused.
-    pub fn refused(&self, print: Fingerprint) -> Option<Duration> {
-        self.log.borrow().refused_for(print, self.clock.now())
+    pub fn refused_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
+        self.tracker
+            .borrow()
+            .refused_for(fingerprint, self.clock.now())
     }
 
     /// What this instance knows, for the others.
     pub fn report(&self) -> CrashReport {
-        self.log.borrow_mut().report(self.clock.now())
+        self.tracker.borrow_mut().report(self.clock.now())
     }
 
     /// What operators see.
     pub fn entries(&self) -> Vec<CrashEntry> {
-        self.log.borrow().entries(self.clock.now())
+        self.tracker.borrow().entries(self.clock.now())
     }
 }
 
 /// What tells a request from others: head, length and the body as far as it is
 /// kept, which is all of a small one.
-pub fn fingerprint(head: &Parts, source: &Source) -> Fingerprint {
+pub fn fingerprint(head: &Parts, body: &CallerBody) -> Fingerprint {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
     let key = head.headers.get(IDEMPOTENCY_KEY);
     let key = key.map_or(&b""[..], |key| key.as_bytes());
-    let length = source.length().to_le_bytes();
-    let body = source.kept();
+    let length = body.declared_length().to_le_bytes();
+    let prefix = body.buffered();
     Fingerprint::from_parts(&[
         head.method.as_str().as_bytes(),
         path.as_bytes(),
         key,
         &length,
-        &body,
+        &prefix,
     ])
 }
--- a/crates/citronproxy/src/traffic/driver.rs
+++ b/crates/citronproxy/src/traffic/driver.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        attempts::{Answered, Ended, Tries},
-        crash_log::CrashNote,
+        attempts::{AttemptOutcome, Attempts, ServerResponse},
+        crash_log::CrashEvent,
         limiters::{Denied, Slot},
-        local_response::{from_verdict, mark, own},
+        local_response::{from_decision, local_response, set_outcome},
         request::strip_hop_by_hop,
-        response_body::{AnswerBody, Streamed},
+        response_body::{ResponseBody, StreamedBody},
     },
     citron_core::{
         admission::ReleaseReason,
@@ -24,36 +24,36 @@
 
 /// When an idempotent request on a connection that was used before is sent again
 /// on a new one, at the latest: the old one may have gone silent.
-const SILENT_TIME: Duration = Duration::from_secs(1);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Drives a request by what core decides.
 #[derive(Debug)]
-pub struct Call<'a> {
-    tries: &'a Tries,
+pub struct RequestDriver<'a> {
+    attempts: &'a Attempts,
     service: &'a ServiceName,
-    attempt: RetryState,
-    answer: Option<Box<Answered>>,
+    retry_state: RetryState,
+    response: Option<Box<ServerResponse>>,
     slot: Option<Slot>,
 }
 
-impl<'a> Call<'a> {
+impl<'a> RequestDriver<'a> {
     /// A request of a service.
-    pub fn new(tries: &'a Tries, service: &'a ServiceName, idempotent: bool) -> Self {
-        let body = match tries.source.whole() {
+    pub fn new(attempts: &'a Attempts, service: &'a ServiceName, idempotent: bool) -> Self {
+        let body = match attempts.body.is_complete() {
             true => RequestBody::Buffered,
             false => RequestBody::Streamed,
         };
         let kind = RequestKind {
             idempotent,
             body,
-            deadline: tries.deadline,
+            deadline: attempts.deadline,
         };
         let new = |retries: &mut _| RetryState::new(kind, retries);
         Self {
-            attempt: tries.state.with_retries(service, new),
-            tries,
+            retry_state: attempts.state.with_retries(service, new),
+            attempts,
             service,
-            answer: None,
+            response: None,
             slot: None,
         }
     }
@@ -61,55 +61,55 @@
     /// Runs it to the head of the answer; tells how many tries it took. Dropping
     /// the future, as when the caller leaves, ends all its exchanges with their
     /// connections.
-    pub async fn run(mut self) -> (Response<AnswerBody>, u32) {
+    pub async fn run(mut self) -> (Response<ResponseBody>, u32) {
         let answer = self.drive().await;
-        (answer, self.attempt.attempts())
+        (answer, self.retry_state.attempts())
     }
 
-    async fn drive(&mut self) -> Response<AnswerBody> {
-        let tries = self.tries;
+    async fn drive(&mut self) -> Response<ResponseBody> {
+        let attempts = self.attempts;
         let mut open = FuturesUnordered::new();
         let admitted = self.admit().await;
         let mut step = self.step(admitted);
         loop {
             match step {
-                Step::Send(send) => match self.quarantined() {
+                Step::Send(send) => match self.quarantine_denial() {
                     Some(denied) => {
                         step = self.step(denied);
                         continue;
                     }
-                    None => open.push(tries.run(send)),
+                    None => open.push(attempts.run(send)),
                 },
                 Step::Forward(no) => return self.forward(no),
-                Step::Answer(verdict) => return from_verdict(&verdict),
+                Step::Answer(decision) => return from_decision(&decision),
                 Step::Wait => {}
-                Step::Abort | Step::Done | Step::Drop => return broken(),
+                Step::Abort | Step::Done | Step::Drop => return internal_error(),
             }
-            let hedge = self.may_hedge(open.len());
+            let can_hedge = self.can_hedge(open.len());
             let event = tokio::select! {
                 biased;
-                Some(ended) = open.next() => self.event(ended),
-                () = hedge_due(tries), if hedge => Event::HedgeDue,
-                else => return broken(),
+                Some(outcome) = open.next() => self.on_outcome(outcome),
+                () = wait_hedge_due(attempts), if can_hedge => Event::HedgeDue,
+                else => return internal_error(),
             };
-            if self.answer.is_none()
-                && let Some(answer) = self.bad_body(event)
+            if self.response.is_none()
+                && let Some(answer) = self.body_error_response(event)
             {
                 return answer;
             }
-            self.note_crash(event);
+            self.report_crash(event);
             step = self.step(event);
         }
     }
 
     async fn admit(&mut self) -> Event {
-        if self.tries.state.crashes.noted() {
-            self.tries.source.fill().await;
+        if self.attempts.state.crash_log.has_entries() {
+            self.attempts.body.buffer_if_small().await;
         }
-        if let Some(denied) = self.quarantined() {
+        if let Some(denied) = self.quarantine_denial() {
             return denied;
         }
-        match self.tries.admit().await {
+        match self.attempts.admit().await {
             Ok(slot) => {
                 self.slot = slot;
                 Event::Admitted
@@ -120,128 +120,133 @@
 
     /// The refusal of a request like those that crashed servers: sent on, it
     /// would take down one server after the other.
-    fn quarantined(&self) -> Option<Event> {
-        let crashes = &self.tries.state.crashes;
-        if !crashes.noted() {
+    fn quarantine_denial(&self) -> Option<Event> {
+        let crash_log = &self.attempts.state.crash_log;
+        if !crash_log.has_entries() {
             return None;
         }
-        let wait = crashes.refused(self.tries.fingerprint())?;
+        let wait = crash_log.refused_for(self.attempts.fingerprint())?;
         let reason = FailureReason::Quarantined;
         Some(Event::Denied { reason, wait })
     }
 
     /// Clears crashes of such requests. All other threads are told, under a lock:
     /// requests that crashed nothing must not pay for that.
-    fn note_answer(&self) {
-        let state = &self.tries.state;
-        if !state.crashes.noted() {
+    fn clear_crash(&self) {
+        let state = &self.attempts.state;
+        if !state.crash_log.has_entries() {
             return;
         }
-        let print = self.tries.fingerprint();
-        if state.crashes.knows(print) {
-            state.handle.note_crash(&CrashNote::Answered(print));
+        let fingerprint = self.attempts.fingerprint();
+        if state.crash_log.has_crash(fingerprint) {
+            state
+                .handle
+                .send_crash_event(&CrashEvent::Answered(fingerprint));
         }
     }
 
     /// Notes a connection that died while the server had the request.
-    fn note_crash(&self, event: Event) {
-        let tries = self.tries;
-        if let Event::Lost(_, point) = event
-            && !point.is_unsent()
-            && let Some(server) = tries.server.borrow().clone()
+    fn report_crash(&self, event: Event) {
+        let attempts = self.attempts;
+        if let Event::Lost(_, stage) = event
+            && !stage.is_unsent()
+            && let Some(server) = attempts.last_server.borrow().clone()
         {
-            tries.state.handle.note_crash(&CrashNote::Crashed {
-                print: tries.fingerprint(),
-                label: format!("{} {}", tries.head.method, tries.head.uri),
-                server: server.name.clone(),
-            });
+            attempts
+                .state
+                .handle
+                .send_crash_event(&CrashEvent::Crashed {
+                    fingerprint: attempts.fingerprint(),
+                    label: format!("{} {}", attempts.head.method, attempts.head.uri),
+                    server: server.name.clone(),
+                });
         }
     }
 
     fn step(&mut self, event: Event) -> Step {
-        let state = &self.tries.state;
+        let state = &self.attempts.state;
         let now = state.clock.now();
-        let consumed = !self.tries.source.replayable();
-        let attempt = &mut self.attempt;
+        let consumed = !self.attempts.body.is_replayable();
+        let retry_state = &mut self.retry_state;
         state.with_retries(self.service, |retries| {
             if consumed {
-                attempt.step(Event::BodyStarted, now, retries);
+                retry_state.step(Event::BodyStarted, now, retries);
             }
-            attempt.step(event, now, retries)
+            retry_state.step(event, now, retries)
         })
     }
 
-    fn event(&mut self, ended: Ended) -> Event {
-        match ended {
-            Ended::Failed(event) => {
-                self.note_silence(event);
-                self.note_release(event);
+    fn on_outcome(&mut self, outcome: AttemptOutcome) -> Event {
+        match outcome {
+            AttemptOutcome::Failed(event) => {
+                self.evict_if_silent(event);
+                self.record_release(event);
                 event
             }
-            Ended::Answered(answered) => {
+            AttemptOutcome::Answered(answered) => {
                 let no = answered.no;
-                self.note_answer();
+                self.clear_crash();
                 // The first answer is passed on; a later one ends here.
-                self.answer.get_or_insert(answered);
+                self.response.get_or_insert(answered);
                 Event::Answered(no)
             }
         }
     }
 
     /// Tells the server's gate what a failure says of the server's load.
-    fn note_release(&mut self, event: Event) {
+    fn record_release(&mut self, event: Event) {
         let release = match event {
             Event::Refused { .. } => ReleaseReason::Refused,
             Event::TimedOut(..) => ReleaseReason::TimedOut,
             _ => ReleaseReason::Other,
         };
         if let Some(slot) = &mut self.slot {
-            slot.note(release);
+            slot.set_release(release);
         }
     }
 
     /// Suspects the old connections of a server if a request on one of them got
     /// no bytes until its time was up.
-    fn note_silence(&self, event: Event) {
-        if let (Event::TimedOut(AttemptNo(1), _), Some((begun, address))) =
-            (event, self.tries.reused.get().copied())
+    fn evict_if_silent(&self, event: Event) {
+        if let (Event::TimedOut(AttemptNo(1), _), Some((written_at, address))) =
+            (event, self.attempts.first_reused.get().copied())
         {
-            self.tries.state.pool.suspect(address, begun);
+            self.attempts.state.pool.evict_older(address, written_at);
         }
     }
 
     /// Whether the request may be sent once more while a try is open.
-    fn may_hedge(&self, open: usize) -> bool {
+    fn can_hedge(&self, open: usize) -> bool {
         // A body that is still being read cannot be read twice.
-        let source = &self.tries.source;
-        let whole = source.whole() && source.replayable();
-        open == 1 && whole && self.attempt.can_hedge()
+        let body = &self.attempts.body;
+        let is_buffered = body.is_complete() && body.is_replayable();
+        open == 1 && is_buffered && self.retry_state.can_hedge()
     }
 
-    fn forward(&mut self, no: AttemptNo) -> Response<AnswerBody> {
-        let Some(answered) = self.answer.take() else {
-            return broken();
+    fn forward(&mut self, no: AttemptNo) -> Response<ResponseBody> {
+        let Some(answered) = self.response.take() else {
+            return internal_error();
         };
         // A later try overtook the first: its connection, which was used before,
         // may have gone silent together with others of its age.
         if no > AttemptNo(1)
-            && let Some((begun, address)) = self.tries.reused.get().copied()
+            && let Some((written_at, address)) = self.attempts.first_reused.get().copied()
         {
-            self.tries.state.pool.suspect(address, begun);
+            self.attempts.state.pool.evict_older(address, written_at);
         }
         let (mut head, body) = answered.response.into_parts();
         strip_hop_by_hop(&mut head.headers);
-        let streamed = Streamed::new(body, answered.exchange, self.slot.take());
-        let mut answer = Response::from_parts(head, AnswerBody::Streamed(Box::new(streamed)));
-        mark(&mut answer, Outcome::Ran);
+        let streamed = StreamedBody::new(body, answered.exchange, self.slot.take());
+        let mut answer = Response::from_parts(head, ResponseBody::Streamed(Box::new(streamed)));
+        set_outcome(&mut answer, Outcome::Ran);
         answer
     }
 
     /// The answer to a caller whose body cannot be passed on whole.
-    fn bad_body(&self, event: Event) -> Option<Response<AnswerBody>> {
-        let (status, reason) = if self.tries.source.too_large() {
+    fn body_error_response(&self, event: Event) -> Option<Response<ResponseBody>> {
+        let (status, reason) = if self.attempts.body.is_too_large() {
             (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
-        } else if self.tries.source.cut() {
+        } else if self.attempts.body.is_truncated() {
             (
                 StatusCode::BAD_REQUEST,
                 "the body is malformed or cut short",
@@ -250,29 +255,29 @@
             return None;
         };
         // Once a part is with the server, nobody knows what it makes of it.
-        let clean = matches!(event, Event::Lost(AttemptNo(1), point) if point.is_unsent());
-        let outcome = if clean {
+        let is_unsent = matches!(event, Event::Lost(AttemptNo(1), stage) if stage.is_unsent());
+        let outcome = if is_unsent {
             Outcome::NotRun
         } else {
             Outcome::Unknown
         };
-        Some(own(status, outcome, None, reason))
+        Some(local_response(status, outcome, None, reason))
     }
 }
 
 /// Resolves when a try on a connection that was used before should have its
 /// answer by all experience, or has received nothing for too long.
-async fn hedge_due(tries: &Tries) {
-    let (begun, address) = tries.reused().await;
-    let state = &tries.state;
-    let due = state.hedge_due(address).unwrap_or(SILENT_TIME);
-    let spent: Duration = state.clock.now() - begun;
+async fn wait_hedge_due(attempts: &Attempts) {
+    let (written_at, address) = attempts.wait_reused().await;
+    let state = &attempts.state;
+    let due = state.hedge_delay(address).unwrap_or(SILENCE_TIMEOUT);
+    let spent: Duration = state.clock.now() - written_at;
     sleep(due.saturating_sub(spent)).await;
 }
 
-fn broken() -> Response<AnswerBody> {
+fn internal_error() -> Response<ResponseBody> {
     let reason = "the request came to no end";
-    own(
+    local_response(
         StatusCode::INTERNAL_SERVER_ERROR,
         Outcome::Unknown,
         None,
--- a/crates/citronproxy/src/traffic/exchange.rs
+++ b/crates/citronproxy/src/traffic/exchange.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        in_flight::Flight,
+        in_flight::InFlightRequest,
         pool::{Connection, Pool},
-        request_body::{Source, Upload},
-        socket::Leave,
+        request_body::{CallerBody, UpstreamBody},
+        socket::WritePermit,
     },
     citron_core::time::Time,
     http::{Request, Response},
@@ -19,25 +19,25 @@
 pub enum ExchangeError {
     /// The leave to route had ended when the request was to be written.
     #[error("the owner of the key is not certain now")]
-    Leave,
+    PermitExpired,
     /// The connection broke before a byte of the request was written.
     #[error("before the request: {0}")]
-    Before(hyper::Error),
+    BeforeWrite(hyper::Error),
     /// It broke after that.
     #[error("after the request was begun: {0}")]
-    After(hyper::Error),
+    AfterWrite(hyper::Error),
 }
 
 /// An exchange under way. Dropped before its end, it takes the connection with
 /// it: an answer that is still to come must never meet another request.
 #[derive(Debug)]
 pub struct Exchange {
-    flight: Flight,
+    in_flight: InFlightRequest,
     connection: Connection,
     pool: Pool,
     address: SocketAddr,
-    source: Rc<Source>,
-    begun: u64,
+    body: Rc<CallerBody>,
+    start_bytes: u64,
 }
 
 impl Exchange {
@@ -46,16 +46,16 @@
         pool: &Pool,
         address: SocketAddr,
         connection: Connection,
-        flight: Flight,
-        source: &Rc<Source>,
+        in_flight: InFlightRequest,
+        body: &Rc<CallerBody>,
     ) -> Self {
         Self {
-            begun: connection.wire.written(),
-            flight,
+            start_bytes: connection.socket.written_bytes(),
+            in_flight,
             connection,
             pool: pool.clone(),
             address,
-            source: Rc::clone(source),
+            body: Rc::clone(body),
         }
     }
 
@@ -63,47 +63,47 @@
     /// it until `until`.
     ///
     /// # Errors
-    /// All but [`ExchangeError::After`] are certain: the server saw nothing.
+    /// All but [`ExchangeError::AfterWrite`] are certain: the server saw nothing.
     pub async fn send(
         &mut self,
-        request: Request<Upload>,
-        leave: Leave,
-        until: Time,
+        request: Request<UpstreamBody>,
+        permit: WritePermit,
+        runs_until: Time,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        self.connection.wire.arm(leave);
-        self.flight.written(until);
+        self.connection.socket.set_permit(permit);
+        self.in_flight.mark_written(runs_until);
         let sent = self.connection.sender.try_send_request(request).await;
         sent.map_err(|error| {
-            let wire = &self.connection.wire;
-            if wire.written() > self.begun {
-                return ExchangeError::After(error.into_error());
+            let socket = &self.connection.socket;
+            if socket.written_bytes() > self.start_bytes {
+                return ExchangeError::AfterWrite(error.into_error());
             }
-            self.flight.settled();
-            match wire.refused() {
-                true => ExchangeError::Leave,
-                false => ExchangeError::Before(error.into_error()),
+            self.in_flight.mark_settled();
+            match socket.is_write_denied() {
+                true => ExchangeError::PermitExpired,
+                false => ExchangeError::BeforeWrite(error.into_error()),
             }
         })
     }
 
     /// Whether the request's body is small enough to be kept.
-    pub fn is_small(&self) -> bool {
-        self.source.replayable()
+    pub fn is_replayable(&self) -> bool {
+        self.body.is_replayable()
     }
 
     /// Ends it with a whole answer. The connection is kept only if the whole
     /// request was written too: the server would take the rest for a new one.
     pub fn finish(mut self) {
-        self.flight.settled();
-        if self.source.whole() {
-            self.pool.give(self.address, self.connection);
+        self.in_flight.mark_settled();
+        if self.body.is_complete() {
+            self.pool.release(self.address, self.connection);
         }
     }
 
     /// Ends it with the server's promise that it does not run the request.
-    pub fn refused(mut self, whole: bool) {
-        self.flight.settled();
-        if whole {
+    pub fn finish_refused(mut self, is_complete: bool) {
+        self.in_flight.mark_settled();
+        if is_complete {
             self.finish();
         }
     }
--- a/crates/citronproxy/src/traffic/guard/chunked.rs
+++ b/crates/citronproxy/src/traffic/guard/chunked.rs
@@ -1,13 +1,13 @@
 //! The check of a chunked body.
 
 /// Hexadecimal digits of a chunk's size.
-const DIGITS_MAX: u32 = 15;
+const MAX_SIZE_DIGITS: u32 = 15;
 /// Bytes of chunk extensions of one chunk, and of all trailers.
-const EXTRA_MAX: u32 = 4_096;
+const MAX_EXTRA_BYTES: u32 = 4_096;
 
 /// A byte that does not belong where it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadChunk;
+pub struct InvalidChunk;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
@@ -34,102 +34,104 @@
 
 /// Follows a chunked body to its end.
 #[derive(Debug)]
-pub struct Chunks {
+pub struct ChunkedValidator {
     state: State,
-    size: u64,
+    remaining: u64,
     digits: u32,
-    extra: u32,
+    extra_bytes: u32,
 }
 
-impl Chunks {
+impl ChunkedValidator {
     /// At the begin of a body.
     pub fn new() -> Self {
         Self {
             state: State::Size,
-            size: 0,
+            remaining: 0,
             digits: 0,
-            extra: 0,
+            extra_bytes: 0,
         }
     }
 
     /// Whether the body has ended.
-    pub fn done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
     /// Follows these bytes; tells how many belong to the body.
     ///
     /// # Errors
-    /// [`BadChunk`] if they are not what a strict sender writes.
-    pub fn follow(&mut self, bytes: &[u8]) -> Result<usize, BadChunk> {
-        let mut at = 0;
-        while at < bytes.len() && !self.done() {
+    /// [`InvalidChunk`] if they are not what a strict sender writes.
+    pub fn consume(&mut self, bytes: &[u8]) -> Result<usize, InvalidChunk> {
+        let mut position = 0;
+        while position < bytes.len() && !self.is_done() {
             if self.state == State::Data {
-                at += self.data(bytes.len() - at);
+                position += self.consume_data(bytes.len() - position);
             } else {
-                self.byte(bytes[at])?;
-                at += 1;
+                self.consume_byte(bytes[position])?;
+                position += 1;
             }
         }
-        Ok(at)
+        Ok(position)
     }
 
-    fn data(&mut self, available: usize) -> usize {
-        let taken = usize::try_from(self.size)
+    fn consume_data(&mut self, available: usize) -> usize {
+        let consumed = usize::try_from(self.remaining)
             .unwrap_or(usize::MAX)
             .min(available);
-        self.size -= taken as u64;
-        if self.size == 0 {
+        self.remaining -= consumed as u64;
+        if self.remaining == 0 {
             self.state = State::DataCr;
         }
-        taken
+        consumed
     }
 
-    fn byte(&mut self, byte: u8) -> Result<(), BadChunk> {
+    fn consume_byte(&mut self, byte: u8) -> Result<(), InvalidChunk> {
         self.state = match (self.state, byte) {
             (State::Size, b'\r') if self.digits > 0 => State::SizeEnd,
             (State::Size, b';') if self.digits > 0 => State::Extension,
-            (State::Size, digit) => self.digit(digit)?,
+            (State::Size, digit) => self.add_digit(digit)?,
             (State::Extension, b'\r') => State::SizeEnd,
-            (State::Extension, text) => self.extra(text, State::Extension)?,
-            (State::SizeEnd, b'\n') => self.size_end(),
+            (State::Extension, text) => self.add_extra(text, State::Extension)?,
+            (State::SizeEnd, b'\n') => self.end_size(),
             (State::DataCr, b'\r') => State::DataLf,
             (State::DataLf, b'\n') => State::Size,
             (State::Trailer, b'\r') => State::LastLf,
             (State::TrailerText, b'\r') => State::TrailerLf,
-            (State::Trailer | State::TrailerText, text) => self.extra(text, State::TrailerText)?,
+            (State::Trailer | State::TrailerText, text) => {
+                self.add_extra(text, State::TrailerText)?
+            }
             (State::TrailerLf, b'\n') => State::Trailer,
             (State::LastLf, b'\n') => State::Done,
-            _ => return Err(BadChunk),
+            _ => return Err(InvalidChunk),
         };
         Ok(())
     }
 
-    fn digit(&mut self, byte: u8) -> Result<State, BadChunk> {
-        let digit = char::from(byte).to_digit(16).ok_or(BadChunk)?;
+    fn add_digit(&mut self, byte: u8) -> Result<State, InvalidChunk> {
+        let digit = char::from(byte).to_digit(16).ok_or(InvalidChunk)?;
         self.digits += 1;
-        if self.digits > DIGITS_MAX {
-            return Err(BadChunk);
+        if self.digits > MAX_SIZE_DIGITS {
+            return Err(InvalidChunk);
         }
-        self.size = self.size * 16 + u64::from(digit);
+        self.remaining = self.remaining * 16 + u64::from(digit);
         Ok(State::Size)
     }
 
-    fn size_end(&mut self) -> State {
+    fn end_size(&mut self) -> State {
         self.digits = 0;
-        self.extra = 0;
-        match self.size {
+        self.extra_bytes = 0;
+        match self.remaining {
             0 => State::Trailer,
             _ => State::Data,
         }
     }
 
-    fn extra(&mut self, byte: u8, next: State) -> Result<State, BadChunk> {
-        self.extra += 1;
-        let text = byte == b'\t' || (byte >= 0x20 && byte != 0x7f);
-        if text && self.extra <= EXTRA_MAX {
+    fn add_extra(&mut self, byte: u8, next: State) -> Result<State, InvalidChunk> {
+        self.extra_bytes += 1;
+        let is_text = byte == b'\t' || (byte >= 0x20 && byte != 0x7f);
+        if is_text && self.extra_bytes <= MAX_EXTRA_BYTES {
             return Ok(next);
         }
-        Err(BadChunk)
+        Err(InvalidChunk)
     }
 }
--- a/crates/citronproxy/src/traffic/guard/head.rs
+++ b/crates/citronproxy/src/traffic/guard/head.rs
@@ -3,9 +3,9 @@
 use super::Refusal;
 
 /// Headers of one request.
-const HEADERS_MAX: usize = 96;
+const MAX_HEADERS: usize = 96;
 /// Digits of a `Content-Length`.
-const DIGITS_MAX: usize = 18;
+const MAX_LENGTH_DIGITS: usize = 18;
 
 /// Where the body of a request ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,18 +18,20 @@
 
 /// Finds the end of a head, from what was scanned before; `None` if it is not
 /// there yet.
-pub fn end(bytes: &[u8], scanned: usize) -> Result<Option<usize>, Refusal> {
-    for at in scanned..bytes.len() {
-        let before = at.checked_sub(1).map(|before| bytes[before]);
-        match bytes[at] {
-            b'\n' if before != Some(b'\r') => return Err(Refusal::Byte),
-            b'\n' if at >= 3 && bytes[at - 3..at] == *b"\r\n\r" => return Ok(Some(at + 1)),
+pub fn find_end(bytes: &[u8], scanned: usize) -> Result<Option<usize>, Refusal> {
+    for position in scanned..bytes.len() {
+        let previous = position.checked_sub(1).map(|previous| bytes[previous]);
+        match bytes[position] {
+            b'\n' if previous != Some(b'\r') => return Err(Refusal::InvalidByte),
+            b'\n' if position >= 3 && bytes[position - 3..position] == *b"\r\n\r" => {
+                return Ok(Some(position + 1));
+            }
             b'\n' | b'\r' | b'\t' => {}
-            0..0x20 | 0x7f => return Err(Refusal::Byte),
+            0..0x20 | 0x7f => return Err(Refusal::InvalidByte),
             _ => {}
         }
-        if before == Some(b'\r') && bytes[at] != b'\n' {
-            return Err(Refusal::Byte);
+        if previous == Some(b'\r') && bytes[position] != b'\n' {
+            return Err(Refusal::InvalidByte);
         }
     }
     Ok(None)
@@ -40,51 +42,51 @@
     let mut lines = head
         .split(|byte| *byte == b'\n')
         .map(|line| line.trim_ascii_end());
-    let old = request_line(lines.next().unwrap_or_default())?;
-    let mut fields = Fields::default();
+    let is_http10 = parse_request_line(lines.next().unwrap_or_default())?;
+    let mut fields = HeaderFields::default();
     for line in lines.take_while(|line| !line.is_empty()) {
-        fields.add(line)?;
+        fields.add_line(line)?;
     }
-    fields.framing(old)
+    fields.framing(is_http10)
 }
 
 /// Whether the request is of HTTP/1.0.
-fn request_line(line: &[u8]) -> Result<bool, Refusal> {
-    let mut parts = line.split(|byte| *byte == b' ');
-    let method = parts.next().unwrap_or_default();
-    let target = parts.next().unwrap_or_default();
-    let version = parts.next().unwrap_or_default();
-    let whole = is_token(method) && !target.is_empty() && parts.next().is_none();
-    let tab = line.contains(&b'\t');
+fn parse_request_line(line: &[u8]) -> Result<bool, Refusal> {
+    let mut words = line.split(|byte| *byte == b' ');
+    let method = words.next().unwrap_or_default();
+    let target = words.next().unwrap_or_default();
+    let version = words.next().unwrap_or_default();
+    let is_complete = is_token(method) && !target.is_empty() && words.next().is_none();
+    let has_tab = line.contains(&b'\t');
     match version {
-        b"HTTP/1.1" if whole && !tab => Ok(false),
-        b"HTTP/1.0" if whole && !tab => Ok(true),
-        _ => Err(Refusal::Line),
+        b"HTTP/1.1" if is_complete && !has_tab => Ok(false),
+        b"HTTP/1.0" if is_complete && !has_tab => Ok(true),
+        _ => Err(Refusal::RequestLine),
     }
 }
 
 #[derive(Default)]
-struct Fields {
+struct HeaderFields {
     count: usize,
     hosts: usize,
     length: Option<u64>,
-    chunked: bool,
+    is_chunked: bool,
 }
 
-impl Fields {
-    fn add(&mut self, line: &[u8]) -> Result<(), Refusal> {
+impl HeaderFields {
+    fn add_line(&mut self, line: &[u8]) -> Result<(), Refusal> {
         self.count += 1;
-        if self.count > HEADERS_MAX {
-            return Err(Refusal::Large);
+        if self.count > MAX_HEADERS {
+            return Err(Refusal::HeadTooLarge);
         }
         if line[0] == b' ' || line[0] == b'\t' {
-            return Err(Refusal::Fold);
+            return Err(Refusal::FoldedHeader);
         }
         let colon = line.iter().position(|byte| *byte == b':');
-        let (name, value) = line.split_at(colon.ok_or(Refusal::Name)?);
+        let (name, value) = line.split_at(colon.ok_or(Refusal::HeaderName)?);
         let value = value[1..].trim_ascii();
         if !is_token(name) {
-            return Err(Refusal::Name);
+            return Err(Refusal::HeaderName);
         }
         match name.to_ascii_lowercase().as_slice() {
             b"host" => self.hosts += 1,
@@ -96,9 +98,10 @@
     }
 
     fn add_length(&mut self, value: &[u8]) -> Result<(), Refusal> {
-        let plain = (1..=DIGITS_MAX).contains(&value.len()) && value.iter().all(u8::is_ascii_digit);
-        if !plain || self.length.is_some() {
-            return Err(Refusal::Length);
+        let is_plain =
+            (1..=MAX_LENGTH_DIGITS).contains(&value.len()) && value.iter().all(u8::is_ascii_digit);
+        if !is_plain || self.length.is_some() {
+            return Err(Refusal::ContentLength);
         }
         let digits = value.iter().map(|digit| u64::from(digit - b'0'));
         self.length = Some(digits.fold(0, |sum, digit| sum * 10 + digit));
@@ -106,20 +109,20 @@
     }
 
     fn add_encoding(&mut self, value: &[u8]) -> Result<(), Refusal> {
-        if self.chunked || !value.eq_ignore_ascii_case(b"chunked") {
-            return Err(Refusal::Encoding);
+        if self.is_chunked || !value.eq_ignore_ascii_case(b"chunked") {
+            return Err(Refusal::TransferEncoding);
         }
-        self.chunked = true;
+        self.is_chunked = true;
         Ok(())
     }
 
-    fn framing(&self, old: bool) -> Result<Framing, Refusal> {
-        if self.hosts != 1 && !(old && self.hosts == 0) {
+    fn framing(&self, is_http10: bool) -> Result<Framing, Refusal> {
+        if self.hosts != 1 && !(is_http10 && self.hosts == 0) {
             return Err(Refusal::Host);
         }
-        match (self.length, self.chunked) {
-            (Some(_), true) => Err(Refusal::Both),
-            (None, true) if old => Err(Refusal::Encoding),
+        match (self.length, self.is_chunked) {
+            (Some(_), true) => Err(Refusal::ConflictingFraming),
+            (None, true) if is_http10 => Err(Refusal::TransferEncoding),
             (None, true) => Ok(Framing::Chunked),
             (length, false) => Ok(Framing::Length(length.unwrap_or(0))),
         }
@@ -128,6 +131,7 @@
 
 /// Whether this is a token of RFC 9110, 5.6.2.
 fn is_token(text: &[u8]) -> bool {
-    let allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte);
-    !text.is_empty() && text.iter().all(allowed)
+    let is_token_byte =
+        |byte: &u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte);
+    !text.is_empty() && text.iter().all(is_token_byte)
 }
--- a/crates/citronproxy/src/traffic/guard/head_limit.rs
+++ b/crates/citronproxy/src/traffic/guard/head_limit.rs
@@ -4,24 +4,24 @@
 
 /// The bounds of a head.
 #[derive(Debug, Clone, Copy)]
-pub struct HeadSize {
+pub struct HeadLimit {
     /// Bytes that are allowed now.
-    pub allowed: usize,
+    pub configured: usize,
     /// Bytes that the connection has room for, for good.
-    pub room: usize,
+    pub buffer: usize,
 }
 
-impl HeadSize {
+impl HeadLimit {
     /// Bytes that a head may have.
-    pub fn max(&self) -> usize {
-        self.allowed.min(self.room)
+    pub fn max_bytes(&self) -> usize {
+        self.configured.min(self.buffer)
     }
 
     /// Why one that is larger is refused.
     pub fn refusal(&self) -> Refusal {
-        match self.allowed > self.room {
-            true => Refusal::Room,
-            false => Refusal::Large,
+        match self.configured > self.buffer {
+            true => Refusal::BufferTooSmall,
+            false => Refusal::HeadTooLarge,
         }
     }
 }
--- a/crates/citronproxy/src/traffic/guard/mod.rs
+++ b/crates/citronproxy/src/traffic/guard/mod.rs
@@ -14,4 +14,4 @@
 mod refusal;
 mod stream;
 
-pub use {head_limit::HeadSize, refusal::Refusal, stream::GuardStream};
+pub use {head_limit::HeadLimit, refusal::Refusal, stream::GuardStream};
--- a/crates/citronproxy/src/traffic/guard/stream.rs
+++ b/crates/citronproxy/src/traffic/guard/stream.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        HeadSize, Refusal,
-        chunked::Chunks,
+        HeadLimit, Refusal,
+        chunked::ChunkedValidator,
         head::Framing,
-        lookahead::{self, Ahead},
+        lookahead::{self, Lookahead},
     },
     crate::traffic::Limits,
     bytes::{Buf, Bytes, BytesMut},
@@ -24,12 +24,12 @@
 };
 
 /// Bytes read at a time while a head is looked for.
-const READ: usize = 8 * 1_024;
+const READ_BYTES: usize = 8 * 1_024;
 /// Bytes of further requests that are read while one is answered.
-const READ_AHEAD: usize = 16 * 1_024;
+const READ_AHEAD_BYTES: usize = 16 * 1_024;
 /// How long unread bytes of a caller are thrown away before its connection is
 /// closed: a close with bytes unread resets it, and the answer could be lost.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where the stream of requests stands.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// In a body with so many bytes to come.
     Body(u64),
     /// In a chunked body.
-    Chunks(Chunks),
+    Chunked(ChunkedValidator),
     /// After a refusal: whatever else comes is ignored.
     Refused,
 }
@@ -51,82 +51,82 @@
 pub struct GuardStream {
     stream: TcpStream,
     limits: Limits,
-    head: HeadSize,
+    head_limit: HeadLimit,
     mode: Mode,
     /// Read, and not passed on yet.
     unread: BytesMut,
     /// How many of the unread bytes are checked.
-    checked: usize,
+    checked_bytes: usize,
     /// Whether a request is being answered.
-    busy: bool,
+    is_responding: bool,
     /// The caller has closed its side, or the connection broke.
-    over: bool,
-    ahead: Ahead,
+    is_closed: bool,
+    lookahead: Lookahead,
     /// Whether the head that had its turn last was told ahead of it.
-    told: bool,
-    slow: Timer,
-    stall: Timer,
-    linger: Timer,
+    was_announced: bool,
+    head_timer: Timer,
+    write_timer: Timer,
+    linger_timer: Timer,
 }
 
 impl GuardStream {
     /// Guards a socket for a reader of heads of up to `room` bytes.
-    pub fn new(stream: TcpStream, limits: Limits, room: usize) -> Self {
-        let allowed = limits.head;
+    pub fn new(stream: TcpStream, limits: Limits, buffer: usize) -> Self {
+        let configured = limits.max_head_bytes;
         Self {
             stream,
             limits,
-            head: HeadSize { allowed, room },
+            head_limit: HeadLimit { configured, buffer },
             mode: Mode::Head(0),
             unread: BytesMut::new(),
-            checked: 0,
-            busy: false,
-            over: false,
-            ahead: Ahead::default(),
-            told: false,
-            slow: None,
-            stall: None,
-            linger: None,
+            checked_bytes: 0,
+            is_responding: false,
+            is_closed: false,
+            lookahead: Lookahead::default(),
+            was_announced: false,
+            head_timer: None,
+            write_timer: None,
+            linger_timer: None,
         }
     }
 
     /// Heads may have so many bytes from now on.
-    pub fn allow_head(&mut self, bytes: usize) {
-        self.head.allowed = bytes;
+    pub fn set_max_head_bytes(&mut self, bytes: usize) {
+        self.head_limit.configured = bytes;
     }
 
     /// The answer to a request begins to be worked out; whether the request was
     /// told ahead of its turn. Until [`Self::answered`] no further head is passed
-    /// on; heads are told by [`Self::poll_ahead`] if `ahead` allows it.
-    pub fn begin(&mut self, ahead: bool) -> bool {
-        self.busy = true;
-        if !ahead {
-            self.ahead.stop();
+    /// on; heads are told by [`Self::poll_pipelined`] if `ahead` allows it.
+    pub fn begin_response(&mut self, allow_ahead: bool) -> bool {
+        self.is_responding = true;
+        if !allow_ahead {
+            self.lookahead.pause();
         }
-        std::mem::take(&mut self.told)
+        std::mem::take(&mut self.was_announced)
     }
 
     /// The answer is known.
-    pub fn answered(&mut self) {
-        self.busy = false;
+    pub fn end_response(&mut self) {
+        self.is_responding = false;
     }
 
     /// The next head without a body that came while a request is being answered.
     /// `None` if the caller has gone: its requests are to be given up.
-    pub fn poll_ahead(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
-        while self.is_held() && !self.over {
-            if let Some(head) = self.ahead.next(&self.unread, self.head) {
+    pub fn poll_pipelined(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
+        while self.is_held() && !self.is_closed {
+            if let Some(head) = self.lookahead.next(&self.unread, self.head_limit) {
                 return Poll::Ready(Some(head));
             }
-            if self.unread.len() >= READ_AHEAD {
+            if self.unread.len() >= READ_AHEAD_BYTES {
                 return Poll::Pending;
             }
-            self.unread.reserve(READ);
+            self.unread.reserve(READ_BYTES);
             let read = poll_read_buf(Pin::new(&mut self.stream), cx, &mut self.unread);
             match ready!(read) {
                 Ok(read) if read > 0 => {}
                 Ok(_) | Err(_) => {
-                    self.over = true;
+                    self.is_closed = true;
                     return Poll::Ready(None);
                 }
             }
@@ -136,70 +136,72 @@
 
     /// Whether the next head waits for the answer to the one before it.
     fn is_held(&self) -> bool {
-        self.busy && self.checked == 0 && matches!(self.mode, Mode::Head(_))
+        self.is_responding && self.checked_bytes == 0 && matches!(self.mode, Mode::Head(_))
     }
 
-    fn pass(&mut self, out: &mut ReadBuf<'_>) {
-        let taken = self.checked.min(out.remaining());
-        out.put_slice(&self.unread[..taken]);
-        self.unread.advance(taken);
-        self.checked -= taken;
+    fn copy_checked(&mut self, out: &mut ReadBuf<'_>) {
+        let consumed = self.checked_bytes.min(out.remaining());
+        out.put_slice(&self.unread[..consumed]);
+        self.unread.advance(consumed);
+        self.checked_bytes -= consumed;
     }
 
     /// Checks the unread bytes as far as they go.
-    fn check(&mut self) -> io::Result<()> {
+    fn check_unread(&mut self) -> io::Result<()> {
         match &mut self.mode {
-            Mode::Head(scanned) => match lookahead::find(&self.unread, *scanned, self.head) {
-                Ok(None) => *scanned = self.unread.len(),
-                Ok(Some((end, framing))) => self.begin_body(end, framing),
-                Err(refusal) => self.refuse(refusal),
-            },
-            Mode::Body(_) | Mode::Chunks(_) => self.checked = self.follow(None)?,
+            Mode::Head(scanned) => {
+                match lookahead::find_head(&self.unread, *scanned, self.head_limit) {
+                    Ok(None) => *scanned = self.unread.len(),
+                    Ok(Some((end, framing))) => self.begin_body(end, framing),
+                    Err(refusal) => self.refuse(refusal),
+                }
+            }
+            Mode::Body(_) | Mode::Chunked(_) => self.checked_bytes = self.consume_body(None)?,
             Mode::Refused => self.unread.clear(),
         }
         Ok(())
     }
 
     fn begin_body(&mut self, end: usize, framing: Framing) {
-        self.slow = None;
-        self.checked = end;
-        self.told = self.ahead.turn(end);
+        self.head_timer = None;
+        self.checked_bytes = end;
+        self.was_announced = self.lookahead.advance(end);
         self.mode = match framing {
             Framing::Length(0) => Mode::Head(0),
             Framing::Length(length) => Mode::Body(length),
-            Framing::Chunked => Mode::Chunks(Chunks::new()),
+            Framing::Chunked => Mode::Chunked(ChunkedValidator::new()),
         };
     }
 
     fn refuse(&mut self, refusal: Refusal) {
-        self.unread = refusal.stand_in().as_slice().into();
-        self.checked = self.unread.len();
+        self.unread = refusal.substitute_request().as_slice().into();
+        self.checked_bytes = self.unread.len();
         self.mode = Mode::Refused;
-        self.slow = None;
+        self.head_timer = None;
     }
 
     /// Follows a body through `bytes`, or through the unread ones; tells how many
     /// belong to it.
-    fn follow(&mut self, bytes: Option<&[u8]>) -> io::Result<usize> {
+    fn consume_body(&mut self, bytes: Option<&[u8]>) -> io::Result<usize> {
         let bytes = bytes.unwrap_or(&self.unread);
-        let (taken, done) = match &mut self.mode {
-            Mode::Body(left) => {
-                let taken = usize::try_from(*left)
+        let (consumed, done) = match &mut self.mode {
+            Mode::Body(remaining) => {
+                let consumed = usize::try_from(*remaining)
                     .unwrap_or(usize::MAX)
                     .min(bytes.len());
-                *left -= taken as u64;
-                (taken, *left == 0)
+                *remaining -= consumed as u64;
+                (consumed, *remaining == 0)
             }
-            Mode::Chunks(chunks) => {
-                let taken = chunks.follow(bytes).map_err(|_| bad_chunk())?;
-                (taken, chunks.done())
+            Mode::Chunked(chunked) => {
+                let consumed = chunked.consume(bytes).map_err(|_| invalid_chunk())?;
+                (consumed, chunked.is_done())
             }
             Mode::Head(_) | Mode::Refused => (0, false),
         };
         if done {
             self.mode = Mode::Head(0);
         }
-        Ok(taken)
+        Ok(consumed)
     }
 
     /// Reads a part of a body right into `out`; what is beyond its end is kept.
@@ -207,53 +209,61 @@
         let before = out.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, out))?;
         let read = &out.filled()[before..];
-        let taken = self.follow(Some(read))?;
-        self.unread.extend_from_slice(&read[taken..]);
-        out.set_filled(before + taken);
+        let consumed = self.consume_body(Some(read))?;
+        self.unread.extend_from_slice(&read[consumed..]);
+        out.set_filled(before + consumed);
         Poll::Ready(Ok(()))
     }
 
     /// Reads on in a head; `false` at the end of the stream.
     fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        self.unread.reserve(READ);
+        self.unread.reserve(READ_BYTES);
         match poll_read_buf(Pin::new(&mut self.stream), cx, &mut self.unread)? {
             Poll::Ready(read) => Poll::Ready(Ok(read > 0)),
-            Poll::Pending => self.poll_slow(cx),
+            Poll::Pending => self.poll_head_timeout(cx),
         }
     }
 
     /// Ends a connection whose caller sends a head too slowly: each one holds a
     /// descriptor and memory, and slow ones in number would use up both.
-    fn poll_slow(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
+    fn poll_head_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.unread.is_empty() {
             return Poll::Pending;
         }
-        let time = self.limits.slow;
-        let slow = self.slow.get_or_insert_with(|| Box::pin(sleep(time)));
-        ready!(slow.as_mut().poll(cx));
+        let timeout = self.limits.head_timeout;
+        let timer = self
+            .head_timer
+            .get_or_insert_with(|| Box::pin(sleep(timeout)));
+        ready!(timer.as_mut().poll(cx));
         Poll::Ready(Err(ErrorKind::TimedOut.into()))
     }
 
     /// Ends a connection whose caller reads its answer no more: the answer holds
     /// a slot of the backend server.
-    fn watch<T>(&mut self, cx: &mut Context<'_>, done: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn poll_write_timeout<T>(
+        &mut self,
+        cx: &mut Context<'_>,
+        done: Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
         if done.is_ready() {
-            self.stall = None;
+            self.write_timer = None;
             return done;
         }
-        let time = self.limits.stall;
-        let stall = self.stall.get_or_insert_with(|| Box::pin(sleep(time)));
-        ready!(stall.as_mut().poll(cx));
+        let timeout = self.limits.write_timeout;
+        let timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(sleep(timeout)));
+        ready!(timer.as_mut().poll(cx));
         Poll::Ready(Err(ErrorKind::TimedOut.into()))
     }
 
     /// Whether the caller may still be sending what nobody will read.
-    fn unfinished(&self) -> bool {
+    fn has_unread_request(&self) -> bool {
         !matches!(self.mode, Mode::Head(_))
     }
 }
 
-fn bad_chunk() -> io::Error {
+fn invalid_chunk() -> io::Error {
     io::Error::new(ErrorKind::InvalidData, "a malformed chunk")
 }
 
@@ -266,20 +276,20 @@
         let this = &mut *self;
         if this.is_held() {
             // `poll_ahead` reads meanwhile, and sees the end.
-            return match this.over {
+            return match this.is_closed {
                 true => Poll::Ready(Ok(())),
                 false => Poll::Pending,
             };
         }
         loop {
-            if this.checked == 0 && !this.unread.is_empty() {
-                this.check()?;
+            if this.checked_bytes == 0 && !this.unread.is_empty() {
+                this.check_unread()?;
             }
-            if this.checked > 0 {
-                this.pass(out);
+            if this.checked_bytes > 0 {
+                this.copy_checked(out);
                 return Poll::Ready(Ok(()));
             }
-            if matches!(this.mode, Mode::Body(_) | Mode::Chunks(_)) {
+            if matches!(this.mode, Mode::Body(_) | Mode::Chunked(_)) {
                 return this.poll_body(cx, out);
             }
             if !ready!(this.poll_head(cx))? {
@@ -296,7 +306,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.watch(cx, written)
+        self.poll_write_timeout(cx, written)
     }
 
     fn poll_write_vectored(
@@ -305,7 +315,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.watch(cx, written)
+        self.poll_write_timeout(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -318,15 +328,17 @@
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
-        if !self.unfinished() {
+        if !self.has_unread_request() {
             return Poll::Ready(Ok(()));
         }
-        let linger = self.linger.get_or_insert_with(|| Box::pin(sleep(LINGER)));
-        if linger.as_mut().poll(cx).is_ready() {
+        let timer = self
+            .linger_timer
+            .get_or_insert_with(|| Box::pin(sleep(LINGER_TIMEOUT)));
+        if timer.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Ok(()));
         }
         loop {
-            let mut buffer = [0; READ];
+            let mut buffer = [0; READ_BYTES];
             let mut read = ReadBuf::new(&mut buffer);
             ready!(Pin::new(&mut self.stream).poll_read(cx, &mut read))?;
             if read.filled().is_empty() {
--- a/crates/citronproxy/src/traffic/handle.rs
+++ b/crates/citronproxy/src/traffic/handle.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        command::Ask,
-        crash_log::CrashNote,
-        limiters::Parts,
+        command::Command,
+        crash_log::CrashEvent,
+        limiters::Quotas,
         load::{LoadSample, merge},
         metrics::Metrics,
         phase::Phase,
@@ -30,7 +30,7 @@
 };
 
 /// The pause between two rounds of questions to the threads.
-const ASK_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Hands snapshots to the traffic threads without a lock, and asks them things.
 #[derive(Debug, Clone, Default)]
@@ -42,7 +42,7 @@
 struct Shared {
     snapshot: ArcSwapOption<Snapshot>,
     /// One channel a thread; locked by control only, never by a request.
-    threads: Mutex<Vec<mpsc::UnboundedSender<Ask>>>,
+    threads: Mutex<Vec<mpsc::UnboundedSender<Command>>>,
     published: watch::Sender<Revision>,
     phase: watch::Sender<Phase>,
     metrics: OnceLock<Metrics>,
@@ -66,7 +66,7 @@
     }
 
     /// Tells every publication of a snapshot.
-    pub fn published(&self) -> watch::Receiver<Revision> {
+    pub fn subscribe_revisions(&self) -> watch::Receiver<Revision> {
         self.shared.published.subscribe()
     }
 
@@ -76,25 +76,25 @@
     /// It waits for `below` to be published: until then new requests would still
     /// be routed under an older one. A written request whose caller or connection
     /// went away counts until its deadline, which the server was told.
-    pub async fn quiet(&self, server: &ServerName, below: Revision) {
+    pub async fn wait_quiescent(&self, server: &ServerName, below: Revision) {
         loop {
             // The order matters: a thread that answers after the publication
             // routes nothing more under an older revision.
-            let published = *self.shared.published.borrow() >= below;
-            if published && self.all_quiet(server, below).await {
+            let is_published = *self.shared.published.borrow() >= below;
+            if is_published && self.is_quiescent(server, below).await {
                 return;
             }
-            sleep(ASK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn all_quiet(&self, server: &ServerName, below: Revision) -> bool {
-        let asked = self.ask(|reply| Ask::Quiet {
+    async fn is_quiescent(&self, server: &ServerName, below: Revision) -> bool {
+        let answers = self.query_all(|reply| Command::IsQuiescent {
             server: server.clone(),
             below,
             reply,
         });
-        for answer in asked {
+        for answer in answers {
             // A thread that has ended has no request left.
             if !answer.await.unwrap_or(true) {
                 return false;
@@ -105,18 +105,18 @@
 
     /// Load of every scope since this was last asked, in the order of service
     /// and scope.
-    pub async fn load(&self) -> Vec<LoadSample> {
+    pub async fn take_loads(&self) -> Vec<LoadSample> {
         let mut samples = Vec::new();
-        for answer in self.ask(|reply| Ask::Load { reply }) {
+        for answer in self.query_all(|reply| Command::Load { reply }) {
             samples.extend(answer.await.unwrap_or_default());
         }
         merge(samples)
     }
 
     /// Counts for service-level objectives since this was last asked.
-    pub async fn tallies(&self) -> BTreeMap<ServiceName, Tally> {
+    pub async fn take_tallies(&self) -> BTreeMap<ServiceName, Tally> {
         let mut tallies: BTreeMap<ServiceName, Tally> = BTreeMap::new();
-        for answer in self.ask(|reply| Ask::Burn { reply }) {
+        for answer in self.query_all(|reply| Command::Tallies { reply }) {
             for (service, tally) in answer.await.unwrap_or_default() {
                 *tallies.entry(service).or_default() += &tally;
             }
@@ -126,9 +126,9 @@
 
     /// Rates of requests by server since this was last asked, for the exchange
     /// with other instances.
-    pub async fn demand(&self) -> BTreeMap<ServerName, Demand> {
+    pub async fn take_demand(&self) -> BTreeMap<ServerName, Demand> {
         let mut sums = BTreeMap::new();
-        for answer in self.ask(|reply| Ask::Demand { reply }) {
+        for answer in self.query_all(|reply| Command::Demand { reply }) {
             for (server, demand) in answer.await.unwrap_or_default() {
                 let sum = sums.entry(server).or_insert(Demand::NONE);
                 sum.arrivals.0 += demand.arrivals.0;
@@ -140,16 +140,16 @@
 
     /// Sets what this instance may take of each server; of a server without a
     /// part it takes all slots. Resolves when the parts are in force.
-    pub async fn set_parts(&self, parts: BTreeMap<ServerName, ServerQuota>) {
+    pub async fn set_quotas(&self, servers: BTreeMap<ServerName, ServerQuota>) {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner).len();
-        let parts = Arc::new(Parts { parts, threads });
-        let parts = || Arc::clone(&parts);
-        let asked = self.ask(|reply| Ask::Parts {
-            parts: parts(),
+        let quotas = Arc::new(Quotas { servers, threads });
+        let quotas = || Arc::clone(&quotas);
+        let answers = self.query_all(|reply| Command::SetQuotas {
+            quotas: quotas(),
             reply,
         });
-        for answer in asked {
+        for answer in answers {
             // A thread that has ended needs no part.
             let _ = answer.await;
         }
@@ -157,25 +157,25 @@
 
     /// Tells all threads of a crash, an answer, a lift or another instance's count.
     /// Called only when a request failed that way, or by control.
-    pub fn note_crash(&self, note: &CrashNote) {
+    pub fn send_crash_event(&self, event: &CrashEvent) {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner);
         for thread in threads.iter() {
-            let _ = thread.send(Ask::Crash(note.clone()));
+            let _ = thread.send(Command::ApplyCrash(event.clone()));
         }
     }
 
     /// What this instance counted of crashes, for the others.
     pub async fn crash_report(&self) -> Option<CrashReport> {
         // All threads keep the same log.
-        let asked = self.ask(|reply| Ask::CrashReport { reply });
-        asked.into_iter().next()?.await.ok()
+        let answers = self.query_all(|reply| Command::CrashReport { reply });
+        answers.into_iter().next()?.await.ok()
     }
 
     /// The requests that crashed servers, for operators.
     pub async fn crash_entries(&self) -> Vec<CrashEntry> {
-        let asked = self.ask(|reply| Ask::CrashEntries { reply });
-        match asked.into_iter().next() {
+        let answers = self.query_all(|reply| Command::CrashEntries { reply });
+        match answers.into_iter().next() {
             Some(answer) => answer.await.unwrap_or_default(),
             None => Vec::new(),
         }
@@ -183,13 +183,13 @@
 
     /// All metrics as text, in the format of Prometheus.
     pub async fn metrics(&self) -> String {
-        let mut flights = 0;
-        for answer in self.ask(|reply| Ask::Metrics { reply }) {
-            flights += answer.await.unwrap_or(0);
+        let mut in_flight = 0;
+        for answer in self.query_all(|reply| Command::Metrics { reply }) {
+            in_flight += answer.await.unwrap_or(0);
         }
         let metrics = self.shared_metrics();
-        metrics.set_flights(flights);
-        metrics.text()
+        metrics.set_in_flight(in_flight);
+        metrics.to_text()
     }
 
     /// Where the other parts of the instance add metrics of their own.
@@ -203,31 +203,34 @@
         self.shared.metrics.get_or_init(new)
     }
 
-    fn ask<T>(&self, make: impl Fn(oneshot::Sender<T>) -> Ask) -> Vec<oneshot::Receiver<T>> {
+    fn query_all<T>(
+        &self,
+        make: impl Fn(oneshot::Sender<T>) -> Command,
+    ) -> Vec<oneshot::Receiver<T>> {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner);
-        let asked = threads.iter().map(|thread| {
+        let answers = threads.iter().map(|thread| {
             let (reply, answer) = oneshot::channel();
             // A refused question drops `reply`, which the answer's side sees.
             let _ = thread.send(make(reply));
             answer
         });
-        asked.collect()
+        answers.collect()
     }
 
     /// Takes in a new thread; its questions arrive at the receiver.
-    pub(super) fn join(&self) -> mpsc::UnboundedReceiver<Ask> {
-        let (thread, asks) = mpsc::unbounded_channel();
+    pub(super) fn register_thread(&self) -> mpsc::UnboundedReceiver<Command> {
+        let (thread, commands) = mpsc::unbounded_channel();
         let threads = self.shared.threads.lock();
         threads.unwrap_or_else(PoisonError::into_inner).push(thread);
-        asks
+        commands
     }
 
     /// Begins the drain: not ready any more, and every connection ends with the
     /// answer it is about. Connections are still taken, since callers learn only
     /// after a while that the instance leaves.
     pub fn drain(&self) {
-        self.advance(Phase::Leaving);
+        self.advance(Phase::Draining);
     }
 
     /// Ends the taking of connections; requests under way go on to their end.
@@ -236,16 +239,16 @@
     }
 
     fn advance(&self, phase: Phase) {
-        let later = |now: &mut Phase| {
-            let advanced = phase > *now;
-            *now = phase.max(*now);
-            advanced
+        let advance = |current: &mut Phase| {
+            let is_later = phase > *current;
+            *current = phase.max(*current);
+            is_later
         };
-        self.shared.phase.send_if_modified(later);
+        self.shared.phase.send_if_modified(advance);
     }
 
     /// Resolves once all threads have ended after [`Self::stop`].
-    pub async fn drained(&self) {
+    pub async fn wait_stopped(&self) {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner).clone();
         for thread in threads {
@@ -259,7 +262,7 @@
     }
 
     /// Tells when the phase changes.
-    pub(super) fn phases(&self) -> watch::Receiver<Phase> {
+    pub(super) fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.shared.phase.subscribe()
     }
 }
--- a/crates/citronproxy/src/traffic/in_flight.rs
+++ b/crates/citronproxy/src/traffic/in_flight.rs
@@ -1,7 +1,7 @@
 //! Requests that a backend server may be running for this thread.
 
 use {
-    super::{load::Load, slo_counters::Burn},
+    super::{load::ScopeLoads, slo_counters::SloCounters},
     crate::clock::Clock,
     citron_core::{
         id::{Revision, ServerName},
@@ -16,7 +16,7 @@
 
 /// How much later a server may read a request than it was written; the server
 /// counts the deadline from then.
-const READ_TIME: Duration = Duration::from_millis(100);
+const READ_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
 struct Entry {
@@ -27,32 +27,32 @@
 #[derive(Debug)]
 struct Abandoned {
     entry: Entry,
-    until: Time,
+    runs_until: Time,
 }
 
 /// The table of one thread.
 #[derive(Debug)]
-pub struct Flights {
+pub struct InFlightTable {
     /// Load by scope.
-    pub load: Load,
+    pub load: ScopeLoads,
     /// Counts for service-level objectives.
-    pub burn: Burn,
+    pub slo_counters: SloCounters,
     clock: Clock,
     entries: FxHashMap<u64, Entry>,
     abandoned: Vec<Abandoned>,
-    next: u64,
+    next_id: u64,
 }
 
-impl Flights {
+impl InFlightTable {
     /// An empty table.
     pub fn new(clock: Clock) -> Self {
         Self {
-            load: Load::default(),
-            burn: Burn::default(),
+            load: ScopeLoads::default(),
+            slo_counters: SloCounters::default(),
             clock,
             entries: FxHashMap::default(),
             abandoned: Vec::new(),
-            next: 0,
+            next_id: 0,
         }
     }
 
@@ -61,13 +61,17 @@
     ///
     /// A request that was written and then abandoned may still run; the server
     /// was told its deadline, so it counts until then.
-    pub fn quiet(&mut self, server: &ServerName, below: Revision) -> bool {
+    pub fn is_quiescent(&mut self, server: &ServerName, below: Revision) -> bool {
         let now = self.clock.now();
-        self.abandoned.retain(|left| left.until > now);
-        let older = |entry: &Entry| entry.revision < below && entry.server.name == *server;
-        let waiting = self.entries.values().any(older);
-        let running = self.abandoned.iter().any(|left| older(&left.entry));
-        !waiting && !running
+        self.abandoned
+            .retain(|abandoned| abandoned.runs_until > now);
+        let is_older = |entry: &Entry| entry.revision < below && entry.server.name == *server;
+        let is_open = self.entries.values().any(is_older);
+        let may_run = self
+            .abandoned
+            .iter()
+            .any(|abandoned| is_older(&abandoned.entry));
+        !is_open && !may_run
     }
 
     /// How many requests are under way.
@@ -77,77 +81,82 @@
 
     /// When the last abandoned request can run no more; `None` if there is none.
     pub fn abandoned_until(&self) -> Option<Time> {
-        self.abandoned.iter().map(|left| left.until).max()
+        self.abandoned
+            .iter()
+            .map(|abandoned| abandoned.runs_until)
+            .max()
     }
 }
 
 /// One request's entry; taken out when dropped.
 #[derive(Debug)]
-pub struct Flight {
-    flights: Rc<RefCell<Flights>>,
-    number: u64,
+pub struct InFlightRequest {
+    in_flight: Rc<RefCell<InFlightTable>>,
+    id: u64,
     service: Arc<ServiceRoutes>,
     scope: Scope,
-    begun: Option<Time>,
-    until: Option<Time>,
+    written_at: Option<Time>,
+    runs_until: Option<Time>,
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Enters a request in the same step that read the snapshot, so that no
     /// question about an older revision can come between the two.
-    pub fn enter(
-        flights: &Rc<RefCell<Flights>>,
+    pub fn register(
+        in_flight: &Rc<RefCell<InFlightTable>>,
         service: &Arc<ServiceRoutes>,
         scope: Scope,
         server: &Arc<ServerRow>,
         revision: Revision,
     ) -> Self {
-        let mut table = flights.borrow_mut();
-        let number = table.next;
-        table.next += 1;
+        let mut table = in_flight.borrow_mut();
+        let id = table.next_id;
+        table.next_id += 1;
         let server = Arc::clone(server);
-        table.entries.insert(number, Entry { server, revision });
+        table.entries.insert(id, Entry { server, revision });
         Self {
-            flights: Rc::clone(flights),
-            number,
+            in_flight: Rc::clone(in_flight),
+            id,
             service: Arc::clone(service),
             scope,
-            begun: None,
-            until: None,
+            written_at: None,
+            runs_until: None,
         }
     }
 
     /// Notes that the request is being written and may run until its deadline.
-    pub fn written(&mut self, until: Time) {
-        let now = self.flights.borrow().clock.now();
-        self.begun.get_or_insert(now);
-        self.until = Some(until);
+    pub fn mark_written(&mut self, runs_until: Time) {
+        let now = self.in_flight.borrow().clock.now();
+        self.written_at.get_or_insert(now);
+        self.runs_until = Some(runs_until);
     }
 
     /// Notes that the server runs it no more, or never did.
-    pub fn settled(&mut self) {
-        self.until = None;
+    pub fn mark_settled(&mut self) {
+        self.runs_until = None;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        let mut table = self.flights.borrow_mut();
+        let mut table = self.in_flight.borrow_mut();
         let now = table.clock.now();
         let service = &self.service.row.name;
-        let time = self.begun.map(|begun| now - begun);
+        let time = self.written_at.map(|written_at| now - written_at);
         if let Some(time) = time {
             table.load.add(service, self.scope, time);
         }
-        let Some(entry) = table.entries.remove(&self.number) else {
+        let Some(entry) = table.entries.remove(&self.id) else {
             return;
         };
         if let Some(time) = time {
-            table.burn.busy(service, &entry.server.name, time);
+            table
+                .slo_counters
+                .add_busy_time(service, &entry.server.name, time);
         }
-        if let Some(until) = self.until.filter(|until| *until > now) {
-            let until = until + READ_TIME;
-            table.abandoned.push(Abandoned { entry, until });
+        if let Some(runs_until) = self.runs_until.filter(|runs_until| *runs_until > now) {
+            let runs_until = runs_until + READ_DELAY;
+            table.abandoned.push(Abandoned { entry, runs_until });
         }
     }
 }
--- a/crates/citronproxy/src/traffic/limiters.rs
+++ b/crates/citronproxy/src/traffic/limiters.rs
@@ -29,7 +29,7 @@
 
 /// While nothing is known of other instances, every thread may hold a slot: a
 /// wait for a fraction of one would leave slots idle.
-const SHARE_LEAST: f64 = 1.0;
+const MIN_SHARE_SLOTS: f64 = 1.0;
 
 /// Why a request does not get a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,156 +42,156 @@
 
 /// One server's gate, and the requests that wait at it.
 #[derive(Debug)]
-struct Server {
-    gate: RefCell<AdmissionController>,
+struct ServerLimiter {
+    controller: RefCell<AdmissionController>,
     waiters: RefCell<FxHashMap<Ticket, oneshot::Sender<Result<Slot, Denied>>>>,
     /// What the gate was last set to.
-    part: Cell<Option<ServerQuota>>,
-    pumped: Notify,
+    quota: Cell<Option<ServerQuota>>,
+    wake: Notify,
     clock: Clock,
 }
 
 /// The gates of one thread.
 #[derive(Debug)]
-pub struct Gates {
-    servers: RefCell<FxHashMap<ServerName, Rc<Server>>>,
-    tickets: Cell<u64>,
-    parts: RefCell<Arc<Parts>>,
+pub struct ServerLimiters {
+    limiters: RefCell<FxHashMap<ServerName, Rc<ServerLimiter>>>,
+    last_ticket: Cell<u64>,
+    quotas: RefCell<Arc<Quotas>>,
     clock: Clock,
 }
 
 /// What this instance may take of each server, all its threads together.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Parts {
+pub struct Quotas {
     /// The parts; a server without one is not shared with other instances.
-    pub parts: BTreeMap<ServerName, ServerQuota>,
+    pub servers: BTreeMap<ServerName, ServerQuota>,
     /// How many threads share them.
     pub threads: usize,
 }
 
-impl Gates {
+impl ServerLimiters {
     /// No gate yet.
     pub fn new(clock: Clock) -> Self {
         Self {
-            servers: RefCell::default(),
-            tickets: Cell::new(0),
-            parts: RefCell::default(),
+            limiters: RefCell::default(),
+            last_ticket: Cell::new(0),
+            quotas: RefCell::default(),
             clock,
         }
     }
 
     /// Replaces the parts of all servers.
-    pub fn set_parts(&self, parts: Arc<Parts>) {
-        self.parts.replace(parts);
+    pub fn set_quotas(&self, quotas: Arc<Quotas>) {
+        self.quotas.replace(quotas);
     }
 
     /// The rates of late, by server; they begin anew.
-    pub fn demand(&self) -> Vec<(ServerName, Demand)> {
+    pub fn take_demand(&self) -> Vec<(ServerName, Demand)> {
         let now = self.clock.now();
-        let servers = self.servers.borrow();
-        let demand = |(name, server): (&ServerName, &Rc<Server>)| {
-            (name.clone(), server.gate.borrow_mut().demand(now))
+        let limiters = self.limiters.borrow();
+        let demand = |(name, limiter): (&ServerName, &Rc<ServerLimiter>)| {
+            (name.clone(), limiter.controller.borrow_mut().demand(now))
         };
-        servers.iter().map(demand).collect()
+        limiters.iter().map(demand).collect()
     }
 
     /// Waits for a slot of a server.
     ///
     /// # Errors
     /// [`Denied`], at once, if the wait would last too long.
-    pub async fn enter(&self, row: &ServerRow, deadline: Time) -> Result<Slot, Denied> {
-        let server = self.server(row);
-        let ticket = self.ticket();
+    pub async fn acquire(&self, row: &ServerRow, deadline: Time) -> Result<Slot, Denied> {
+        let limiter = self.limiter(row);
+        let ticket = self.next_ticket();
         let now = self.clock.now();
-        let admission = server.gate.borrow_mut().admit(ticket, deadline, now);
+        let admission = limiter.controller.borrow_mut().admit(ticket, deadline, now);
         match admission {
-            Admission::Start => Ok(Slot::new(server)),
+            Admission::Start => Ok(Slot::new(limiter)),
             Admission::Shed { reason, wait } => Err(Denied { reason, wait }),
-            Admission::Queued => server.wait(ticket, deadline).await,
+            Admission::Queued => limiter.wait(ticket, deadline).await,
         }
     }
 
-    fn ticket(&self) -> Ticket {
-        let next = self.tickets.get() + 1;
-        self.tickets.set(next);
+    fn next_ticket(&self) -> Ticket {
+        let next = self.last_ticket.get() + 1;
+        self.last_ticket.set(next);
         Ticket(next)
     }
 
-    fn server(&self, row: &ServerRow) -> Rc<Server> {
-        let part = self.part(row);
-        let mut servers = self.servers.borrow_mut();
-        if let Some(server) = servers.get(&row.name) {
-            server.set(part);
-            return Rc::clone(server);
+    fn limiter(&self, row: &ServerRow) -> Rc<ServerLimiter> {
+        let quota = self.thread_quota(row);
+        let mut limiters = self.limiters.borrow_mut();
+        if let Some(limiter) = limiters.get(&row.name) {
+            limiter.set_quota(quota);
+            return Rc::clone(limiter);
         }
         let now = self.clock.now();
-        let server = Rc::new(Server {
-            gate: RefCell::new(AdmissionController::new(
+        let limiter = Rc::new(ServerLimiter {
+            controller: RefCell::new(AdmissionController::new(
                 AdmissionConfig::STANDARD,
-                part.share,
+                quota.share,
                 now,
             )),
             waiters: RefCell::default(),
-            part: Cell::new(None),
-            pumped: Notify::new(),
+            quota: Cell::new(None),
+            wake: Notify::new(),
             clock: self.clock,
         });
-        server.set(part);
-        spawn_local(pump(Rc::downgrade(&server)));
-        servers.insert(row.name.clone(), Rc::clone(&server));
-        server
+        limiter.set_quota(quota);
+        spawn_local(dispatch_loop(Rc::downgrade(&limiter)));
+        limiters.insert(row.name.clone(), Rc::clone(&limiter));
+        limiter
     }
 
     /// This thread's part of a server.
-    fn part(&self, row: &ServerRow) -> ServerQuota {
-        let parts = self.parts.borrow();
-        let threads = parts.threads.max(1);
+    fn thread_quota(&self, row: &ServerRow) -> ServerQuota {
+        let quotas = self.quotas.borrow();
+        let threads = quotas.threads.max(1);
         let cap = |cap: Rate| Rate(cap.0 / threads as f64);
-        match parts.parts.get(&row.name) {
-            Some(part) => ServerQuota {
-                share: SlotShare::new(part.share.slots() / threads as f64),
-                cap: part.cap.map(cap),
+        match quotas.servers.get(&row.name) {
+            Some(quota) => ServerQuota {
+                share: SlotShare::new(quota.share.slots() / threads as f64),
+                cap: quota.cap.map(cap),
             },
             None => ServerQuota {
-                share: SlotShare::new(even_share(row.slots, threads).slots().max(SHARE_LEAST)),
+                share: SlotShare::new(even_share(row.slots, threads).slots().max(MIN_SHARE_SLOTS)),
                 cap: row.rate_cap.map(|rate| cap(Rate(f64::from(rate)))),
             },
         }
     }
 }
 
-impl Server {
+impl ServerLimiter {
     /// Follows the server's row and the part of this thread.
-    fn set(&self, part: ServerQuota) {
-        if self.part.replace(Some(part)) == Some(part) {
+    fn set_quota(&self, quota: ServerQuota) {
+        if self.quota.replace(Some(quota)) == Some(quota) {
             return;
         }
         let now = self.clock.now();
-        let mut gate = self.gate.borrow_mut();
-        gate.set_share(part.share, now);
-        gate.set_cap(part.cap, now);
+        let mut controller = self.controller.borrow_mut();
+        controller.set_share(quota.share, now);
+        controller.set_cap(quota.cap, now);
     }
 
     async fn wait(self: Rc<Self>, ticket: Ticket, deadline: Time) -> Result<Slot, Denied> {
-        let (turn, waiter) = oneshot::channel();
-        self.waiters.borrow_mut().insert(ticket, turn);
-        let _waiting = Waiting {
-            server: &self,
+        let (sender, receiver) = oneshot::channel();
+        self.waiters.borrow_mut().insert(ticket, sender);
+        let _queued = QueueGuard {
+            limiter: &self,
             ticket,
             deadline,
         };
-        self.pumped.notify_one();
+        self.wake.notify_one();
         let wait = Duration::ZERO;
         let reason = FailureReason::Overloaded;
-        waiter.await.unwrap_or(Err(Denied { reason, wait }))
+        receiver.await.unwrap_or(Err(Denied { reason, wait }))
     }
 
     /// Gives turns until the gate has none.
-    fn turns(self: &Rc<Self>) {
+    fn dispatch_ready(self: &Rc<Self>) {
         loop {
             let now = self.clock.now();
-            let turn = self.gate.borrow_mut().next(now);
-            let (ticket, answer) = match turn {
+            let decision = self.controller.borrow_mut().next(now);
+            let (ticket, admission) = match decision {
                 None => return,
                 Some(QueueDecision::Start(ticket)) => (ticket, Ok(Slot::new(Rc::clone(self)))),
                 Some(QueueDecision::Shed { ticket, wait }) => {
@@ -201,45 +201,45 @@
             };
             // A slot that nobody takes any more is given back when it is dropped.
             let waiter = self.waiters.borrow_mut().remove(&ticket);
-            let _ = waiter.map(|waiter| waiter.send(answer));
+            let _ = waiter.map(|waiter| waiter.send(admission));
         }
     }
 
-    fn end(&self, release: ReleaseReason, held: Duration) {
+    fn release(&self, release: ReleaseReason, held: Duration) {
         let now = self.clock.now();
-        self.gate.borrow_mut().end(release, held, now);
+        self.controller.borrow_mut().end(release, held, now);
     }
 }
 
 /// Gives turns when a slot is freed and when the gate's time has come.
-async fn pump(server: Weak<Server>) {
-    while let Some(server) = server.upgrade() {
-        server.turns();
-        let now = server.clock.now();
-        let wake = server.gate.borrow().ready_at(now);
-        match wake {
-            None => server.pumped.notified().await,
-            Some(wake) => tokio::select! {
-                () = server.pumped.notified() => {}
-                () = sleep(wake - now) => {}
+async fn dispatch_loop(limiter: Weak<ServerLimiter>) {
+    while let Some(limiter) = limiter.upgrade() {
+        limiter.dispatch_ready();
+        let now = limiter.clock.now();
+        let ready_at = limiter.controller.borrow().ready_at(now);
+        match ready_at {
+            None => limiter.wake.notified().await,
+            Some(ready_at) => tokio::select! {
+                () = limiter.wake.notified() => {}
+                () = sleep(ready_at - now) => {}
             },
         }
     }
 }
 
 /// A request that waits; it leaves the queue when its caller does.
-struct Waiting<'a> {
-    server: &'a Server,
+struct QueueGuard<'a> {
+    limiter: &'a ServerLimiter,
     ticket: Ticket,
     deadline: Time,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let waiter = self.server.waiters.borrow_mut().remove(&self.ticket);
+        let waiter = self.limiter.waiters.borrow_mut().remove(&self.ticket);
         if waiter.is_some() {
-            let mut gate = self.server.gate.borrow_mut();
-            gate.cancel(self.ticket, self.deadline);
+            let mut controller = self.limiter.controller.borrow_mut();
+            controller.cancel(self.ticket, self.deadline);
         }
     }
 }
@@ -247,30 +247,30 @@
 /// A slot of a server; given back when dropped.
 #[derive(Debug)]
 pub struct Slot {
-    server: Rc<Server>,
-    begun: Time,
+    limiter: Rc<ServerLimiter>,
+    acquired_at: Time,
     release: ReleaseReason,
 }
 
 impl Slot {
-    fn new(server: Rc<Server>) -> Self {
+    fn new(limiter: Rc<ServerLimiter>) -> Self {
         Self {
-            begun: server.clock.now(),
-            server,
+            acquired_at: limiter.clock.now(),
+            limiter,
             release: ReleaseReason::Other,
         }
     }
 
     /// Notes how the request ended.
-    pub fn note(&mut self, release: ReleaseReason) {
+    pub fn set_release(&mut self, release: ReleaseReason) {
         self.release = release;
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let held = self.server.clock.now() - self.begun;
-        self.server.end(self.release, held);
-        self.server.pumped.notify_one();
+        let held = self.limiter.clock.now() - self.acquired_at;
+        self.limiter.release(self.release, held);
+        self.limiter.wake.notify_one();
     }
 }
--- a/crates/citronproxy/src/traffic/limits.rs
+++ b/crates/citronproxy/src/traffic/limits.rs
@@ -6,34 +6,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// How long the head of a request may take, from its first byte.
-    pub slow: Duration,
+    pub head_timeout: Duration,
     /// How long a caller's connection may stay without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long a caller may leave an answer unread before its connection ends.
-    pub stall: Duration,
+    pub write_timeout: Duration,
     /// How long a request waits for its key's owner to be certain again.
-    pub reroute: Duration,
+    pub owner_wait: Duration,
     /// Requests of one thread that wait so at a time.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Requests of one thread in progress at a time.
-    pub room: usize,
+    pub max_in_progress: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: 32 * 1_024,
-            body: 16 * 1_024 * 1_024 * 1_024,
-            slow: Duration::from_secs(10),
-            idle: Duration::from_secs(60),
-            stall: Duration::from_secs(30),
-            reroute: Duration::from_secs(1),
-            waiting: 1_024,
-            room: 4_096,
+            max_head_bytes: 32 * 1_024,
+            max_body_bytes: 16 * 1_024 * 1_024 * 1_024,
+            head_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
+            write_timeout: Duration::from_secs(30),
+            owner_wait: Duration::from_secs(1),
+            max_waiting: 1_024,
+            max_in_progress: 4_096,
         }
     }
 }
--- a/crates/citronproxy/src/traffic/load.rs
+++ b/crates/citronproxy/src/traffic/load.rs
@@ -14,24 +14,24 @@
     /// The shard, or the key that is owned alone.
     pub scope: Scope,
     /// Time that its requests held a slot of the owner, added up.
-    pub busy: Duration,
+    pub busy_time: Duration,
     /// Exchanges that ended.
     pub count: u64,
 }
 
 #[derive(Debug, Default)]
-struct Busy {
-    time: Duration,
+struct ScopeLoad {
+    busy_time: Duration,
     count: u64,
 }
 
 /// Sums of one thread.
 #[derive(Debug, Default)]
-pub struct Load {
-    services: FxHashMap<ServiceName, FxHashMap<Scope, Busy>>,
+pub struct ScopeLoads {
+    services: FxHashMap<ServiceName, FxHashMap<Scope, ScopeLoad>>,
 }
 
-impl Load {
+impl ScopeLoads {
     /// Counts one exchange.
     pub fn add(&mut self, service: &ServiceName, scope: Scope, time: Duration) {
         // Two look-ups instead of an entry: the name is cloned once, not per request.
@@ -39,9 +39,9 @@
             self.services.insert(service.clone(), FxHashMap::default());
         }
         if let Some(scopes) = self.services.get_mut(service) {
-            let busy = scopes.entry(scope).or_default();
-            busy.time += time;
-            busy.count += 1;
+            let load = scopes.entry(scope).or_default();
+            load.busy_time += time;
+            load.count += 1;
         }
     }
 
@@ -49,11 +49,11 @@
     pub fn take(&mut self) -> Vec<LoadSample> {
         let services = std::mem::take(&mut self.services);
         let samples = services.into_iter().flat_map(|(service, scopes)| {
-            scopes.into_iter().map(move |(scope, busy)| LoadSample {
+            scopes.into_iter().map(move |(scope, load)| LoadSample {
                 service: service.clone(),
                 scope,
-                busy: busy.time,
-                count: busy.count,
+                busy_time: load.busy_time,
+                count: load.count,
             })
         });
         samples.collect()
@@ -67,7 +67,7 @@
         let key = (sample.service.clone(), sample.scope);
         match merged.get_mut(&key) {
             Some(sum) => {
-                sum.busy += sample.busy;
+                sum.busy_time += sample.busy_time;
                 sum.count += sample.count;
             }
             None => drop(merged.insert(key, sample)),
--- a/crates/citronproxy/src/traffic/local_response.rs
+++ b/crates/citronproxy/src/traffic/local_response.rs
@@ -1,7 +1,7 @@
 //! Answers of our own.
 
 use {
-    super::response_body::AnswerBody,
+    super::response_body::ResponseBody,
     bytes::Bytes,
     citron_core::routing::{LocalResponse, Outcome},
     http::{HeaderValue, Response, StatusCode, header},
@@ -12,20 +12,20 @@
 pub const HEADER_OUTCOME: &str = "citron-outcome";
 
 /// When a caller may come back after a passing trouble, in seconds.
-const RETRY_SOON: u32 = 1;
+const RETRY_AFTER_SECONDS: u32 = 1;
 
 /// An answer of ours, with the outcome and when to come back, in seconds.
-pub fn own(
+pub fn local_response(
     status: StatusCode,
     outcome: Outcome,
-    retry: Option<u32>,
+    retry_after: Option<u32>,
     reason: &str,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let body = Bytes::from(format!("{reason}\n"));
-    let mut response = Response::new(AnswerBody::Own(Full::new(body)));
+    let mut response = Response::new(ResponseBody::Local(Full::new(body)));
     *response.status_mut() = status;
-    mark(&mut response, outcome);
-    if let Some(seconds) = retry {
+    set_outcome(&mut response, outcome);
+    if let Some(seconds) = retry_after {
         let value = HeaderValue::from(seconds);
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
@@ -33,7 +33,7 @@
 }
 
 /// Says in the headers what became of the request.
-pub fn mark(response: &mut Response<AnswerBody>, outcome: Outcome) {
+pub fn set_outcome(response: &mut Response<ResponseBody>, outcome: Outcome) {
     let value = match outcome {
         Outcome::Ran => HeaderValue::from_static("ran"),
         Outcome::NotRun => HeaderValue::from_static("not-run"),
@@ -43,21 +43,21 @@
 }
 
 /// The answer that core decided on.
-pub fn from_verdict(verdict: &LocalResponse) -> Response<AnswerBody> {
-    let status = StatusCode::from_u16(verdict.status);
+pub fn from_decision(decision: &LocalResponse) -> Response<ResponseBody> {
+    let status = StatusCode::from_u16(decision.status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let reason = verdict.reason.to_string();
-    own(status, verdict.outcome, verdict.retry_after, &reason)
+    let reason = decision.reason.to_string();
+    local_response(status, decision.outcome, decision.retry_after, &reason)
 }
 
 /// The answer of an instance that can route nothing now.
-pub fn unavailable(reason: &str) -> Response<AnswerBody> {
+pub fn unavailable(reason: &str) -> Response<ResponseBody> {
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    own(status, Outcome::NotRun, Some(RETRY_SOON), reason)
+    local_response(status, Outcome::NotRun, Some(RETRY_AFTER_SECONDS), reason)
 }
 
 /// What the headers of an answer say of its request.
-pub fn outcome_of(response: &Response<AnswerBody>) -> Outcome {
+pub fn outcome_of(response: &Response<ResponseBody>) -> Outcome {
     let value = response.headers().get(HEADER_OUTCOME);
     let outcome = value.and_then(|value| value.to_str().ok()?.parse().ok());
     outcome.unwrap_or(Outcome::Unknown)
--- a/crates/citronproxy/src/traffic/metrics.rs
+++ b/crates/citronproxy/src/traffic/metrics.rs
@@ -13,7 +13,7 @@
 };
 
 /// Upper bounds of the latency buckets, in seconds.
-const BUCKETS: [f64; 14] = [
+const LATENCY_BUCKETS_SECONDS: [f64; 14] = [
     0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.019, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0,
 ];
 
@@ -22,12 +22,12 @@
 pub struct Metrics {
     registry: Registry,
     requests: IntCounterVec,
-    tries: IntCounterVec,
+    attempts: IntCounterVec,
     denied: IntCounterVec,
-    seconds: HistogramVec,
-    flights: IntGauge,
+    latency: HistogramVec,
+    in_flight: IntGauge,
     lost_lines: IntGauge,
-    bad_loads: IntCounter,
+    invalid_loads: IntCounter,
 }
 
 impl Metrics {
@@ -39,34 +39,37 @@
         let registry = Registry::new();
         let requests = Opts::new("citron_requests_total", "Requests by service and outcome.");
         let requests = IntCounterVec::new(requests, &["service", "outcome"])?;
-        let tries = Opts::new("citron_tries_total", "Tries, retries and hedges included.");
-        let tries = IntCounterVec::new(tries, &["service"])?;
+        let attempts = Opts::new("citron_tries_total", "Tries, retries and hedges included.");
+        let attempts = IntCounterVec::new(attempts, &["service"])?;
         let denied = Opts::new(
             "citron_denied_total",
             "Requests denied for good, by status.",
         );
         let denied = IntCounterVec::new(denied, &["status"])?;
-        let seconds = HistogramOpts::new(
+        let latency = HistogramOpts::new(
             "citron_answer_seconds",
             "Time to the head of the answer, in seconds.",
         );
-        let seconds = HistogramVec::new(seconds.buckets(BUCKETS.to_vec()), &["service"])?;
-        let flights = IntGauge::new("citron_requests_in_flight", "Requests under way.")?;
+        let latency = HistogramVec::new(
+            latency.buckets(LATENCY_BUCKETS_SECONDS.to_vec()),
+            &["service"],
+        )?;
+        let in_flight = IntGauge::new("citron_requests_in_flight", "Requests under way.")?;
         let lost_lines = IntGauge::new(
             "citron_log_lines_lost",
             "Log lines for which there was no room since the start.",
         )?;
-        let bad_loads = IntCounter::new(
+        let invalid_loads = IntCounter::new(
             "citron_bad_loads_total",
             "Answers in which a server's load could not be read.",
         )?;
         Ok(Self {
-            bad_loads: register(&registry, bad_loads)?,
+            invalid_loads: register(&registry, invalid_loads)?,
             requests: register(&registry, requests)?,
-            tries: register(&registry, tries)?,
+            attempts: register(&registry, attempts)?,
             denied: register(&registry, denied)?,
-            seconds: register(&registry, seconds)?,
-            flights: register(&registry, flights)?,
+            latency: register(&registry, latency)?,
+            in_flight: register(&registry, in_flight)?,
             lost_lines: register(&registry, lost_lines)?,
             registry,
         })
@@ -76,16 +79,17 @@
     pub fn local(&self) -> LocalMetrics {
         LocalMetrics {
             requests: self.requests.local(),
-            tries: self.tries.local(),
+            attempts: self.attempts.local(),
             denied: self.denied.local(),
-            bad_loads: self.bad_loads.local(),
-            seconds: self.seconds.local(),
+            invalid_loads: self.invalid_loads.local(),
+            latency: self.latency.local(),
         }
     }
 
     /// Sets the number of requests under way.
-    pub fn set_flights(&self, flights: usize) {
-        self.flights.set(i64::try_from(flights).unwrap_or(i64::MAX));
+    pub fn set_in_flight(&self, in_flight: usize) {
+        self.in_flight
+            .set(i64::try_from(in_flight).unwrap_or(i64::MAX));
     }
 
     /// Sets the number of log lines lost since the start.
@@ -100,7 +104,7 @@
     }
 
     /// All metrics as text.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let families = self.registry.gather();
         let text = TextEncoder::new().encode_to_string(&families);
         text.unwrap_or_default()
@@ -110,10 +114,10 @@
 /// Counts of one thread, added to the shared ones only when they are read.
 pub struct LocalMetrics {
     requests: LocalIntCounterVec,
-    tries: LocalIntCounterVec,
+    attempts: LocalIntCounterVec,
     denied: LocalIntCounterVec,
-    bad_loads: LocalIntCounter,
-    seconds: LocalHistogramVec,
+    invalid_loads: LocalIntCounter,
+    latency: LocalHistogramVec,
 }
 
 impl fmt::Debug for LocalMetrics {
@@ -125,7 +129,13 @@
 
 impl LocalMetrics {
     /// Counts a request whose answer's head was passed on.
-    pub fn count(&mut self, service: &ServiceName, outcome: Outcome, tries: u32, time: Duration) {
+    pub fn count_request(
+        &mut self,
+        service: &ServiceName,
+        outcome: Outcome,
+        attempts: u32,
+        time: Duration,
+    ) {
         let service = service.as_str();
         let outcome = match outcome {
             Outcome::Ran => "ran",
@@ -133,10 +143,10 @@
             Outcome::Unknown => "unknown",
         };
         self.requests.with_label_values(&[service, outcome]).inc();
-        self.tries
+        self.attempts
             .with_label_values(&[service])
-            .inc_by(u64::from(tries));
-        self.seconds
+            .inc_by(u64::from(attempts));
+        self.latency
             .with_label_values(&[service])
             .observe(time.as_secs_f64());
     }
@@ -147,16 +157,16 @@
     }
 
     /// Counts an answer in which a server's load could not be read.
-    pub fn count_bad_load(&mut self) {
-        self.bad_loads.inc();
+    pub fn count_invalid_load(&mut self) {
+        self.invalid_loads.inc();
     }
 
     /// Adds the counts to the shared ones.
     pub fn flush(&mut self) {
         self.requests.flush();
-        self.tries.flush();
+        self.attempts.flush();
         self.denied.flush();
-        self.bad_loads.flush();
-        self.seconds.flush();
+        self.invalid_loads.flush();
+        self.latency.flush();
     }
 }
--- a/crates/citronproxy/src/traffic/mod.rs
+++ b/crates/citronproxy/src/traffic/mod.rs
@@ -30,11 +30,11 @@
 mod worker;
 
 pub use {
-    crash_log::CrashNote,
+    crash_log::CrashEvent,
     deadline::HEADER_TIMEOUT,
     handle::TrafficHandle,
     limits::Limits,
     load::LoadSample,
     phase::Phase,
-    worker::{Workers, start, start_with},
+    worker::{Workers, start, start_with_limits},
 };
--- a/crates/citronproxy/src/traffic/phase.rs
+++ b/crates/citronproxy/src/traffic/phase.rs
@@ -7,7 +7,7 @@
     #[default]
     Serving,
     /// Connections are taken, and each ends with its next answer.
-    Leaving,
+    Draining,
     /// No connection is taken; requests under way go on to their end.
     Closing,
 }
--- a/crates/citronproxy/src/traffic/pipelined.rs
+++ b/crates/citronproxy/src/traffic/pipelined.rs
@@ -7,40 +7,40 @@
 };
 
 /// Headers of one request; the guard lets no more through.
-const HEADERS_MAX: usize = 96;
+const MAX_HEADERS: usize = 96;
 
 /// A request that is being answered though one before it on its connection is not.
 #[derive(Debug)]
-pub struct Early<B> {
+pub struct PipelinedRequest<B> {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     task: JoinHandle<Response<B>>,
 }
 
-impl<B: 'static> Early<B> {
+impl<B: 'static> PipelinedRequest<B> {
     /// Begins to work out an answer.
-    pub fn begin(head: &Parts, answer: impl Future<Output = Response<B>> + 'static) -> Self {
+    pub fn spawn(head: &Parts, response: impl Future<Output = Response<B>> + 'static) -> Self {
         Self {
             method: head.method.clone(),
             uri: head.uri.clone(),
             headers: head.headers.clone(),
-            task: spawn_local(answer),
+            task: spawn_local(response),
         }
     }
 
     /// The answer, if this is the request whose turn it is; otherwise, or if it
     /// came to nothing, the request must be answered anew.
-    pub async fn answer(mut self, head: &Parts) -> Option<Response<B>> {
-        let same = self.method == head.method && self.uri == head.uri;
-        if !same || self.headers != head.headers {
+    pub async fn into_response(mut self, head: &Parts) -> Option<Response<B>> {
+        let is_same = self.method == head.method && self.uri == head.uri;
+        if !is_same || self.headers != head.headers {
             return None;
         }
         (&mut self.task).await.ok()
     }
 }
 
-impl<B> Drop for Early<B> {
+impl<B> Drop for PipelinedRequest<B> {
     /// The caller has gone, and servers need not work for it.
     fn drop(&mut self) {
         self.task.abort();
@@ -48,8 +48,8 @@
 }
 
 /// A head as the HTTP library would read it; `None` if it would refuse it.
-pub fn parse(bytes: &Bytes) -> Option<Parts> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+pub fn parse_head(bytes: &Bytes) -> Option<Parts> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     parsed
         .parse(bytes)
--- a/crates/citronproxy/src/traffic/pool.rs
+++ b/crates/citronproxy/src/traffic/pool.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        request_body::Upload,
-        socket::{Wire, WireStream},
+        request_body::UpstreamBody,
+        socket::{SocketState, TrackedStream},
     },
     crate::clock::Clock,
     citron_core::time::Time,
@@ -21,19 +21,19 @@
 };
 
 /// Idle connections to one server that a thread keeps at most.
-const IDLE_MAX: usize = 32;
+const MAX_IDLE_CONNECTIONS: usize = 32;
 /// How long a connection may stay idle.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long before the end that a server has told a connection is used no more:
 /// it tells whole seconds, and a request must arrive before it closes.
-const TOLD_MARGIN: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 /// How recently a connection must have received bytes to carry a request that may
 /// run only once: far below the time after which middle boxes forget a connection.
-const FRESH_TIME: Duration = Duration::from_secs(1);
+const RECENT_READ: Duration = Duration::from_secs(1);
 /// How long a new connection may take.
-const CONNECT_TIME: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Read buffer of one connection, in bytes; bounds the head of an answer too.
-const BUFFER_MAX: usize = 64 * 1_024;
+const READ_BUFFER_BYTES: usize = 64 * 1_024;
 
 /// Why there is no connection; nothing was written to the server.
 #[derive(Debug, Error)]
@@ -43,10 +43,10 @@
     Io(#[from] std::io::Error),
     /// The server did not take the connection in time.
     #[error("connect: no answer in time")]
-    Slow(#[from] Elapsed),
+    TimedOut(#[from] Elapsed),
     /// The HTTP handshake failed.
     #[error("handshake: {0}")]
-    Http(#[from] hyper::Error),
+    Handshake(#[from] hyper::Error),
 }
 
 impl ConnectError {
@@ -60,25 +60,27 @@
 #[derive(Debug)]
 pub struct Connection {
     /// Takes requests.
-    pub sender: SendRequest<Upload>,
+    pub sender: SendRequest<UpstreamBody>,
     /// What is known of the socket.
-    pub wire: Rc<Wire>,
+    pub socket: Rc<SocketState>,
     /// Whether it has carried an exchange before.
     pub reused: bool,
     /// How long the server keeps it open while it is idle, by its own word.
-    pub told: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     driver: AbortHandle,
 }
 
 impl Connection {
     fn is_usable(&self, reuse: Reuse, now: Time) -> bool {
-        let told = self.told.map(|told| told.saturating_sub(TOLD_MARGIN));
+        let keep_alive = self
+            .keep_alive
+            .map(|timeout| timeout.saturating_sub(KEEP_ALIVE_MARGIN));
         let limit = match reuse {
-            Reuse::Within(limit) => limit.min(told.unwrap_or(limit)),
-            Reuse::Told(otherwise) => told.unwrap_or(otherwise),
+            Reuse::ReadWithin(limit) => limit.min(keep_alive.unwrap_or(limit)),
+            Reuse::KeepAliveOr(default) => keep_alive.unwrap_or(default),
             Reuse::Never => return false,
         };
-        self.sender.is_ready() && now - self.wire.heard() < limit
+        self.sender.is_ready() && now - self.socket.last_read() < limit
     }
 }
 
@@ -95,20 +97,20 @@
 pub enum Reuse {
     /// Those that received bytes within this time, or within the time that
     /// the server keeps them if that is shorter.
-    Within(Duration),
+    ReadWithin(Duration),
     /// Those that the server still keeps by its own word; without any, those that
     /// received bytes within this time.
-    Told(Duration),
+    KeepAliveOr(Duration),
     /// None.
     Never,
 }
 
 impl Reuse {
     /// Any that is not known to be closed.
-    pub const ANY: Self = Self::Within(IDLE_TIME);
+    pub const ANY: Self = Self::ReadWithin(IDLE_TIMEOUT);
     /// Those that received bytes just now: on one that went silent the
     /// request would be lost, and could not be sent again.
-    pub const FRESH: Self = Self::Within(FRESH_TIME);
+    pub const RECENT: Self = Self::ReadWithin(RECENT_READ);
 }
 
 /// Idle connections by address.
@@ -131,7 +133,7 @@
     ///
     /// # Errors
     /// If there is none and the server takes no new one.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         address: SocketAddr,
         reuse: Reuse,
@@ -143,15 +145,18 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        let stream = timeout(CONNECT_TIME, TcpStream::connect(address)).await??;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
         // A caller that has left must not keep a slot of the server busy: a reset
         // tells the server at once, and drops what is still on its way.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
-        let wire = Wire::new(self.clock);
-        let io = TokioIo::new(WireStream::new(stream, Rc::clone(&wire)));
-        let built = Builder::new().max_buf_size(BUFFER_MAX).handshake(io).await;
-        let (sender, driver) = built?;
+        let socket = SocketState::new(self.clock);
+        let io = TokioIo::new(TrackedStream::new(stream, Rc::clone(&socket)));
+        let handshake = Builder::new()
+            .max_buf_size(READ_BUFFER_BYTES)
+            .handshake(io)
+            .await;
+        let (sender, driver) = handshake?;
         let driver = tokio::task::spawn_local(async move {
             if let Err(error) = driver.await {
                 log::debug!("connection to {address} ended: {error}");
@@ -159,18 +164,18 @@
         });
         Ok(Connection {
             sender,
-            wire,
+            socket,
             reused: false,
-            told: None,
+            keep_alive: None,
             driver: driver.abort_handle(),
         })
     }
 
     /// Keeps a connection whose exchange has ended whole.
-    pub fn give(&self, address: SocketAddr, mut connection: Connection) {
+    pub fn release(&self, address: SocketAddr, mut connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
-        if connections.len() >= IDLE_MAX || connection.sender.is_closed() {
+        if connections.len() >= MAX_IDLE_CONNECTIONS || connection.sender.is_closed() {
             return;
         }
         connection.reused = true;
@@ -181,16 +186,16 @@
     pub fn has_idle(&self, address: &SocketAddr, reuse: Reuse) -> bool {
         let now = self.clock.now();
         let idle = self.idle.borrow();
-        let mut kept = idle.get(address).into_iter().flatten();
-        kept.any(|kept| kept.is_usable(reuse, now))
+        let mut connections = idle.get(address).into_iter().flatten();
+        connections.any(|connection| connection.is_usable(reuse, now))
     }
 
     /// Drops the idle connections that were last heard of before `since`: one of
     /// their age has gone silent, and whatever lost track of it may have lost
     /// track of them. Younger ones stay, so that the server is not suspected.
-    pub fn suspect(&self, address: SocketAddr, since: Time) {
+    pub fn evict_older(&self, address: SocketAddr, since: Time) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(&address) {
-            connections.retain(|connection| connection.wire.heard() >= since);
+            connections.retain(|connection| connection.socket.last_read() >= since);
         }
     }
 
@@ -198,9 +203,11 @@
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
-        connections.retain(|kept| !kept.sender.is_closed() && now - kept.wire.heard() < IDLE_TIME);
-        let usable = |kept: &Connection| kept.is_usable(reuse, now);
-        let found = connections.iter().rposition(usable)?;
-        Some(connections.remove(found))
+        connections.retain(|connection| {
+            !connection.sender.is_closed() && now - connection.socket.last_read() < IDLE_TIMEOUT
+        });
+        let usable = |connection: &Connection| connection.is_usable(reuse, now);
+        let position = connections.iter().rposition(usable)?;
+        Some(connections.remove(position))
     }
 }
--- a/crates/citronproxy/src/traffic/proxy.rs
+++ b/crates/citronproxy/src/traffic/proxy.rs
@@ -2,17 +2,17 @@
 
 use {
     super::{
-        attempts::Tries,
+        attempts::Attempts,
         deadline,
-        driver::Call,
+        driver::RequestDriver,
         guard::Refusal,
         limits::Limits,
-        local_response::{outcome_of, own, unavailable},
+        local_response::{local_response, outcome_of, unavailable},
         phase::Phase,
-        request::{host, prepare},
-        request_body::{REPLAY_MAX, Source},
-        response_body::AnswerBody,
-        state::State,
+        request::{host, prepare_forward},
+        request_body::{CallerBody, REPLAY_MAX_BYTES},
+        response_body::ResponseBody,
+        state::ThreadState,
     },
     citron_core::{
         id::OperatorName,
@@ -31,20 +31,20 @@
 };
 
 /// Where metrics are read.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 /// The request path of one traffic thread.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    state: Rc<State>,
+    state: Rc<ThreadState>,
 }
 
 /// An answer of ours; boxed, since it is large and rare.
-type Refused = Box<Response<AnswerBody>>;
+type BoxedResponse = Box<Response<ResponseBody>>;
 
 impl Proxy {
     /// A path that routes by what the handle publishes.
-    pub fn new(state: &Rc<State>) -> Self {
+    pub fn new(state: &Rc<ThreadState>) -> Self {
         let state = Rc::clone(state);
         Self { state }
     }
@@ -55,13 +55,13 @@
     }
 
     /// Answers one request; whatever fails becomes an answer that says so.
-    pub async fn serve(self, head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
+    pub async fn serve(self, head: Parts, body: Option<Incoming>) -> Response<ResponseBody> {
         let path = head.uri.path();
-        let mut answer = match self.probe(path) {
+        let mut answer = match self.internal_response(path) {
             Some(answer) => answer,
-            None if path == METRICS => {
+            None if path == METRICS_PATH => {
                 let text = self.state.handle.metrics().await;
-                own(StatusCode::OK, Outcome::NotRun, None, text.trim_end())
+                local_response(StatusCode::OK, Outcome::NotRun, None, text.trim_end())
             }
             None => self
                 .route(head, body)
@@ -76,15 +76,15 @@
     }
 
     /// Whether a request may run again, and connections do not end soon.
-    pub fn may_repeat(&self, head: &Parts) -> bool {
-        let service = self.service(head);
+    pub fn is_repeatable(&self, head: &Parts) -> bool {
+        let service = self.find_service(head);
         let idempotent = service.is_ok_and(|service| is_idempotent(&service.row, head));
         idempotent && self.state.handle.phase() <= Phase::Serving
     }
 
-    fn probe(&self, path: &str) -> Option<Response<AnswerBody>> {
+    fn internal_response(&self, path: &str) -> Option<Response<ResponseBody>> {
         let handle = &self.state.handle;
-        let ok = |reason| own(StatusCode::OK, Outcome::NotRun, None, reason);
+        let ok = |reason| local_response(StatusCode::OK, Outcome::NotRun, None, reason);
         match path {
             "/healthz" => Some(ok("alive")),
             "/readyz" if handle.phase() > Phase::Serving => {
@@ -93,9 +93,9 @@
             "/readyz" if handle.snapshot().is_some() => Some(ok("ready")),
             "/readyz" => Some(unavailable("no table yet")),
             _ => {
-                let refused = Refusal::of_path(path)?;
+                let refused = Refusal::from_path(path)?;
                 let (status, reason) = (refused.status(), refused.to_string());
-                Some(own(status, Outcome::NotRun, None, &reason))
+                Some(local_response(status, Outcome::NotRun, None, &reason))
             }
         }
     }
@@ -104,17 +104,17 @@
         &self,
         mut head: Parts,
         body: Option<Incoming>,
-    ) -> Result<Response<AnswerBody>, Refused> {
-        check(&head)?;
-        let service = self.service(&head)?;
+    ) -> Result<Response<ResponseBody>, BoxedResponse> {
+        check_supported(&head)?;
+        let service = self.find_service(&head)?;
         let row = &service.row;
         let now = self.state.clock.now();
-        let deadline = deadline::deadline(&head.headers, now, row.deadline);
+        let deadline = deadline::request_deadline(&head.headers, now, row.deadline);
         let deadline = deadline.ok_or_else(|| {
             let reason = "citron-timeout-ms is not a number above 0";
             refusal(StatusCode::BAD_REQUEST, reason)
         })?;
-        let max = self.state.limits.body;
+        let max = self.state.limits.max_body_bytes;
         if body
             .as_ref()
             .is_some_and(|body| body.size_hint().lower() > max)
@@ -122,43 +122,51 @@
             let reason = "the body is too large";
             return Err(refusal(StatusCode::PAYLOAD_TOO_LARGE, reason));
         }
-        prepare(&mut head);
+        prepare_forward(&mut head);
         let idempotent = is_idempotent(row, &head);
-        let tries = Tries {
+        let attempts = Attempts {
             state: Rc::clone(&self.state),
             head,
-            source: Source::new(body, max, REPLAY_MAX),
+            body: CallerBody::new(body, max, REPLAY_MAX_BYTES),
             deadline,
-            refused: Cell::new(None),
-            server: RefCell::default(),
-            patient: Cell::new(None),
-            reused: OnceCell::new(),
-            noted: Notify::new(),
+            refused_revision: Cell::new(None),
+            last_server: RefCell::default(),
+            wait_until: Cell::new(None),
+            first_reused: OnceCell::new(),
+            reuse_notify: Notify::new(),
         };
-        let Some(_room) = Room::enter(&self.state, &row.operator) else {
+        let Some(_operator_slot) = OperatorSlot::acquire(&self.state, &row.operator) else {
             let reason = "too many requests of this operator are in progress";
             let refused = unavailable(reason);
-            self.count(row, &refused, 0, Duration::ZERO);
+            self.record(row, &refused, 0, Duration::ZERO);
             return Err(Box::new(refused));
         };
-        let call = Call::new(&tries, &row.name, idempotent);
-        let (answer, sent) = call.run().await;
-        self.count(row, &answer, sent, self.state.clock.now() - now);
+        let driver = RequestDriver::new(&attempts, &row.name, idempotent);
+        let (answer, sent) = driver.run().await;
+        self.record(row, &answer, sent, self.state.clock.now() - now);
         Ok(answer)
     }
 
     /// Counts an answer for the metrics and for the service's objectives.
-    fn count(&self, row: &ServiceRow, answer: &Response<AnswerBody>, tries: u32, time: Duration) {
+    fn record(
+        &self,
+        row: &ServiceRow,
+        answer: &Response<ResponseBody>,
+        attempts: u32,
+        time: Duration,
+    ) {
         let outcome = outcome_of(answer);
         let mut metrics = self.state.metrics.borrow_mut();
-        metrics.count(&row.name, outcome, tries, time);
-        let failed = outcome != Outcome::Ran || answer.status().is_server_error();
-        let slow = time > row.objectives.latency;
-        let mut flights = self.state.flights.borrow_mut();
-        flights.burn.answered(&row.name, failed, slow);
+        metrics.count_request(&row.name, outcome, attempts, time);
+        let is_failed = outcome != Outcome::Ran || answer.status().is_server_error();
+        let is_slow = time > row.objectives.latency;
+        let mut in_flight = self.state.in_flight.borrow_mut();
+        in_flight
+            .slo_counters
+            .count_answer(&row.name, is_failed, is_slow);
     }
 
-    fn service(&self, head: &Parts) -> Result<Arc<ServiceRoutes>, Refused> {
+    fn find_service(&self, head: &Parts) -> Result<Arc<ServiceRoutes>, BoxedResponse> {
         let snapshot = self.state.handle.snapshot();
         let Some(snapshot) = snapshot.as_ref() else {
             return Err(Box::new(unavailable("no table yet")));
@@ -183,48 +191,54 @@
 }
 
 /// Room that a request takes up until the head of its answer.
-struct Room<'a> {
-    state: &'a State,
+struct OperatorSlot<'a> {
+    state: &'a ThreadState,
     operator: &'a OperatorName,
 }
 
-impl<'a> Room<'a> {
-    fn enter(state: &'a State, operator: &'a OperatorName) -> Option<Self> {
-        let entered = state.room.borrow_mut().try_acquire(operator);
-        entered.then_some(Self { state, operator })
+impl<'a> OperatorSlot<'a> {
+    fn acquire(state: &'a ThreadState, operator: &'a OperatorName) -> Option<Self> {
+        let is_acquired = state.operator_limiter.borrow_mut().try_acquire(operator);
+        is_acquired.then_some(Self { state, operator })
     }
 }
 
-impl Drop for Room<'_> {
+impl Drop for OperatorSlot<'_> {
     fn drop(&mut self) {
-        self.state.room.borrow_mut().release(self.operator);
+        self.state
+            .operator_limiter
+            .borrow_mut()
+            .release(self.operator);
     }
 }
 
 /// Refuses what cannot be passed on exactly.
-fn check(head: &Parts) -> Result<(), Refused> {
+fn check_supported(head: &Parts) -> Result<(), BoxedResponse> {
     // In HTTP/1.0 an answer without a length ends with its connection, so that
     // one cut short would look whole.
     if head.version != Version::HTTP_11 {
         let reason = "HTTP/1.1 is needed";
-        return Err(last(StatusCode::HTTP_VERSION_NOT_SUPPORTED, reason));
+        return Err(closing_refusal(
+            StatusCode::HTTP_VERSION_NOT_SUPPORTED,
+            reason,
+        ));
     }
     if matches!(head.method, Method::CONNECT | Method::TRACE) {
         let reason = "the method is not passed on";
-        return Err(last(StatusCode::METHOD_NOT_ALLOWED, reason));
+        return Err(closing_refusal(StatusCode::METHOD_NOT_ALLOWED, reason));
     }
     Ok(())
 }
 
 /// A refusal that ends the connection: what follows such a request on it may not
 /// be a request.
-fn last(status: StatusCode, reason: &str) -> Refused {
+fn closing_refusal(status: StatusCode, reason: &str) -> BoxedResponse {
     let mut refused = refusal(status, reason);
     let close = HeaderValue::from_static("close");
     refused.headers_mut().insert(header::CONNECTION, close);
     refused
 }
 
-fn refusal(status: StatusCode, reason: &str) -> Refused {
-    Box::new(own(status, Outcome::NotRun, None, reason))
+fn refusal(status: StatusCode, reason: &str) -> BoxedResponse {
+    Box::new(local_response(status, Outcome::NotRun, None, reason))
 }
--- a/crates/citronproxy/src/traffic/request.rs
+++ b/crates/citronproxy/src/traffic/request.rs
@@ -26,11 +26,11 @@
 
 /// The host a request names, without its port.
 pub fn host(head: &Parts) -> &str {
-    let named = head
+    let host_header = head
         .headers
         .get(header::HOST)
         .and_then(|value| value.to_str().ok());
-    let host = head.uri.host().or(named).unwrap_or("");
+    let host = head.uri.host().or(host_header).unwrap_or("");
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
@@ -38,12 +38,12 @@
 pub fn key_hash(rule: &KeySource, head: &Parts) -> Option<KeyHash> {
     let key = match rule {
         KeySource::Header(name) => head.headers.get(name)?.as_bytes(),
-        KeySource::Segment(number) => segment(&head.uri, *number)?.as_bytes(),
+        KeySource::Segment(number) => path_segment(&head.uri, *number)?.as_bytes(),
     };
     (!key.is_empty()).then(|| KeyHash::from_key(key))
 }
 
-fn segment(uri: &Uri, number: usize) -> Option<&str> {
+fn path_segment(uri: &Uri, number: usize) -> Option<&str> {
     uri.path().split('/').skip(1).nth(number)
 }
 
@@ -67,7 +67,7 @@
 
 /// How long the sender of a head keeps its connection open while it is idle, if
 /// it says so: `Keep-Alive: timeout=10`.
-pub fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parameters = text.split(',');
     let timeout = parameters.find_map(|part| part.trim().strip_prefix("timeout="))?;
@@ -76,7 +76,7 @@
 
 /// Makes a head ready to be passed on: the path alone, whatever form the caller
 /// named it in, and nothing that concerns the caller's connection only.
-pub fn prepare(head: &mut Parts) {
+pub fn prepare_forward(head: &mut Parts) {
     if let Some(authority) = head.uri.authority()
         && let Ok(host) = HeaderValue::from_str(authority.as_str())
     {
@@ -91,7 +91,7 @@
 }
 
 /// Tells the backend server under which grant the request was routed.
-pub fn set_grant(headers: &mut HeaderMap, row: &ServiceRow, route: &Route) {
+pub fn set_grant_headers(headers: &mut HeaderMap, row: &ServiceRow, route: &Route) {
     let service = HeaderValue::from_str(row.name.as_str());
     let scope = HeaderValue::from_str(&route.scope.to_string());
     if let (Ok(service), Ok(scope)) = (service, scope) {
--- a/crates/citronproxy/src/traffic/response_body.rs
+++ b/crates/citronproxy/src/traffic/response_body.rs
@@ -17,51 +17,51 @@
 };
 
 /// How long a server may pause within an answer.
-const PAUSE_MAX: Duration = Duration::from_secs(30);
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bytes of an answer above which its time says nothing of the server.
-const LARGE: usize = 64 * 1_024;
+const LARGE_BODY_BYTES: usize = 64 * 1_024;
 
 /// Why an answer ends before its end. The caller's connection is closed without
 /// the end of the message, so that no caller takes a part for the whole.
 #[derive(Debug, Error)]
-pub enum AnswerError {
+pub enum ResponseBodyError {
     /// The server's connection broke.
     #[error("the answer was cut short: {0}")]
-    Cut(#[from] hyper::Error),
+    Truncated(#[from] hyper::Error),
     /// The server paused for too long.
-    #[error("the answer stopped for longer than {PAUSE_MAX:?}")]
-    Stopped,
+    #[error("the answer stopped for longer than {STALL_TIMEOUT:?}")]
+    Stalled,
 }
 
 /// A body that is streamed through, or that is ours.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// The backend server's, frame by frame.
-    Streamed(Box<Streamed>),
+    Streamed(Box<StreamedBody>),
     /// Ours.
-    Own(Full<Bytes>),
+    Local(Full<Bytes>),
 }
 
 /// The backend server's body, and the exchange that it ends.
 #[derive(Debug)]
-pub struct Streamed {
+pub struct StreamedBody {
     body: Incoming,
     exchange: Option<Exchange>,
     slot: Option<Slot>,
-    size: usize,
-    pause: Option<Pin<Box<Sleep>>>,
+    bytes: usize,
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Streamed {
+impl StreamedBody {
     /// Passes on the body of an exchange.
     pub fn new(body: Incoming, exchange: Exchange, slot: Option<Slot>) -> Self {
         let mut streamed = Self {
             body,
             exchange: Some(exchange),
             slot,
-            size: 0,
-            pause: None,
+            bytes: 0,
+            stall_timer: None,
         };
         streamed.finish_at_end();
         streamed
@@ -79,12 +79,12 @@
             return;
         };
         // The time of a large body tells of the caller's line, not of the server.
-        let small = exchange.is_small() && self.size <= LARGE;
+        let is_small = exchange.is_replayable() && self.bytes <= LARGE_BODY_BYTES;
         exchange.finish();
         if let Some(mut slot) = self.slot.take()
-            && small
+            && is_small
         {
-            slot.note(ReleaseReason::Answered);
+            slot.set_release(ReleaseReason::Answered);
         }
     }
 
@@ -94,16 +94,19 @@
         self.slot = None;
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    fn poll(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match Pin::new(&mut self.body).poll_frame(cx) {
-            Poll::Pending => self.poll_pause(cx),
+            Poll::Pending => self.poll_stall(cx),
             Poll::Ready(None) => {
                 self.finish();
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Ok(frame))) => {
-                self.pause = None;
-                self.size += frame.data_ref().map_or(0, Bytes::len);
+                self.stall_timer = None;
+                self.bytes += frame.data_ref().map_or(0, Bytes::len);
                 self.finish_at_end();
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -114,30 +117,32 @@
         }
     }
 
-    fn poll_pause(
+    fn poll_stall(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
-        let pause = self.pause.get_or_insert_with(|| Box::pin(sleep(PAUSE_MAX)));
-        if pause.as_mut().poll(cx).is_pending() {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        let timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
+        if timer.as_mut().poll(cx).is_pending() {
             return Poll::Pending;
         }
         self.abandon();
-        Poll::Ready(Some(Err(AnswerError::Stopped)))
+        Poll::Ready(Some(Err(ResponseBodyError::Stalled)))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerError;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match self.get_mut() {
             Self::Streamed(streamed) => streamed.poll(cx),
-            Self::Own(body) => Pin::new(body)
+            Self::Local(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
         }
@@ -146,14 +151,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Streamed(streamed) => streamed.body.is_end_stream(),
-            Self::Own(body) => body.is_end_stream(),
+            Self::Local(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Streamed(streamed) => streamed.body.size_hint(),
-            Self::Own(body) => body.size_hint(),
+            Self::Local(body) => body.size_hint(),
         }
     }
 }
--- a/crates/citronproxy/src/traffic/route_wait.rs
+++ b/crates/citronproxy/src/traffic/route_wait.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        attempts::Tries,
-        state::State,
-        target::{NoTarget, Target},
+        attempts::Attempts,
+        state::ThreadState,
+        target::{Target, TargetError},
     },
     citron_core::{id::Revision, routing::SendAttempt},
     std::time::Duration,
@@ -14,7 +14,7 @@
 /// How long a request that its server refused waits for a newer table, by the
 /// number of the try. The server may also be waiting for its grant, so that the
 /// same route is tried again afterwards.
-const REFUSED_WAITS: [Duration; 3] = [
+const NEWER_TABLE_WAITS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(50),
     Duration::from_millis(400),
@@ -22,79 +22,79 @@
 
 /// Why a request cannot be written now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoRoute {
+pub enum RouteError {
     /// The key has no owner that takes requests.
-    Moving,
+    NoOwner,
     /// The instance's leave to route has ended.
     Unconfirmed,
 }
 
-impl Tries {
+impl Attempts {
     /// The owner of the key, once the instance may write to it.
-    pub(super) async fn target(&self, send: SendAttempt) -> Result<Target, NoRoute> {
-        let refused = self.refused.get().filter(|_| send.reroute);
+    pub(super) async fn wait_target(&self, send: SendAttempt) -> Result<Target, RouteError> {
+        let refused = self.refused_revision.get().filter(|_| send.reroute);
         if refused.is_none()
-            && let Ok(target) = self.find()
+            && let Ok(target) = self.find_target()
         {
             return Ok(target);
         }
         let state = &self.state;
-        if state.waiting.get() >= state.limits.waiting {
-            return Err(NoRoute::Moving);
+        if state.waiting.get() >= state.limits.max_waiting {
+            return Err(RouteError::NoOwner);
         }
         state.waiting.set(state.waiting.get() + 1);
-        let _waiting = Waiting(state);
+        let _waiting = WaitingGuard(state);
         if refused.is_some() {
-            let wait = REFUSED_WAITS[send.no.0 as usize % REFUSED_WAITS.len()];
-            if let Ok(target) = timeout(wait, self.newer(refused)).await {
+            let wait = NEWER_TABLE_WAITS[send.no.0 as usize % NEWER_TABLE_WAITS.len()];
+            if let Ok(target) = timeout(wait, self.wait_permitted(refused)).await {
                 return Ok(target);
             }
         }
-        let waited = timeout(self.patience(), self.newer(None)).await;
-        waited.or_else(|_| self.find())
+        let waited = timeout(self.remaining_wait(), self.wait_permitted(None)).await;
+        waited.or_else(|_| self.find_target())
     }
 
     /// How much longer this request may wait for its owner, over all its tries.
-    fn patience(&self) -> Duration {
+    fn remaining_wait(&self) -> Duration {
         let now = self.state.clock.now();
-        let until = self
-            .patient
+        let wait_until = self
+            .wait_until
             .get()
-            .unwrap_or(now + self.state.limits.reroute);
-        self.patient.set(Some(until));
-        until - now
+            .unwrap_or(now + self.state.limits.owner_wait);
+        self.wait_until.set(Some(wait_until));
+        wait_until - now
     }
 
     /// The target under a snapshot that is newer than a refused one.
-    async fn newer(&self, refused: Option<Revision>) -> Target {
-        let mut published = self.state.handle.published();
+    async fn wait_permitted(&self, newer_than: Option<Revision>) -> Target {
+        let mut revisions = self.state.handle.subscribe_revisions();
         loop {
-            published.borrow_and_update();
-            if let Ok(target) = self.find()
-                && refused.is_none_or(|old| target.leave.snapshot.map.revision > old)
+            revisions.borrow_and_update();
+            if let Ok(target) = self.find_target()
+                && newer_than.is_none_or(|old| target.permit.snapshot.map.revision > old)
             {
                 return target;
             }
             // The handle is held by this thread, so that the sender lives on.
-            let _ = published.changed().await;
+            let _ = revisions.changed().await;
         }
     }
 
-    fn find(&self) -> Result<Target, NoRoute> {
+    fn find_target(&self) -> Result<Target, RouteError> {
         let state = &self.state;
-        match Target::find(&state.handle, &state.flights, &self.head) {
-            Ok(target) if target.leave.allows(state.clock.now()) => Ok(target),
-            Ok(_) => Err(NoRoute::Unconfirmed),
-            Err(NoTarget::Table) => Err(NoRoute::Unconfirmed),
-            Err(_) => Err(NoRoute::Moving),
+        match Target::find(&state.handle, &state.in_flight, &self.head) {
+            Ok(target) if target.permit.allows(state.clock.now()) => Ok(target),
+            Ok(_) => Err(RouteError::Unconfirmed),
+            Err(TargetError::NoTable) => Err(RouteError::Unconfirmed),
+            Err(_) => Err(RouteError::NoOwner),
         }
     }
 }
 
 /// Counts a request that waits.
-struct Waiting<'a>(&'a State);
+struct WaitingGuard<'a>(&'a ThreadState);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         let waiting = &self.0.waiting;
         waiting.set(waiting.get() - 1);
--- a/crates/citronproxy/src/traffic/slo_counters.rs
+++ b/crates/citronproxy/src/traffic/slo_counters.rs
@@ -11,26 +11,26 @@
 
 /// Counts since they were last taken.
 #[derive(Debug, Default)]
-pub struct Burn {
+pub struct SloCounters {
     services: FxHashMap<ServiceName, Tally>,
 }
 
-impl Burn {
+impl SloCounters {
     /// Counts one answer. A caller that left before it had an answer is not
     /// counted: nobody can say what it would have got.
-    pub fn answered(&mut self, service: &ServiceName, failed: bool, slow: bool) {
+    pub fn count_answer(&mut self, service: &ServiceName, is_failed: bool, is_slow: bool) {
         let tally = self.tally(service);
         tally.requests += 1;
-        tally.failed += u64::from(failed);
-        tally.slow += u64::from(slow);
+        tally.failed += u64::from(is_failed);
+        tally.slow += u64::from(is_slow);
     }
 
     /// Counts the time that a request held a slot of a server.
-    pub fn busy(&mut self, service: &ServiceName, server: &ServerName, time: Duration) {
-        let busy = &mut self.tally(service).busy_time;
-        match busy.get_mut(server) {
+    pub fn add_busy_time(&mut self, service: &ServiceName, server: &ServerName, time: Duration) {
+        let busy_times = &mut self.tally(service).busy_time;
+        match busy_times.get_mut(server) {
             Some(sum) => *sum += time,
-            None => drop(busy.insert(server.clone(), time)),
+            None => drop(busy_times.insert(server.clone(), time)),
         }
     }
 
--- a/crates/citronproxy/src/traffic/socket.rs
+++ b/crates/citronproxy/src/traffic/socket.rs
@@ -20,104 +20,105 @@
 
 /// The leave under which the next request may begin to be written.
 #[derive(Debug, Clone)]
-pub struct Leave {
+pub struct WritePermit {
     /// What the request was routed by.
     pub snapshot: Arc<Snapshot>,
     /// Whether the owner is in the instance's own failure domain.
-    pub own: bool,
+    pub is_own_domain: bool,
     /// The service's grace.
     pub grace: Duration,
 }
 
-impl Leave {
+impl WritePermit {
     /// Whether a request may be written now.
     pub fn allows(&self, now: Time) -> bool {
         let confirmation = &self.snapshot.confirmation;
-        confirmation.allows(now, self.own, self.grace)
+        confirmation.allows(now, self.is_own_domain, self.grace)
     }
 }
 
 /// What is known of a connection's socket.
 #[derive(Debug)]
-pub struct Wire {
+pub struct SocketState {
     clock: Clock,
-    written: Cell<u64>,
-    heard: Cell<Time>,
-    leave: RefCell<Option<Leave>>,
-    refused: Cell<bool>,
+    written_bytes: Cell<u64>,
+    last_read: Cell<Time>,
+    permit: RefCell<Option<WritePermit>>,
+    is_write_denied: Cell<bool>,
 }
 
-impl Wire {
+impl SocketState {
     /// A wire that has just been connected.
     pub fn new(clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             clock,
-            written: Cell::new(0),
-            heard: Cell::new(clock.now()),
-            leave: RefCell::new(None),
-            refused: Cell::new(false),
+            written_bytes: Cell::new(0),
+            last_read: Cell::new(clock.now()),
+            permit: RefCell::new(None),
+            is_write_denied: Cell::new(false),
         })
     }
 
     /// Bytes handed to the kernel so far. If an exchange leaves it unchanged,
     /// the server has surely seen nothing of the request.
-    pub fn written(&self) -> u64 {
-        self.written.get()
+    pub fn written_bytes(&self) -> u64 {
+        self.written_bytes.get()
     }
 
     /// When bytes last arrived, or when the connection was made.
-    pub fn heard(&self) -> Time {
-        self.heard.get()
+    pub fn last_read(&self) -> Time {
+        self.last_read.get()
     }
 
     /// Sets the leave that the first write of the next request needs.
-    pub fn arm(&self, leave: Leave) {
-        self.refused.set(false);
-        self.leave.replace(Some(leave));
+    pub fn set_permit(&self, permit: WritePermit) {
+        self.is_write_denied.set(false);
+        self.permit.replace(Some(permit));
     }
 
     /// Whether the leave had ended when the request was to be written.
-    pub fn refused(&self) -> bool {
-        self.refused.get()
+    pub fn is_write_denied(&self) -> bool {
+        self.is_write_denied.get()
     }
 
     /// Reads the clock right before the first byte of a request is written: a
     /// thread that was paused for longer than its leave would else send to an
     /// owner that was replaced meanwhile, and the request would run twice.
-    fn check(&self) -> io::Result<()> {
-        let Some(leave) = self.leave.take() else {
+    fn check_permit(&self) -> io::Result<()> {
+        let Some(permit) = self.permit.take() else {
             return Ok(());
         };
-        if leave.allows(self.clock.now()) {
+        if permit.allows(self.clock.now()) {
             return Ok(());
         }
-        self.refused.set(true);
+        self.is_write_denied.set(true);
         let reason = "the leave to route has ended";
         Err(io::Error::new(ErrorKind::PermissionDenied, reason))
     }
 
-    fn count(&self, written: &Poll<io::Result<usize>>) {
+    fn count_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = written {
-            self.written.set(self.written.get() + *bytes as u64);
+            self.written_bytes
+                .set(self.written_bytes.get() + *bytes as u64);
         }
     }
 }
 
 /// The socket itself.
 #[derive(Debug)]
-pub struct WireStream {
+pub struct TrackedStream {
     stream: TcpStream,
-    wire: Rc<Wire>,
+    socket: Rc<SocketState>,
 }
 
-impl WireStream {
+impl TrackedStream {
     /// Watches a socket.
-    pub fn new(stream: TcpStream, wire: Rc<Wire>) -> Self {
-        Self { stream, wire }
+    pub fn new(stream: TcpStream, socket: Rc<SocketState>) -> Self {
+        Self { stream, socket }
     }
 }
 
-impl AsyncRead for WireStream {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -126,21 +127,21 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.wire.heard.set(self.wire.clock.now());
+            self.socket.last_read.set(self.socket.clock.now());
         }
         read
     }
 }
 
-impl AsyncWrite for WireStream {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.wire.check()?;
+        self.socket.check_permit()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.wire.count(&written);
+        self.socket.count_written(&written);
         written
     }
 
@@ -149,9 +150,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.wire.check()?;
+        self.socket.check_permit()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.wire.count(&written);
+        self.socket.count_written(&written);
         written
     }
 
--- a/crates/citronproxy/src/traffic/state.rs
+++ b/crates/citronproxy/src/traffic/state.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        crash_log::Crashes, handle::TrafficHandle, in_flight::Flights, limiters::Gates,
-        limits::Limits, metrics::LocalMetrics, pool::Pool,
+        crash_log::CrashLog, handle::TrafficHandle, in_flight::InFlightTable,
+        limiters::ServerLimiters, limits::Limits, metrics::LocalMetrics, pool::Pool,
     },
     crate::clock::Clock,
     citron_core::{
@@ -22,19 +22,19 @@
 
 /// State of one thread; no other thread sees it.
 #[derive(Debug)]
-pub struct State {
+pub struct ThreadState {
     /// Snapshots and the phase.
     pub handle: TrafficHandle,
     /// Requests that a server may be running.
-    pub flights: Rc<RefCell<Flights>>,
+    pub in_flight: Rc<RefCell<InFlightTable>>,
     /// The limits of backend servers.
-    pub gates: Gates,
+    pub limiters: ServerLimiters,
     /// Counts of this thread.
     pub metrics: RefCell<LocalMetrics>,
     /// Requests that crashed servers.
-    pub crashes: Crashes,
+    pub crash_log: CrashLog,
     /// Room for requests in progress, by operator.
-    pub room: RefCell<OperatorLimiter>,
+    pub operator_limiter: RefCell<OperatorLimiter>,
     /// Idle connections.
     pub pool: Pool,
     /// The clock.
@@ -48,16 +48,16 @@
     seed: u64,
 }
 
-impl State {
+impl ThreadState {
     /// The state of a thread that has just started; `seed` is for the jitter.
     pub fn new(handle: TrafficHandle, clock: Clock, limits: Limits, seed: u64) -> Rc<Self> {
         Rc::new(Self {
-            flights: Rc::new(RefCell::new(Flights::new(clock))),
-            gates: Gates::new(clock),
+            in_flight: Rc::new(RefCell::new(InFlightTable::new(clock))),
+            limiters: ServerLimiters::new(clock),
             metrics: RefCell::new(handle.shared_metrics().local()),
-            crashes: Crashes::new(clock),
+            crash_log: CrashLog::new(clock),
             handle,
-            room: RefCell::new(OperatorLimiter::new(limits.room)),
+            operator_limiter: RefCell::new(OperatorLimiter::new(limits.max_in_progress)),
             pool: Pool::new(clock),
             clock,
             limits,
@@ -84,12 +84,12 @@
     }
 
     /// When a hedge is due at a server, after the write.
-    pub fn hedge_due(&self, address: SocketAddr) -> Option<Duration> {
+    pub fn hedge_delay(&self, address: SocketAddr) -> Option<Duration> {
         self.hedges.borrow().get(&address)?.delay()
     }
 
     /// Counts the latency of an answer.
-    pub fn observe(&self, address: SocketAddr, latency: Duration) {
+    pub fn observe_latency(&self, address: SocketAddr, latency: Duration) {
         let mut hedges = self.hedges.borrow_mut();
         hedges.entry(address).or_default().observe(latency);
     }
--- a/crates/citronproxy/src/traffic/target.rs
+++ b/crates/citronproxy/src/traffic/target.rs
@@ -3,9 +3,9 @@
 use {
     super::{
         handle::TrafficHandle,
-        in_flight::{Flight, Flights},
+        in_flight::{InFlightRequest, InFlightTable},
         request::{host, key_hash},
-        socket::Leave,
+        socket::WritePermit,
     },
     citron_core::{
         id::Revision,
@@ -26,22 +26,22 @@
     /// Scope and epoch.
     pub route: Route,
     /// Until when the request may be written.
-    pub leave: Leave,
+    pub permit: WritePermit,
     /// The request's entry in the in-flight table.
-    pub flight: Flight,
+    pub in_flight: InFlightRequest,
 }
 
 /// Why there is no target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoTarget {
+pub enum TargetError {
     /// No table has been read yet.
-    Table,
+    NoTable,
     /// No service answers to this host and path.
-    Service,
+    UnknownService,
     /// The request has no key where the service's rule says.
-    Key,
+    MissingKey,
     /// Nobody owns the key, or its shard is moving.
-    Owner(Revision),
+    NoOwner(Revision),
 }
 
 impl Target {
@@ -49,24 +49,25 @@
     /// in-flight table in the same step.
     ///
     /// # Errors
-    /// [`NoTarget`] if it can go nowhere now.
+    /// [`TargetError`] if it can go nowhere now.
     pub fn find(
         handle: &TrafficHandle,
-        flights: &Rc<RefCell<Flights>>,
+        in_flight_table: &Rc<RefCell<InFlightTable>>,
         head: &Parts,
-    ) -> Result<Self, NoTarget> {
+    ) -> Result<Self, TargetError> {
         let snapshot = handle.snapshot();
-        let snapshot = snapshot.as_ref().ok_or(NoTarget::Table)?;
+        let snapshot = snapshot.as_ref().ok_or(TargetError::NoTable)?;
         let map = &snapshot.map;
         let service = map.service(host(head), head.uri.path());
-        let service = service.ok_or(NoTarget::Service)?;
-        let key = key_hash(&service.row.key_source, head).ok_or(NoTarget::Key)?;
+        let service = service.ok_or(TargetError::UnknownService)?;
+        let key = key_hash(&service.row.key_source, head).ok_or(TargetError::MissingKey)?;
         let route = service.route(key).filter(|route| route.is_open);
-        let route = route.ok_or(NoTarget::Owner(map.revision))?;
+        let route = route.ok_or(TargetError::NoOwner(map.revision))?;
         let server = map.server(route.server);
-        let flight = Flight::enter(flights, service, route.scope, server, map.revision);
-        let leave = Leave {
-            own: server.domain == snapshot.domain,
+        let in_flight =
+            InFlightRequest::register(in_flight_table, service, route.scope, server, map.revision);
+        let permit = WritePermit {
+            is_own_domain: server.domain == snapshot.domain,
             grace: service.row.grace,
             snapshot: Arc::clone(snapshot),
         };
@@ -74,8 +75,8 @@
             service: Arc::clone(service),
             server: Arc::clone(server),
             route,
-            leave,
-            flight,
+            permit,
+            in_flight,
         })
     }
 }
--- a/crates/citronproxy/src/traffic/worker.rs
+++ b/crates/citronproxy/src/traffic/worker.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        command::{self, Ask},
+        command::{self, Command},
         connection,
         handle::TrafficHandle,
         limits::Limits,
         phase::Phase,
         proxy::Proxy,
-        response_body::AnswerBody,
-        state::State,
+        response_body::ResponseBody,
+        state::ThreadState,
     },
     crate::{clock::Clock, events},
     http::{Response, request::Parts},
@@ -35,9 +35,9 @@
 const BACKLOG: i32 = 1_024;
 /// Shorter than the timers of requests; 50 wakes a second cost an idle thread
 /// next to nothing.
-const TICK: Duration = Duration::from_millis(20);
+const TIMER_TICK: Duration = Duration::from_millis(20);
 /// The pause after a failed accept, which is mostly a lack of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The running traffic threads.
 #[derive(Debug)]
@@ -74,14 +74,14 @@
     handle: &TrafficHandle,
     clock: Clock,
 ) -> io::Result<Workers> {
-    start_with(address, count, handle, clock, Limits::default())
+    start_with_limits(address, count, handle, clock, Limits::default())
 }
 
 /// As [`start`], with limits.
 ///
 /// # Errors
 /// As [`start`].
-pub fn start_with(
+pub fn start_with_limits(
     address: SocketAddr,
     count: usize,
     handle: &TrafficHandle,
@@ -96,7 +96,7 @@
     }
     let mut threads = Vec::new();
     for (number, listener) in listeners.into_iter().enumerate() {
-        let thread = Thread::new(handle, clock, limits);
+        let thread = Worker::new(handle, clock, limits);
         let name = format!("traffic-{number}");
         let run = move || thread.run(listener);
         threads.push(thread::Builder::new().name(name).spawn(run)?);
@@ -121,19 +121,19 @@
 }
 
 /// What one thread is started with.
-struct Thread {
+struct Worker {
     handle: TrafficHandle,
-    asks: mpsc::UnboundedReceiver<Ask>,
+    commands: mpsc::UnboundedReceiver<Command>,
     clock: Clock,
     limits: Limits,
 }
 
-impl Thread {
+impl Worker {
     fn new(handle: &TrafficHandle, clock: Clock, limits: Limits) -> Self {
         Self {
             limits,
             handle: handle.clone(),
-            asks: handle.join(),
+            commands: handle.register_thread(),
             clock,
         }
     }
@@ -156,27 +156,27 @@
     /// Takes connections until the instance closes, then waits for the last one.
     async fn serve(self, listener: TcpListener) {
         let seed = rand::random();
-        let state = State::new(self.handle.clone(), self.clock, self.limits, seed);
+        let state = ThreadState::new(self.handle.clone(), self.clock, self.limits, seed);
         let proxy = Proxy::new(&state);
-        spawn_local(command::answer(self.asks, Rc::clone(&state)));
-        spawn_local(tick());
-        let (open, mut last) = mpsc::channel(1);
-        let mut phases = self.handle.phases();
+        spawn_local(command::serve(self.commands, Rc::clone(&state)));
+        spawn_local(tick_timer());
+        let (open, mut all_closed) = mpsc::channel(1);
+        let mut phases = self.handle.subscribe_phase();
         let closing = phases.wait_for(|phase| *phase == Phase::Closing);
         tokio::select! {
             _ = closing => {}
             () = accept(&listener, &proxy, &self.handle, &open) => {}
         }
-        take_waiting(&listener, &proxy, &self.handle, &open).await;
+        accept_pending(&listener, &proxy, &self.handle, &open).await;
         drop(listener);
         drop(open);
         // Every connection holds a clone of `open`.
-        let _: Option<()> = last.recv().await;
+        let _: Option<()> = all_closed.recv().await;
         // While this thread lives, moves wait for what it has abandoned: such a
         // request may still run at its server until its deadline.
-        let until = state.flights.borrow().abandoned_until();
-        if let Some(until) = until {
-            sleep(until - self.clock.now()).await;
+        let abandoned_until = state.in_flight.borrow().abandoned_until();
+        if let Some(abandoned_until) = abandoned_until {
+            sleep(abandoned_until - self.clock.now()).await;
         }
     }
 }
@@ -184,22 +184,22 @@
 /// Keeps a timer running that ends before those of requests. A timer that ends
 /// before all others makes the runtime wake its own thread, which costs a write
 /// and another wait for each; every request sets two.
-async fn tick() {
+async fn tick_timer() {
     loop {
-        sleep(TICK).await;
+        sleep(TIMER_TICK).await;
     }
 }
 
 /// Held by a connection while it is open.
-type Open = mpsc::Sender<()>;
+type OpenToken = mpsc::Sender<()>;
 
-async fn accept(listener: &TcpListener, proxy: &Proxy, handle: &TrafficHandle, open: &Open) {
+async fn accept(listener: &TcpListener, proxy: &Proxy, handle: &TrafficHandle, open: &OpenToken) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => start_connection(stream, proxy, handle, open),
             Err(error) => {
                 log::warn!("{} {error}", events::ACCEPT_FAILED);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -207,14 +207,19 @@
 
 /// Takes the connections that the kernel has completed already: closing the
 /// listener would reset them, and with them requests that are on their way.
-async fn take_waiting(listener: &TcpListener, proxy: &Proxy, handle: &TrafficHandle, open: &Open) {
+async fn accept_pending(
+    listener: &TcpListener,
+    proxy: &Proxy,
+    handle: &TrafficHandle,
+    open: &OpenToken,
+) {
     while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
         start_connection(stream, proxy, handle, open);
     }
 }
 
-fn start_connection(stream: TcpStream, proxy: &Proxy, handle: &TrafficHandle, open: &Open) {
-    let phases = handle.phases();
+fn start_connection(stream: TcpStream, proxy: &Proxy, handle: &TrafficHandle, open: &OpenToken) {
+    let phases = handle.subscribe_phase();
     spawn_local(serve_caller(stream, proxy.clone(), phases, open.clone()));
 }
 
@@ -222,25 +227,25 @@
     stream: TcpStream,
     proxy: Proxy,
     mut phases: watch::Receiver<Phase>,
-    _open: Open,
+    _open: OpenToken,
 ) {
     let limits = proxy.limits();
     let closing = phases.wait_for(|phase| *phase == Phase::Closing);
     connection::serve(stream, limits, closing, proxy).await;
 }
 
-impl connection::Service for Proxy {
-    type Body = AnswerBody;
+impl connection::RequestHandler for Proxy {
+    type Body = ResponseBody;
 
-    async fn answer(self, head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
+    async fn handle(self, head: Parts, body: Option<Incoming>) -> Response<ResponseBody> {
         self.serve(head, body).await
     }
 
-    fn may_begin(&self, head: &Parts) -> bool {
-        self.may_repeat(head)
+    fn can_start_early(&self, head: &Parts) -> bool {
+        self.is_repeatable(head)
     }
 
-    fn head_max(&self) -> usize {
-        self.limits().head
+    fn max_head_bytes(&self) -> usize {
+        self.limits().max_head_bytes
     }
 }
--- a/crates/citronproxy/tests/crashes.rs
+++ b/crates/citronproxy/tests/crashes.rs
@@ -43,8 +43,8 @@
     let entries = path.handle.crash_entries().await;
     assert_eq!((entries.len(), entries[0].crashes), (1, 3));
     assert_eq!(entries[0].label, "POST /kegs/a");
-    let lift = citronproxy::traffic::CrashNote::Lift(entries[0].fingerprint);
-    path.handle.note_crash(&lift);
+    let lift = citronproxy::traffic::CrashEvent::Lift(entries[0].fingerprint);
+    path.handle.send_crash_event(&lift);
     let reply = post(path.address, "/kegs/a", "", "bad").await.unwrap();
     assert_eq!(reply.body, "fine");
 }
--- a/crates/citronproxy/tests/exchange.rs
+++ b/crates/citronproxy/tests/exchange.rs
@@ -249,38 +249,38 @@
     let server = RawServer::start(vec![script]).await.unwrap();
     let path = Path::start(server.address);
     let early = server_1();
-    let early = path.handle.quiet(&early, Revision(2));
+    let early = path.handle.wait_quiescent(&early, Revision(2));
     let early = timeout(SHORT / 4, early).await;
     assert!(early.is_err(), "quiet before the publication");
     let address = path.address;
     let call = tokio::spawn(async move { get(address, "/kegs/bar-7").await.unwrap() });
     until("the request", || server.runs() == 1).await;
     let (handle, server_1) = (path.handle.clone(), server_1());
-    let quiet = handle.quiet(&server_1, Revision(2));
+    let quiet = handle.wait_quiescent(&server_1, Revision(2));
     assert!(
         timeout(SHORT / 4, quiet).await.is_err(),
         "quiet before the publication"
     );
     path.publish(2, LONG);
     assert!(
-        timeout(SHORT / 4, handle.quiet(&server_1, Revision(2)))
+        timeout(SHORT / 4, handle.wait_quiescent(&server_1, Revision(2)))
             .await
             .is_err()
     );
     timeout(
         LONG,
-        handle.quiet(&"server-2".parse().unwrap(), Revision(2)),
+        handle.wait_quiescent(&"server-2".parse().unwrap(), Revision(2)),
     )
     .await
     .unwrap();
-    timeout(LONG, handle.quiet(&server_1, Revision(2)))
+    timeout(LONG, handle.wait_quiescent(&server_1, Revision(2)))
         .await
         .unwrap();
     assert!(timeout(LONG, call).await.unwrap().unwrap().body == "half");
-    let load = handle.load().await;
+    let load = handle.take_loads().await;
     assert_eq!((load.len(), load[0].count), (1, 1));
-    assert!(load[0].busy >= SHORT, "{load:?}");
-    assert_eq!(handle.load().await, Vec::new());
+    assert!(load[0].busy_time >= SHORT, "{load:?}");
+    assert_eq!(handle.take_loads().await, Vec::new());
 }
 
 /// The caller left, but the server was told that it may run the request for
@@ -299,7 +299,7 @@
     drop(caller);
     until("the end of the connection", || server.closed() == 1).await;
     path.publish(2, LONG);
-    path.handle.quiet(&server_1(), Revision(2)).await;
+    path.handle.wait_quiescent(&server_1(), Revision(2)).await;
     assert!(begun.elapsed() >= Duration::from_millis(1_400));
 }
 
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -162,12 +162,12 @@
         cap: None,
     };
     let parts = BTreeMap::from([("server-1".parse().unwrap(), part)]);
-    path.handle.set_parts(parts).await;
+    path.handle.set_quotas(parts).await;
     let calls = send(&path, 4);
     sleep(Duration::from_millis(200)).await;
     assert_eq!(server.runs(), 2);
     replies(calls).await;
-    let demand = path.handle.demand().await;
+    let demand = path.handle.take_demand().await;
     let demand = &demand[&"server-1".parse().unwrap()];
     assert!(
         demand.arrivals.0 > 0.0 && demand.answers.0 > 0.0,
--- a/crates/citronproxy/tests/loads.rs
+++ b/crates/citronproxy/tests/loads.rs
@@ -20,7 +20,7 @@
     LoadSample {
         service: service(),
         scope: Scope::Shard(ShardId(shard)),
-        busy: Duration::from_millis(millis),
+        busy_time: Duration::from_millis(millis),
         count,
     }
 }
--- a/crates/citronproxy/tests/moves.rs
+++ b/crates/citronproxy/tests/moves.rs
@@ -102,7 +102,9 @@
         let releasing = Phase::Releasing { to: to.clone() };
         assign(&mut path, from, &releasing, 2 * number + 1);
         path.publish(2 * number + 1, LONG);
-        path.handle.quiet(from, Revision(2 * number + 1)).await;
+        path.handle
+            .wait_quiescent(from, Revision(2 * number + 1))
+            .await;
         quiet.insert(2 * number, wall_micros());
         assign(&mut path, to, &Phase::Owned, 2 * number + 2);
         path.publish(2 * number + 2, LONG);
--- a/crates/citronproxy/tests/shapes.rs
+++ b/crates/citronproxy/tests/shapes.rs
@@ -235,8 +235,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sizes_are_limited() {
     let limits = Limits {
-        head: 4_096,
-        body: 1_000,
+        max_head_bytes: 4_096,
+        max_body_bytes: 1_000,
         ..Limits::default()
     };
     let server = fine().await;
@@ -266,8 +266,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_heads_and_idle_connections_end() {
     let limits = Limits {
-        slow: Duration::from_millis(300),
-        idle: Duration::from_millis(900),
+        head_timeout: Duration::from_millis(300),
+        idle_timeout: Duration::from_millis(900),
         ..Limits::default()
     };
     let server = fine().await;
