--- a/crates/citronproxy/tests/support/path.rs
+++ b/crates/citronproxy/tests/support/path.rs
@@ -10,7 +10,7 @@
     },
     citronproxy::{
         clock::Clock,
-        traffic::{Limits, TrafficHandle, Workers, start_with},
+        traffic::{Limits, TrafficHandle, Workers, start_with_limits},
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
     tokio::{
@@ -47,7 +47,7 @@
         let handle = TrafficHandle::default();
         let clock = Clock::start();
         let any = "127.0.0.1:0".parse().expect("an address");
-        let workers = start_with(any, 1, &handle, clock, limits).expect("threads start");
+        let workers = start_with_limits(any, 1, &handle, clock, limits).expect("threads start");
         let path = Self {
             address: workers.address,
             handle,
