--- a/crates/citronproxy/src/admin/routes.rs
+++ b/crates/citronproxy/src/admin/routes.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         Admin, AdminError, ControlView,
-        answer::{Answer, json, tagged},
         editor::{Moving, wall_clock},
+        response::{Answer, json, tagged},
     },
     crate::{events, slo::gather},
     citron_core::{
--- a/crates/citronproxy/src/admin/server.rs
+++ b/crates/citronproxy/src/admin/server.rs
@@ -2,9 +2,8 @@
 
 use {
     super::{
-        Admin, AdminError, ControlView,
-        answer::{Answer, refusal},
-        auth,
+        Admin, AdminError, ControlView, auth,
+        response::{Answer, refusal},
     },
     crate::events,
     bytes::Bytes,
--- a/crates/citronproxy/src/control/mod.rs
+++ b/crates/citronproxy/src/control/mod.rs
@@ -1,25 +1,25 @@
 //! The control thread: follows the table, publishes what traffic routes by,
 //! grants, and moves scopes between backend servers.
 
+mod admin_view;
 mod batch;
 mod config;
-mod driven;
 mod error;
-mod exchanging;
 mod follower;
 mod granting;
-mod listing;
 mod loads;
+mod membership;
 mod metrics;
-mod moving;
+mod move_driver;
 mod node;
 mod planning;
 mod probing;
-mod releases;
+mod releasing;
 mod replica;
-mod tasks;
+mod reporting;
+mod server_tasks;
 mod thread;
-mod view;
+mod tracked_move;
 
 pub use {
     batch::Batch,
@@ -27,7 +27,7 @@
     error::ControlError,
     loads::Loads,
     metrics::ControlMetrics,
-    moving::Moves,
+    move_driver::Moves,
     node::{Committed, Node},
     probing::Health,
     replica::Replica,
@@ -35,9 +35,9 @@
 };
 
 use {
-    driven::{Driven, Heard, ScopeKey},
-    exchanging::Exchange,
     probing::WATCHERS,
-    releases::Releases,
-    tasks::Tasks,
+    releasing::Releases,
+    reporting::Exchange,
+    server_tasks::Tasks,
+    tracked_move::{Driven, Heard, ScopeKey},
 };
--- a/crates/citronproxy/src/control/thread.rs
+++ b/crates/citronproxy/src/control/thread.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        ControlConfig, ControlError, ControlMetrics, Health, Moves, Node, exchanging, follower,
-        granting, listing, planning, probing,
+        ControlConfig, ControlError, ControlMetrics, Health, Moves, Node, follower, granting,
+        membership, planning, probing, reporting,
     },
     crate::{clock::Clock, peer, traffic::TrafficHandle},
     citron_ports::{Grants, InstanceList, Probes, TableStore},
@@ -57,15 +57,15 @@
         let node = Node::new(config, store, handle, clock, metrics);
         let mut tasks = vec![spawn_local(peer::serve(listener, node.clone()))];
         if let Ok(Ok(())) = timeout(FIRST_READ, node.refresh()).await {
-            listing::join(&node).await?;
+            membership::join(&node).await?;
         }
-        let listed = spawn_local(listing::stay(node.clone()));
+        let listed = spawn_local(membership::stay(node.clone()));
         let servers = Rc::new(servers);
         let health = Health::default();
         spawn(&mut tasks, follower::follow(node.clone()));
         spawn(&mut tasks, follower::relay(node.clone()));
-        spawn(&mut tasks, listing::watch(node.clone()));
-        spawn(&mut tasks, exchanging::exchange(node.clone()));
+        spawn(&mut tasks, membership::watch(node.clone()));
+        spawn(&mut tasks, reporting::exchange(node.clone()));
         spawn(
             &mut tasks,
             granting::grant(node.clone(), Rc::clone(&servers)),
@@ -106,7 +106,7 @@
     /// nobody waits for this instance.
     pub async fn close(self) {
         self.listed.abort();
-        listing::strike(&self.node).await;
+        membership::strike(&self.node).await;
         for task in self.tasks {
             task.abort();
         }
--- a/crates/citronproxy/src/peer/mod.rs
+++ b/crates/citronproxy/src/peer/mod.rs
@@ -2,7 +2,7 @@
 
 mod client;
 mod error;
-mod host;
+mod handler;
 mod server;
 
-pub use {client::Peers, error::PeerError, host::PeerHost, server::serve};
+pub use {client::Peers, error::PeerError, handler::PeerHost, server::serve};
--- a/crates/citronproxy/src/slo/mod.rs
+++ b/crates/citronproxy/src/slo/mod.rs
@@ -2,11 +2,11 @@
 //! thread, kept as small pages in the object store, and put together again for
 //! whoever asks.
 
-mod gather;
+mod aggregate;
 mod page;
 mod recorder;
 
-pub use {gather::gather, recorder::Recorder};
+pub use {aggregate::gather, recorder::Recorder};
 
 use page::Page;
 
