--- a/crates/citronproxy/src/control/mod.rs
+++ b/crates/citronproxy/src/control/mod.rs
@@ -1,43 +1,43 @@
 //! The control thread: follows the table, publishes what traffic routes by,
 //! grants, and moves scopes between backend servers.
 
+mod admin_view;
 mod batch;
 mod config;
-mod driven;
 mod error;
-mod exchanging;
 mod follower;
 mod granting;
-mod listing;
 mod loads;
+mod membership;
 mod metrics;
-mod moving;
+mod move_driver;
 mod node;
 mod planning;
 mod probing;
-mod releases;
+mod releasing;
 mod replica;
-mod tasks;
+mod reporting;
+mod server_tasks;
 mod thread;
-mod view;
+mod tracked_move;
 
 pub use {
-    batch::Batch,
+    batch::CommitBatch,
     config::ControlConfig,
     error::ControlError,
     loads::Loads,
     metrics::ControlMetrics,
-    moving::Moves,
-    node::{Committed, Node},
+    move_driver::MoveDriver,
+    node::{CommitResult, Node},
     probing::Health,
     replica::Replica,
     thread::Control,
 };
 
 use {
-    driven::{Driven, Heard, ScopeKey},
-    exchanging::Exchange,
-    probing::WATCHERS,
-    releases::Releases,
-    tasks::Tasks,
+    probing::ACTIVE_RANKS,
+    releasing::ReleasingScopes,
+    reporting::PeerReports,
+    server_tasks::ServerTasks,
+    tracked_move::{ScopeKey, TaskResult, TrackedMove},
 };
--- a/crates/citronproxy/src/edge/control/heartbeat.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -101,7 +101,7 @@
     else {
         return log::error!(
             "{} a heartbeat does not fit into a datagram",
-            events::DATAGRAM_REFUSED
+            events::MESSAGE_REFUSED
         );
     };
     for recipient in recipients {
@@ -174,7 +174,7 @@
     let Some(bytes) = heartbeat.encode_fitting() else {
         return log::error!(
             "{} a heartbeat does not fit into a datagram",
-            events::DATAGRAM_REFUSED
+            events::MESSAGE_REFUSED
         );
     };
     if let Err(error) = socket.try_send_to(&bytes, to) {
@@ -204,7 +204,7 @@
             let size = bytes.len();
             log::warn!(
                 "{} cannot decode {size} bytes from {from}",
-                events::DATAGRAM_REFUSED
+                events::MESSAGE_REFUSED
             );
         }
     }
@@ -249,7 +249,7 @@
         let count = controller.new_peers.get() + 1;
         controller.new_peers.set(count);
         if count <= LOGGED_PEERS_MAX {
-            log::info!("{} {name} at {from}", events::PEER_HEARD);
+            log::info!("{} {name} at {from}", events::INSTANCE_HEARD);
         }
     }
     is_new
--- a/crates/citronproxy/src/edge/control/members.rs
+++ b/crates/citronproxy/src/edge/control/members.rs
@@ -114,7 +114,7 @@
         else {
             log::error!(
                 "{} unreadable row of member {}",
-                events::MAP_REFUSED,
+                events::OWN_ROW_REFUSED,
                 row.key
             );
             continue;
--- a/crates/citronproxy/src/edge/control/moves.rs
+++ b/crates/citronproxy/src/edge/control/moves.rs
@@ -59,7 +59,7 @@
             match part.len() {
                 0 | 1 => log::warn!(
                     "{} a key move does not fit into a datagram",
-                    events::DATAGRAM_REFUSED
+                    events::MESSAGE_REFUSED
                 ),
                 many => parts.extend([&part[..many / 2], &part[many / 2..]]),
             }
@@ -131,7 +131,7 @@
         for update in wire.moves {
             match MoveNotice::try_from(update) {
                 Ok(update) => self.shared.record_move(&service, update, now),
-                Err(error) => log::warn!("{} {error}", events::DATAGRAM_REFUSED),
+                Err(error) => log::warn!("{} {error}", events::MESSAGE_REFUSED),
             }
         }
     }
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -89,7 +89,7 @@
                 let open_for = now - started_at;
                 log::warn!(
                     "{} {row_table:?}, long poll open for {open_for:?}",
-                    events::SWALLOWED
+                    events::ANSWER_LOST
                 );
                 poll.cancel.notify_one();
             }
@@ -226,7 +226,7 @@
     let row_table = WATCHED[table];
     log::warn!(
         "{} {row_table:?} from the store: {error}",
-        events::TABLE_LOST
+        events::TABLE_NOT_FETCHED
     );
     controller.on_store_failure(&format!("{row_table:?}"), error);
     None
--- a/crates/citronproxy/src/edge/control/relay.rs
+++ b/crates/citronproxy/src/edge/control/relay.rs
@@ -157,7 +157,7 @@
         Err(error) => {
             log::warn!(
                 "{} {:?} from {from}: {error}",
-                events::TABLE_LOST,
+                events::TABLE_NOT_FETCHED,
                 WATCHED[table]
             );
             sleep(FETCH_RETRY_DELAY).await;
@@ -171,7 +171,7 @@
         }
         Err(error) => log::warn!(
             "{} table {table} from {from}: {error}",
-            events::DATAGRAM_REFUSED
+            events::MESSAGE_REFUSED
         ),
     }
 }
