--- a/crates/citronproxy/src/edge/traffic/call.rs
+++ b/crates/citronproxy/src/edge/traffic/active_request.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        answer::{AnswerBody, own, reject_with_retry},
+        attempt::{AttemptResult, Message, send},
         crash,
-        exchange::{AttemptResult, Message, send},
-        front::Front,
+        response::{AnswerBody, own, reject_with_retry},
         target::{StaleOwner, Target, TargetQuery, select_target},
+        thread::Front,
     },
     crate::{edge::view::View, events},
     citron_core::{
--- a/crates/citronproxy/src/edge/traffic/exchange.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        answer::{AnswerBody, Streamed},
-        front::Front,
-        hold::Kept,
-        idles::Reused,
-        paces::Paced,
+        concurrency::Paced,
+        idle_limits::Reused,
+        pooled_connection::Kept,
+        response::{AnswerBody, Streamed},
+        thread::Front,
     },
     crate::{
         edge::shared::SharedState,
--- a/crates/citronproxy/src/edge/traffic/crash.rs
+++ b/crates/citronproxy/src/edge/traffic/crash.rs
@@ -1,7 +1,7 @@
 //! Whether a server that broke off has crashed.
 
 use {
-    super::{exchange::Message, front::Front},
+    super::{attempt::Message, thread::Front},
     citron_core::{crash::Fingerprint, registry::ServerEntry},
     std::{io::ErrorKind, sync::Arc, time::Duration},
     tokio::{
--- a/crates/citronproxy/src/edge/traffic/denial.rs
+++ b/crates/citronproxy/src/edge/traffic/denial.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        answer::{AnswerBody, START_RETRY_AFTER, own, reject_with_retry},
-        front::Front,
+        response::{AnswerBody, START_RETRY_AFTER, own, reject_with_retry},
+        thread::Front,
     },
     crate::{
         events::{self, Event},
--- a/crates/citronproxy/src/edge/traffic/proxy.rs
+++ b/crates/citronproxy/src/edge/traffic/handler.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        answer::AnswerBody,
-        call::Call,
+        active_request::Call,
+        attempt::Message,
         denial::{Denial, refuse},
-        exchange::Message,
-        front::Front,
+        response::AnswerBody,
+        thread::Front,
     },
     crate::{
         edge::view::View,
--- a/crates/citronproxy/src/edge/traffic/mod.rs
+++ b/crates/citronproxy/src/edge/traffic/mod.rs
@@ -1,16 +1,16 @@
 //! The traffic thread: callers on one side, backend servers on the other.
 
-mod answer;
-mod call;
+mod active_request;
+mod attempt;
+mod concurrency;
 mod crash;
 mod denial;
-mod exchange;
-mod front;
-mod hold;
-mod idles;
-mod paces;
-mod proxy;
-mod ready;
+mod handler;
+mod idle_limits;
+mod pooled_connection;
+mod readiness;
+mod response;
 mod target;
+mod thread;
 
-pub use front::{Names, run};
+pub use thread::{Names, run};
--- a/crates/citronproxy/src/edge/traffic/answer.rs
+++ b/crates/citronproxy/src/edge/traffic/response.rs
@@ -1,7 +1,7 @@
 //! Answers: a server's, whole or streamed, and our own.
 
 use {
-    super::{exchange::Slot, hold::Kept},
+    super::{attempt::Slot, pooled_connection::Kept},
     bytes::Bytes,
     http::{HeaderValue, Response, StatusCode, header},
     http_body::{Body, Frame, SizeHint},
--- a/crates/citronproxy/src/edge/traffic/target.rs
+++ b/crates/citronproxy/src/edge/traffic/target.rs
@@ -1,7 +1,7 @@
 //! Where a request goes next.
 
 use {
-    super::{exchange::reuse, front::Front},
+    super::{attempt::reuse, thread::Front},
     crate::edge::view::View,
     citron_core::{
         dispatch::{Candidate, Decision, RejectReason, TimeLimits, sample_size, select_server},
--- a/crates/citronproxy/src/edge/traffic/front.rs
+++ b/crates/citronproxy/src/edge/traffic/thread.rs
@@ -1,7 +1,7 @@
 //! The thread's state, its listener, and its end.
 
 use {
-    super::{answer::AnswerBody, idles::Idles, paces::Paces, proxy, ready},
+    super::{concurrency::Paces, handler, idle_limits::Idles, readiness, response::AnswerBody},
     crate::{
         clock::Clock,
         edge::{
@@ -170,7 +170,7 @@
     let balancers = http_server::listen(settings.ready_address).await?;
     let shared = Arc::clone(&board);
     let is_ready =
-        move |request: &Request<_>| ready::answer(&shared, &names.ready, request.uri().path());
+        move |request: &Request<_>| readiness::answer(&shared, &names.ready, request.uri().path());
     spawn_local(http_server::serve(balancers, is_ready));
     let front = Rc::new(Front {
         bounds: SendBounds::from_limits(settings.drain_period, settings.evacuation_period),
@@ -288,11 +288,11 @@
     type Body = AnswerBody;
 
     async fn handle(self, head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
-        proxy::serve(self.0, head, body).await
+        handler::serve(self.0, head, body).await
     }
 
     fn can_start_early(&self, head: &Parts) -> bool {
-        proxy::may_begin(&self.0, head)
+        handler::may_begin(&self.0, head)
     }
 
     fn max_head_bytes(&self) -> usize {
