--- a/crates/citronproxy/src/edge/run.rs
+++ b/crates/citronproxy/src/edge/run.rs
@@ -4,7 +4,7 @@
     super::{
         EdgeError, EdgeSettings, control,
         shared::SharedState,
-        traffic::{self, Names},
+        traffic::{self, PlatformNames},
     },
     crate::{clock::Clock, events, traffic::metrics::Metrics},
     citron_ports::Adapter,
@@ -53,9 +53,9 @@
     });
     thread.map_err(EdgeError::Thread)?;
     runtime()?.block_on(LocalSet::new().run_until(async move {
-        let names = Names {
+        let names = PlatformNames {
             headers,
-            ready: ready_path,
+            readiness_path: ready_path,
         };
         let traffic = traffic::run(Arc::clone(&shared), settings, clock, names, metrics);
         tokio::select! {
--- a/crates/citronproxy/src/edge/traffic/attempt.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        concurrency::Paced,
-        idle_limits::Reused,
-        pooled_connection::Kept,
-        response::{AnswerBody, Streamed},
-        thread::Front,
+        concurrency::ConcurrencyPermit,
+        idle_limits::ReuseRecorder,
+        pooled_connection::PooledConnection,
+        response::{ResponseBody, StreamingBody},
+        thread::TrafficState,
     },
     crate::{
         edge::shared::SharedState,
@@ -36,25 +36,25 @@
 
 /// How long a new connection may take: servers are a millisecond away, and one
 /// that is overloaded or dark takes none.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a request waits on a new connection to a server that may close it at once:
 /// a round trip between failure domains, and some.
-const SETTLE: Duration = Duration::from_millis(4);
+const RESET_WAIT: Duration = Duration::from_millis(4);
 /// A new connection that breaks so soon tells of a server with no room for it; one
 /// that is gone takes none at all.
-const SOON: Duration = Duration::from_millis(20);
+const IMMEDIATE_RESET_MAX: Duration = Duration::from_millis(20);
 /// How long a kept connection may have been quiet for a request that may be sent
 /// again, if the server does not tell how long it keeps it.
-const IDLE: Duration = Duration::from_secs(6);
+const DEFAULT_IDLE_MAX: Duration = Duration::from_secs(6);
 /// Answers up to this size are read whole before anything of them is passed on,
 /// so that one that breaks off can be asked for again.
-const WHOLE_MAX: usize = 64 * 1_024;
+const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1_024;
 
 /// What became of one try.
 #[derive(Debug)]
 pub enum AttemptResult {
     /// An answer to pass on.
-    Answered(Response<AnswerBody>),
+    Responded(Response<ResponseBody>),
     /// The server promised that it has not run the request.
     Refused,
     /// Another start has the address, or another server the key; not run.
@@ -70,7 +70,7 @@
 impl fmt::Display for AttemptResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Answered(answer) => write!(f, "answered {}", answer.status()),
+            Self::Responded(response) => write!(f, "answered {}", response.status()),
             Self::Refused => f.write_str("refused, not run"),
             Self::Misdirected => f.write_str("not the owner, not run"),
             Self::NotSent(reason) => write!(f, "not sent: {reason}"),
@@ -82,58 +82,59 @@
 
 /// A request's place at a server, counted until it is dropped.
 #[derive(Debug)]
-pub struct Slot {
-    board: Arc<SharedState>,
-    room: Rc<Notify>,
+pub struct InFlightGuard {
+    shared: Arc<SharedState>,
+    capacity_freed: Rc<Notify>,
     server: ServerName,
-    begun: Time,
+    started: Time,
     /// Whether its connection is a new one.
-    fresh: bool,
+    is_new_connection: bool,
     /// The part of its time there that it runs.
-    share: f64,
-    finish: AttemptOutcome,
+    run_fraction: f64,
+    outcome: AttemptOutcome,
     clock: crate::clock::Clock,
     /// Where any server of the service would do.
-    paced: Option<Paced>,
+    permit: Option<ConcurrencyPermit>,
     /// How long it was planned to take; nothing if it was sent late.
-    planned: Option<Duration>,
+    response_limit: Option<Duration>,
     /// What the server said of its load.
-    told: Option<ReportedLoad>,
+    reported_load: Option<ReportedLoad>,
 }
 
-impl Slot {
-    fn new(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Self {
-        let mut loads = front.board.loads();
+impl InFlightGuard {
+    fn new(state: &TrafficState, server: &ServerRecord, outgoing: &OutgoingRequest<'_>) -> Self {
+        let mut loads = state.shared.loads();
         let name = &server.entry.name;
-        let share = run_share(loads.get(name).in_flight(), server.entry.slots);
-        loads.begin(name, front.clock.now());
-        let begun = front.clock.now();
-        let paced = (!message.keyed).then(|| front.paces.begin(&server.entry.service));
-        let left = message.objective - begun;
+        let run_fraction = run_share(loads.get(name).in_flight(), server.entry.slots);
+        loads.begin(name, state.clock.now());
+        let started = state.clock.now();
+        let permit =
+            (!outgoing.is_keyed).then(|| state.concurrency_limits.begin(&server.entry.service));
+        let remaining = outgoing.objective - started;
         Self {
-            board: Arc::clone(&front.board),
-            room: Rc::clone(&front.room),
+            shared: Arc::clone(&state.shared),
+            capacity_freed: Rc::clone(&state.capacity_freed),
             server: name.clone(),
-            begun,
-            fresh: false,
-            paced,
-            planned: (!left.is_zero()).then(|| left.mul_f64(ON_TIME_SHARE)),
-            share,
-            told: None,
-            finish: AttemptOutcome::Other,
-            clock: front.clock,
+            started,
+            is_new_connection: false,
+            permit,
+            response_limit: (!remaining.is_zero()).then(|| remaining.mul_f64(ON_TIME_SHARE)),
+            run_fraction,
+            reported_load: None,
+            outcome: AttemptOutcome::Other,
+            clock: state.clock,
         }
     }
 
     /// Ends it with a whole answer.
-    pub fn ran(mut self) {
-        self.finish = AttemptOutcome::Ran;
+    pub fn complete(mut self) {
+        self.outcome = AttemptOutcome::Ran;
     }
 
     /// What its end tells of the service's room.
-    fn speed(&self, span: Duration) -> Timeliness {
-        let late = self.planned.map(|planned| span > planned);
-        match (self.finish, late) {
+    fn timeliness(&self, elapsed: Duration) -> Timeliness {
+        let is_late = self.response_limit.map(|limit| elapsed > limit);
+        match (self.outcome, is_late) {
             (AttemptOutcome::Full | AttemptOutcome::Closed, _) => Timeliness::Late,
             (AttemptOutcome::Ran, Some(false)) => Timeliness::OnTime,
             // No answer by then, or given up by the caller, tells the same.
@@ -143,121 +144,143 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let now = self.clock.now();
-        let span = now - self.begun;
-        let speed = self.speed(span);
-        if let Some(paced) = &mut self.paced {
-            paced.speed = speed;
+        let elapsed = now - self.started;
+        let timeliness = self.timeliness(elapsed);
+        if let Some(permit) = &mut self.permit {
+            permit.timeliness = timeliness;
         }
-        let mut loads = self.board.loads();
-        loads.end(&self.server, self.finish, span, self.share, now);
+        let mut loads = self.shared.loads();
+        loads.end(&self.server, self.outcome, elapsed, self.run_fraction, now);
         drop(loads);
-        self.room.notify_waiters();
+        self.capacity_freed.notify_waiters();
     }
 }
 
 /// What is sent.
 #[derive(Debug)]
-pub struct Message<'a> {
+pub struct OutgoingRequest<'a> {
     /// The head, as the caller sent it.
     pub head: &'a Parts,
     /// The body.
     pub source: &'a Rc<CallerBody>,
     /// How often it may run.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// When its answer loses worth.
     pub objective: Time,
     /// When the caller waits no longer.
     pub deadline: Time,
     /// Whether it goes to the owner of its key.
-    pub keyed: bool,
+    pub is_keyed: bool,
     /// Whether a try is under way that may have reached its server: until a connection
     /// is there, it has not.
-    pub written: Cell<bool>,
+    pub may_be_sent: Cell<bool>,
 }
 
 /// Sends a message to a server and reads its answer.
-pub async fn send(front: &Front, server: &ServerRecord, message: &Message<'_>) -> AttemptResult {
-    let mut slot = Slot::new(front, server, message);
-    let end = exchange(front, server, message, &mut slot).await;
-    slot.finish = match &end {
+pub async fn send(
+    state: &TrafficState,
+    server: &ServerRecord,
+    outgoing: &OutgoingRequest<'_>,
+) -> AttemptResult {
+    let mut in_flight = InFlightGuard::new(state, server, outgoing);
+    let result = exchange(state, server, outgoing, &mut in_flight).await;
+    in_flight.outcome = match &result {
         // A streamed answer has taken the slot over, and this one counts nothing.
-        Ended::Passed(answer) if answer.status().is_server_error() => AttemptOutcome::Failed,
-        Ended::Passed(_) => AttemptOutcome::Ran,
-        Ended::Not(AttemptResult::Refused) if slot.told.is_some_and(|told| told.has_room()) => {
+        ExchangeResult::Complete(response) if response.status().is_server_error() => {
+            AttemptOutcome::Failed
+        }
+        ExchangeResult::Complete(_) => AttemptOutcome::Ran,
+        ExchangeResult::Failed(AttemptResult::Refused)
+            if in_flight.reported_load.is_some_and(|load| load.has_room()) =>
+        {
             AttemptOutcome::Shed
         }
-        Ended::Not(AttemptResult::Refused) => AttemptOutcome::Full,
-        Ended::Not(AttemptResult::Closed) => AttemptOutcome::Closed,
+        ExchangeResult::Failed(AttemptResult::Refused) => AttemptOutcome::Full,
+        ExchangeResult::Failed(AttemptResult::Closed) => AttemptOutcome::Closed,
         // A server that takes connections and closes them at once is there, and full.
-        Ended::Not(AttemptResult::Lost(_))
-            if slot.fresh && front.clock.now() - slot.begun < SOON =>
+        ExchangeResult::Failed(AttemptResult::Lost(_))
+            if in_flight.is_new_connection
+                && state.clock.now() - in_flight.started < IMMEDIATE_RESET_MAX =>
         {
             AttemptOutcome::Closed
         }
-        Ended::Not(AttemptResult::NotSent(_) | AttemptResult::Lost(_)) => AttemptOutcome::Lost,
-        Ended::Not(_) | Ended::Streaming(..) => AttemptOutcome::Other,
+        ExchangeResult::Failed(AttemptResult::NotSent(_) | AttemptResult::Lost(_)) => {
+            AttemptOutcome::Lost
+        }
+        ExchangeResult::Failed(_) | ExchangeResult::Streaming(..) => AttemptOutcome::Other,
     };
-    match end {
-        Ended::Passed(answer) => AttemptResult::Answered(answer),
-        Ended::Streaming(head, mut streamed) => {
-            streamed.slot = Some(slot);
-            AttemptResult::Answered(Response::from_parts(head, AnswerBody::Streamed(streamed)))
+    match result {
+        ExchangeResult::Complete(response) => AttemptResult::Responded(response),
+        ExchangeResult::Streaming(head, mut body) => {
+            body.in_flight = Some(in_flight);
+            AttemptResult::Responded(Response::from_parts(head, ResponseBody::Streaming(body)))
         }
-        Ended::Not(end) => end,
+        ExchangeResult::Failed(result) => result,
     }
 }
 
-enum Ended {
-    Passed(Response<AnswerBody>),
-    Streaming(http::response::Parts, Box<Streamed>),
-    Not(AttemptResult),
+enum ExchangeResult {
+    Complete(Response<ResponseBody>),
+    Streaming(http::response::Parts, Box<StreamingBody>),
+    Failed(AttemptResult),
 }
 
 async fn exchange(
-    front: &Front,
+    state: &TrafficState,
     server: &ServerRecord,
-    message: &Message<'_>,
-    slot: &mut Slot,
-) -> Ended {
+    outgoing: &OutgoingRequest<'_>,
+    in_flight: &mut InFlightGuard,
+) -> ExchangeResult {
     let address = server.entry.address;
     let service = &server.entry.service;
-    let taken = front
+    let checked_out = state
         .pool
-        .acquire(address, reuse(front, service, message.repeat));
-    let connected = timeout(CONNECT_TIME, taken).await;
+        .acquire(address, reuse_policy(state, service, outgoing.idempotency));
+    let connected = timeout(CONNECT_TIMEOUT, checked_out).await;
     let connection = match connected {
         Ok(Ok(connection)) => connection,
-        Ok(Err(error)) if error.is_reset() => return Ended::Not(AttemptResult::Closed),
+        Ok(Err(error)) if error.is_reset() => return ExchangeResult::Failed(AttemptResult::Closed),
         Ok(Err(error)) => return not_sent(error.to_string()),
         Err(_) => return not_sent("no connection in time".to_string()),
     };
-    slot.begun = front.clock.now();
-    slot.fresh = !connection.reused;
-    if slot.fresh && is_refused_soon(front, server, message.repeat, &connection).await {
-        return Ended::Not(AttemptResult::Closed);
+    in_flight.started = state.clock.now();
+    in_flight.is_new_connection = !connection.reused;
+    if in_flight.is_new_connection
+        && is_closed_at_once(state, server, outgoing.idempotency, &connection).await
+    {
+        return ExchangeResult::Failed(AttemptResult::Closed);
     }
-    let mut kept = Kept::new(&front.pool, address, connection);
-    let before = kept.connection().socket.written_bytes();
-    let idle = front.clock.now() - kept.connection().socket.last_read();
-    let reused = kept.connection().reused;
-    let reused = reused.then(|| Reused::begin(&front.idles, service, idle, front.clock));
-    let request = request(front, server, message);
-    message.written.set(true);
-    let sent = kept.connection().sender.try_send_request(request).await;
+    let mut pooled = PooledConnection::new(&state.pool, address, connection);
+    let written_before = pooled.connection_mut().socket.written_bytes();
+    let idle = state.clock.now() - pooled.connection_mut().socket.last_read();
+    let reused = pooled.connection_mut().reused;
+    let recorder =
+        reused.then(|| ReuseRecorder::start(&state.idle_limits, service, idle, state.clock));
+    let request = build_request(state, server, outgoing);
+    outgoing.may_be_sent.set(true);
+    let sent = pooled
+        .connection_mut()
+        .sender
+        .try_send_request(request)
+        .await;
     match sent {
         Ok(response) => {
-            reused.into_iter().for_each(Reused::answered);
-            slot.told = told_load(front, response.headers());
-            read(front, message, kept, response).await
+            recorder
+                .into_iter()
+                .for_each(ReuseRecorder::record_response);
+            in_flight.reported_load = parse_load(state, response.headers());
+            read_response(state, outgoing, pooled, response).await
         }
         Err(error) => {
-            reused.into_iter().for_each(Reused::broke);
+            recorder
+                .into_iter()
+                .for_each(ReuseRecorder::record_disconnect);
             let reason = error.into_error().to_string();
-            match kept.connection().socket.written_bytes() > before {
-                true => Ended::Not(AttemptResult::Lost(reason)),
+            match pooled.connection_mut().socket.written_bytes() > written_before {
+                true => ExchangeResult::Failed(AttemptResult::Lost(reason)),
                 false => not_sent(reason),
             }
         }
@@ -268,140 +291,160 @@
 /// all the connections that it takes accepts one more and resets it within a round trip:
 /// what was written by then may have run, for all that is known. Requests that may run
 /// again wait only where the server has refused or lost some lately.
-async fn is_refused_soon(
-    front: &Front,
+async fn is_closed_at_once(
+    state: &TrafficState,
     server: &ServerRecord,
-    repeat: Idempotency,
+    idempotency: Idempotency,
     connection: &Connection,
 ) -> bool {
-    let doubted = front.board.loads().get(&server.entry.name).is_suspect();
-    let waits = doubted || repeat == Idempotency::AtMostOnce;
-    if waits {
-        sleep(SETTLE).await;
+    let is_suspect = state.shared.loads().get(&server.entry.name).is_suspect();
+    let should_wait = is_suspect || idempotency == Idempotency::AtMostOnce;
+    if should_wait {
+        sleep(RESET_WAIT).await;
     }
-    waits && connection.sender.is_closed()
+    should_wait && connection.sender.is_closed()
 }
 
 /// Which kept connections a request may go on.
-pub fn reuse(front: &Front, service: &ServiceName, repeat: Idempotency) -> Reuse {
-    match repeat {
-        Idempotency::Idempotent => Reuse::KeepAliveOr(IDLE),
-        Idempotency::AtMostOnce => Reuse::ReadWithin(front.idles.bound(service)),
+pub fn reuse_policy(
+    state: &TrafficState,
+    service: &ServiceName,
+    idempotency: Idempotency,
+) -> Reuse {
+    match idempotency {
+        Idempotency::Idempotent => Reuse::KeepAliveOr(DEFAULT_IDLE_MAX),
+        Idempotency::AtMostOnce => Reuse::ReadWithin(state.idle_limits.limit(service)),
     }
 }
 
-fn not_sent(reason: String) -> Ended {
-    Ended::Not(AttemptResult::NotSent(reason))
+fn not_sent(reason: String) -> ExchangeResult {
+    ExchangeResult::Failed(AttemptResult::NotSent(reason))
 }
 
-fn request(front: &Front, server: &ServerRecord, message: &Message<'_>) -> Request<UpstreamBody> {
-    let mut request = Request::new(UpstreamBody::new(message.source));
-    *request.method_mut() = message.head.method.clone();
-    *request.uri_mut() = message.head.uri.clone();
-    *request.headers_mut() = message.head.headers.clone();
-    let left = (message.deadline - front.clock.now()).as_millis();
+fn build_request(
+    state: &TrafficState,
+    server: &ServerRecord,
+    outgoing: &OutgoingRequest<'_>,
+) -> Request<UpstreamBody> {
+    let mut request = Request::new(UpstreamBody::new(outgoing.source));
+    *request.method_mut() = outgoing.head.method.clone();
+    *request.uri_mut() = outgoing.head.uri.clone();
+    *request.headers_mut() = outgoing.head.headers.clone();
+    let remaining = (outgoing.deadline - state.clock.now()).as_millis();
     let headers = request.headers_mut();
     headers.insert(
-        front.headers.deadline.clone(),
-        HeaderValue::from(left as u64),
+        state.headers.deadline.clone(),
+        HeaderValue::from(remaining as u64),
     );
     if let Ok(name) = HeaderValue::from_str(server.entry.name.id()) {
-        headers.insert(front.headers.instance.clone(), name);
+        headers.insert(state.headers.instance.clone(), name);
     }
     request
 }
 
 /// What a server says of its load; figures that cannot be are counted and left.
-fn told_load(front: &Front, headers: &HeaderMap) -> Option<ReportedLoad> {
-    let value = headers.get(&front.headers.load)?;
-    let told = value.to_str().ok().and_then(|text| text.parse().ok());
-    if told.is_none() {
-        front.counts.borrow_mut().count_invalid_load();
+fn parse_load(state: &TrafficState, headers: &HeaderMap) -> Option<ReportedLoad> {
+    let value = headers.get(&state.headers.load)?;
+    let load = value.to_str().ok().and_then(|text| text.parse().ok());
+    if load.is_none() {
+        state.local_metrics.borrow_mut().count_invalid_load();
     }
-    told
+    load
 }
 
-async fn read(
-    front: &Front,
-    message: &Message<'_>,
-    mut kept: Kept,
+async fn read_response(
+    state: &TrafficState,
+    outgoing: &OutgoingRequest<'_>,
+    mut pooled: PooledConnection,
     response: Response<Incoming>,
-) -> Ended {
+) -> ExchangeResult {
     let (mut head, body) = response.into_parts();
-    kept.connection().keep_alive = keep_alive_timeout(&head.headers);
-    if !is_answer_to(front, message, &head) {
+    pooled.connection_mut().keep_alive = keep_alive_timeout(&head.headers);
+    if !is_response_to(state, outgoing, &head) {
         // A late or doubled answer, or bytes behind one: this request's may come
         // after it, or never.
-        return Ended::Not(AttemptResult::Lost("not this request's answer".to_string()));
+        return ExchangeResult::Failed(AttemptResult::Lost(
+            "not this request's answer".to_string(),
+        ));
     }
     // Nobody asked for it: `Upgrade` is not passed on.
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
-        return Ended::Not(AttemptResult::Lost("a switch of protocols".to_string()));
+        return ExchangeResult::Failed(AttemptResult::Lost("a switch of protocols".to_string()));
     }
-    if is_refusal(front, &head) {
-        let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-        drain(kept, body).await;
-        return Ended::Not(match misdirected {
+    if is_refusal(state, &head) {
+        let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
+        drain_body(pooled, body).await;
+        return ExchangeResult::Failed(match is_misdirected {
             true => AttemptResult::Misdirected,
             false => AttemptResult::Refused,
         });
     }
     strip_hop_by_hop(&mut head.headers);
-    collect(head, body, kept).await
+    read_body(head, body, pooled).await
 }
 
-fn is_answer_to(front: &Front, message: &Message<'_>, head: &http::response::Parts) -> bool {
-    let name = &front.headers.request_id;
-    let asked = message.head.headers.get(name);
+fn is_response_to(
+    state: &TrafficState,
+    outgoing: &OutgoingRequest<'_>,
+    head: &http::response::Parts,
+) -> bool {
+    let name = &state.headers.request_id;
+    let sent = outgoing.head.headers.get(name);
     match head.headers.get(name) {
-        Some(echoed) => Some(echoed) == asked,
+        Some(echoed) => Some(echoed) == sent,
         // Refusals need not name their request, but answers do.
-        None => asked.is_none() || is_refusal(front, head),
+        None => sent.is_none() || is_refusal(state, head),
     }
 }
 
 /// Whether the server says that it has not run the request.
-fn is_refusal(front: &Front, head: &http::response::Parts) -> bool {
-    let promised = head.headers.contains_key(&front.headers.not_run);
-    promised || head.status == StatusCode::MISDIRECTED_REQUEST
+fn is_refusal(state: &TrafficState, head: &http::response::Parts) -> bool {
+    let is_not_run = head.headers.contains_key(&state.headers.not_run);
+    is_not_run || head.status == StatusCode::MISDIRECTED_REQUEST
 }
 
 /// Reads the short body of a refusal, so that the connection can be kept.
-async fn drain(kept: Kept, body: Incoming) {
-    let end = http_body_util::Limited::new(body, WHOLE_MAX)
+async fn drain_body(pooled: PooledConnection, body: Incoming) {
+    let result = http_body_util::Limited::new(body, BUFFERED_BODY_MAX_BYTES)
         .collect()
         .await;
-    if end.is_ok() {
-        kept.give();
+    if result.is_ok() {
+        pooled.return_to_pool();
     }
 }
 
-async fn collect(head: http::response::Parts, mut body: Incoming, kept: Kept) -> Ended {
-    let mut begin = BytesMut::new();
-    while begin.len() <= WHOLE_MAX && !body.is_end_stream() {
+async fn read_body(
+    head: http::response::Parts,
+    mut body: Incoming,
+    pooled: PooledConnection,
+) -> ExchangeResult {
+    let mut buffer = BytesMut::new();
+    while buffer.len() <= BUFFERED_BODY_MAX_BYTES && !body.is_end_stream() {
         match body.frame().await {
             None => break,
-            Some(Ok(frame)) => begin.extend(frame.into_data().unwrap_or_default()),
-            Some(Err(error)) => return Ended::Not(AttemptResult::Lost(error.to_string())),
+            Some(Ok(frame)) => buffer.extend(frame.into_data().unwrap_or_default()),
+            Some(Err(error)) => {
+                return ExchangeResult::Failed(AttemptResult::Lost(error.to_string()));
+            }
         }
     }
-    if begin.len() <= WHOLE_MAX {
-        kept.give();
-        return Ended::Passed(whole(head, begin));
+    if buffer.len() <= BUFFERED_BODY_MAX_BYTES {
+        pooled.return_to_pool();
+        return ExchangeResult::Complete(buffered_response(head, buffer));
     }
-    let streamed = Streamed {
-        begin: Some(begin.freeze()),
+    let body = StreamingBody {
+        prefix: Some(buffer.freeze()),
         rest: body,
-        kept: Some(kept),
-        slot: None,
+        connection: Some(pooled),
+        in_flight: None,
     };
-    Ended::Streaming(head, Box::new(streamed))
+    ExchangeResult::Streaming(head, Box::new(body))
 }
 
-fn whole(mut head: http::response::Parts, body: BytesMut) -> Response<AnswerBody> {
+fn buffered_response(mut head: http::response::Parts, body: BytesMut) -> Response<ResponseBody> {
     // Answers to HEAD and 304s tell the length of a body that they do not have.
     if !body.is_empty() {
         head.headers.remove(header::CONTENT_LENGTH);
     }
-    Response::from_parts(head, AnswerBody::whole(body.freeze()))
+    Response::from_parts(head, ResponseBody::buffered(body.freeze()))
 }
--- a/crates/citronproxy/src/edge/traffic/concurrency.rs
+++ b/crates/citronproxy/src/edge/traffic/concurrency.rs
@@ -11,44 +11,46 @@
 
 /// A [`ConcurrencyLimit`] for each service that was asked.
 #[derive(Debug, Default)]
-pub struct Paces {
+pub struct ConcurrencyLimits {
     services: RefCell<BTreeMap<ServiceName, ConcurrencyLimit>>,
 }
 
-impl Paces {
+impl ConcurrencyLimits {
     /// Whether one more request may go to a service.
     pub fn admits(&self, service: &ServiceName) -> bool {
-        let drawn = rand::rng().random();
+        let random = rand::rng().random();
         let services = self.services.borrow();
-        services.get(service).is_none_or(|pace| pace.admits(drawn))
+        services
+            .get(service)
+            .is_none_or(|limit| limit.admits(random))
     }
 
     /// Counts a request until the answer is dropped.
-    pub fn begin(self: &Rc<Self>, service: &ServiceName) -> Paced {
+    pub fn begin(self: &Rc<Self>, service: &ServiceName) -> ConcurrencyPermit {
         let mut services = self.services.borrow_mut();
         services.entry(service.clone()).or_default().begin();
-        Paced {
-            paces: Rc::clone(self),
+        ConcurrencyPermit {
+            limits: Rc::clone(self),
             service: service.clone(),
-            speed: Timeliness::Unknown,
+            timeliness: Timeliness::Unknown,
         }
     }
 }
 
 /// A request that is counted.
 #[derive(Debug)]
-pub struct Paced {
-    paces: Rc<Paces>,
+pub struct ConcurrencyPermit {
+    limits: Rc<ConcurrencyLimits>,
     service: ServiceName,
     /// What its end tells.
-    pub speed: Timeliness,
+    pub timeliness: Timeliness,
 }
 
-impl Drop for Paced {
+impl Drop for ConcurrencyPermit {
     fn drop(&mut self) {
-        let mut services = self.paces.services.borrow_mut();
-        if let Some(pace) = services.get_mut(&self.service) {
-            pace.end(self.speed);
+        let mut services = self.limits.services.borrow_mut();
+        if let Some(limit) = services.get_mut(&self.service) {
+            limit.end(self.timeliness);
         }
     }
 }
--- a/crates/citronproxy/src/edge/traffic/denial.rs
+++ b/crates/citronproxy/src/edge/traffic/denial.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        response::{AnswerBody, START_RETRY_AFTER, own, reject_with_retry},
-        thread::Front,
+        response::{ResponseBody, STALE_CONFIG_RETRY_AFTER, local_response, not_run_response},
+        thread::TrafficState,
     },
     crate::{
         events::{self, Event},
@@ -19,112 +19,131 @@
 pub enum Denial {
     /// Its message breaks a rule of the protocol.
     #[error("{0}")]
-    Message(Refusal),
+    InvalidMessage(Refusal),
     /// The configuration has no route for it.
     #[error("no route")]
-    Route,
+    NoRoute,
     /// Its body is larger than the configuration allows.
     #[error("the body is too large")]
-    Large,
+    BodyTooLarge,
     /// The same, found when a part of the body had been sent to a server.
     #[error("the body is too large, and a part of it was sent")]
-    Outgrown,
+    BodyTooLargeAfterSend,
     /// Its body ended before its end.
     #[error("the body is malformed or cut short")]
-    Cut,
+    IncompleteBody,
     /// It goes to a service with keys and has none.
     #[error("the request has no key")]
-    Key,
+    NoKey,
 }
 
 impl Denial {
     fn status(self) -> StatusCode {
         match self {
-            Self::Message(refusal) => refusal.status(),
-            Self::Route => StatusCode::NOT_FOUND,
-            Self::Large | Self::Outgrown => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Cut | Self::Key => StatusCode::BAD_REQUEST,
+            Self::InvalidMessage(refusal) => refusal.status(),
+            Self::NoRoute => StatusCode::NOT_FOUND,
+            Self::BodyTooLarge | Self::BodyTooLargeAfterSend => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::IncompleteBody | Self::NoKey => StatusCode::BAD_REQUEST,
         }
     }
 
     /// Whether another configuration could allow the request.
-    fn is_by_config(self) -> bool {
+    fn depends_on_config(self) -> bool {
         matches!(
             self,
-            Self::Route
-                | Self::Large
-                | Self::Outgrown
-                | Self::Key
-                | Self::Message(Refusal::HeadTooLarge)
+            Self::NoRoute
+                | Self::BodyTooLarge
+                | Self::BodyTooLargeAfterSend
+                | Self::NoKey
+                | Self::InvalidMessage(Refusal::HeadTooLarge)
         )
     }
 
     /// The answer to a request that is denied by a configuration, or without one. While
     /// the configuration may be out of date its caller is told to come back: a newer
     /// one may allow what this one denies.
-    pub fn answer(
+    pub fn response(
         self,
-        front: &Front,
+        state: &TrafficState,
         head: &Parts,
         version: Option<ConfigVersion>,
-    ) -> Response<AnswerBody> {
-        let doubt = self.is_by_config().then(|| front.doubt(version)).flatten();
-        match (doubt, self) {
-            (None, _) => self.deny(front, head, version),
-            (Some(doubt), Self::Outgrown) => lose(front, head, version, &self.doubted(doubt)),
-            (Some(doubt), _) => refuse(front, head, version, &self.doubted(doubt)),
+    ) -> Response<ResponseBody> {
+        let stale_reason = self
+            .depends_on_config()
+            .then(|| state.config_stale_reason(version))
+            .flatten();
+        match (stale_reason, self) {
+            (None, _) => self.deny(state, head, version),
+            (Some(stale_reason), Self::BodyTooLargeAfterSend) => respond_unknown(
+                state,
+                head,
+                version,
+                &self.stale_config_reason(stale_reason),
+            ),
+            (Some(stale_reason), _) => refuse(
+                state,
+                head,
+                version,
+                &self.stale_config_reason(stale_reason),
+            ),
         }
     }
 
-    fn doubted(self, doubt: StaleReason) -> String {
-        format!("the configuration may be out of date ({doubt}): {self}")
+    fn stale_config_reason(self, stale_reason: StaleReason) -> String {
+        format!("the configuration may be out of date ({stale_reason}): {self}")
     }
 
     fn deny(
         self,
-        front: &Front,
+        state: &TrafficState,
         head: &Parts,
         version: Option<ConfigVersion>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let status = self.status();
-        let what = format!("status={}: {self}", status.as_u16());
-        log_own(events::REQUEST_DENIED, front, head, version, &what);
-        front.counts.borrow_mut().count_denied(status);
-        own(status, &self.to_string())
+        let details = format!("status={}: {self}", status.as_u16());
+        log_request(events::REQUEST_DENIED, state, head, version, &details);
+        state.local_metrics.borrow_mut().count_denied(status);
+        local_response(status, &self.to_string())
     }
 }
 
 /// The answer to a request that has not run, and may be allowed soon.
 pub fn refuse(
-    front: &Front,
+    state: &TrafficState,
     head: &Parts,
     version: Option<ConfigVersion>,
     reason: &str,
-) -> Response<AnswerBody> {
-    let what = format!("again={START_RETRY_AFTER:?}: {reason}");
-    log_own(events::REQUEST_REFUSED, front, head, version, &what);
-    reject_with_retry(START_RETRY_AFTER, reason)
+) -> Response<ResponseBody> {
+    let details = format!("again={STALE_CONFIG_RETRY_AFTER:?}: {reason}");
+    log_request(events::REQUEST_REFUSED, state, head, version, &details);
+    not_run_response(STALE_CONFIG_RETRY_AFTER, reason)
 }
 
 /// The answer to a request of which a server may have run what it got.
-fn lose(
-    front: &Front,
+fn respond_unknown(
+    state: &TrafficState,
     head: &Parts,
     version: Option<ConfigVersion>,
     reason: &str,
-) -> Response<AnswerBody> {
-    let what = format!("tried=1: {reason}");
-    log_own(events::REQUEST_UNKNOWN, front, head, version, &what);
-    own(StatusCode::BAD_GATEWAY, reason)
+) -> Response<ResponseBody> {
+    let details = format!("tried=1: {reason}");
+    log_request(events::REQUEST_UNKNOWN, state, head, version, &details);
+    local_response(StatusCode::BAD_GATEWAY, reason)
 }
 
-fn log_own(event: Event, front: &Front, head: &Parts, version: Option<ConfigVersion>, what: &str) {
+fn log_request(
+    event: Event,
+    state: &TrafficState,
+    head: &Parts,
+    version: Option<ConfigVersion>,
+    details: &str,
+) {
     let version = version.map_or("-".to_string(), |version| version.to_string());
     log::info!(
-        "{event} id={} host={:?} path={:?} version={version} {} {what}",
-        front.id(head),
+        "{event} id={} host={:?} path={:?} version={version} {} {details}",
+        state.request_id(head),
         host(head),
         head.uri.path(),
-        front.ages()
+        state.table_ages()
     );
 }
--- a/crates/citronproxy/src/edge/traffic/mod.rs
+++ b/crates/citronproxy/src/edge/traffic/mod.rs
@@ -13,4 +13,4 @@
 mod target;
 mod thread;
 
-pub use thread::{Names, run};
+pub use thread::{PlatformNames, run};
--- a/crates/citronproxy/src/edge/traffic/pooled_connection.rs
+++ b/crates/citronproxy/src/edge/traffic/pooled_connection.rs
@@ -8,13 +8,13 @@
 /// Goes back to the pool once its answer was read whole; dropped before that,
 /// the connection is reset.
 #[derive(Debug)]
-pub struct Kept {
+pub struct PooledConnection {
     pool: Pool,
     address: SocketAddr,
     connection: Connection,
 }
 
-impl Kept {
+impl PooledConnection {
     /// A connection of a pool.
     pub fn new(pool: &Pool, address: SocketAddr, connection: Connection) -> Self {
         Self {
@@ -25,13 +25,13 @@
     }
 
     /// The connection.
-    pub fn connection(&mut self) -> &mut Connection {
+    pub fn connection_mut(&mut self) -> &mut Connection {
         &mut self.connection
     }
 
     /// Back to the pool. What is left of the request is written on: the pool
     /// gives a connection away only after that.
-    pub fn give(self) {
+    pub fn return_to_pool(self) {
         self.pool.release(self.address, self.connection);
     }
 }
--- a/crates/citronproxy/src/edge/traffic/readiness.rs
+++ b/crates/citronproxy/src/edge/traffic/readiness.rs
@@ -9,9 +9,13 @@
 };
 
 /// The answer to a balancer that asked for a path.
-pub fn answer(board: &SharedState, path: &str, asked: &str) -> HttpResponse {
-    let ready = board.view().is_some() && !*board.subscribe_leaving().borrow();
-    let status = match (asked == path, ready) {
+pub fn readiness_response(
+    shared: &SharedState,
+    readiness_path: &str,
+    request_path: &str,
+) -> HttpResponse {
+    let is_ready = shared.view().is_some() && !*shared.subscribe_leaving().borrow();
+    let status = match (request_path == readiness_path, is_ready) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/citronproxy/src/edge/traffic/thread.rs
+++ b/crates/citronproxy/src/edge/traffic/thread.rs
@@ -1,7 +1,10 @@
 //! The thread's state, its listener, and its end.
 
 use {
-    super::{concurrency::Paces, handler, idle_limits::Idles, readiness, response::AnswerBody},
+    super::{
+        concurrency::ConcurrencyLimits, handler, idle_limits::IdleLimits, readiness,
+        response::ResponseBody,
+    },
     crate::{
         clock::Clock,
         edge::{
@@ -42,25 +45,25 @@
 const METRICS_PATH: &str = "/metrics";
 /// How long a leaving instance takes new connections: balancers ask once a
 /// second and go by two answers in a row.
-const NOTICED: Duration = Duration::from_millis(2_700);
+const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(2_700);
 /// Part of the time to leave that is kept for the end of the process: a tenth of a
 /// core needs some hundred milliseconds to close what is open, and to notice the time.
 /// A process that is not gone by then is killed, and its last answers with it.
-const LEAVE_MARGIN: u32 = 8;
+const LEAVE_MARGIN_DIVISOR: u32 = 8;
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A caller's connection without a request is kept for longer than callers are
 /// told, so that none is closed while a request crosses.
-const IDLE_FACTOR: u32 = 3;
+const IDLE_TIMEOUT_FACTOR: u32 = 3;
 /// Part of the allowance for retries that is used: instances count for
 /// themselves, and callers are spread unevenly.
-const BUDGET_PART: f64 = 0.8;
+const BUDGET_SHARE: f64 = 0.8;
 
 /// State of the traffic thread.
 #[derive(Debug)]
-pub struct Front {
+pub struct TrafficState {
     /// What is shared with control.
-    pub board: Arc<SharedState>,
+    pub shared: Arc<SharedState>,
     /// The settings.
     pub settings: EdgeSettings,
     /// The clock.
@@ -72,62 +75,62 @@
     /// Connections to servers.
     pub pool: Pool,
     /// Told whenever a request ends.
-    pub room: Rc<Notify>,
+    pub capacity_freed: Rc<Notify>,
     /// Whether the instance leaves.
     pub leaving: watch::Receiver<bool>,
     /// Limits at services whose servers share the work.
-    pub paces: Rc<Paces>,
+    pub concurrency_limits: Rc<ConcurrencyLimits>,
     /// How long idle connections are trusted.
-    pub idles: Rc<Idles>,
+    pub idle_limits: Rc<IdleLimits>,
     /// What cold servers get from this instance.
-    pub cold: RefCell<SlowStartLimiter>,
+    pub cold_limiter: RefCell<SlowStartLimiter>,
     /// How long owners may get requests that leave or are evacuated.
-    pub bounds: SendBounds,
+    pub send_bounds: SendBounds,
     /// Requests counted since the metrics were last read.
-    pub counts: RefCell<LocalMetrics>,
+    pub local_metrics: RefCell<LocalMetrics>,
     metrics: Metrics,
     budgets: RefCell<BTreeMap<ServiceName, RetryBudget>>,
 }
 
 /// What the platform calls things that traffic deals with.
 #[derive(Debug)]
-pub struct Names {
+pub struct PlatformNames {
     /// Headers of callers and servers.
     pub headers: HeaderNames,
     /// The path that balancers ask for.
-    pub ready: String,
+    pub readiness_path: String,
 }
 
-impl Front {
+impl TrafficState {
     fn metrics_page(&self, path: &str) -> HttpResponse {
         if path != METRICS_PATH {
             return response(StatusCode::NOT_FOUND, "");
         }
-        self.counts.borrow_mut().flush();
+        self.local_metrics.borrow_mut().flush();
         self.metrics.set_lost_lines(logs::lost_lines());
         response(StatusCode::OK, self.metrics.to_text())
     }
 
     /// How old what requests are decided by is.
-    pub fn ages(&self) -> TableAges {
-        self.board.freshness().ages(self.clock.now())
+    pub fn table_ages(&self) -> TableAges {
+        self.shared.freshness().ages(self.clock.now())
     }
 
     /// Why the configuration that a request was decided by may be out of date; `None`
     /// for a version if that does not matter.
-    pub fn doubt(&self, decided_by: Option<ConfigVersion>) -> Option<StaleReason> {
-        let standing = self.board.freshness().config_standing(self.clock.now());
-        if let Some(doubt) = standing.stale_reason(&FreshnessTimes::STANDARD) {
-            return Some(doubt);
+    pub fn config_stale_reason(&self, decided_by: Option<ConfigVersion>) -> Option<StaleReason> {
+        let standing = self.shared.freshness().config_standing(self.clock.now());
+        if let Some(stale_reason) = standing.stale_reason(&FreshnessTimes::STANDARD) {
+            return Some(stale_reason);
         }
         // Read last: the standing describes a view that is published before it.
-        let in_force = self.board.view()?.config.version;
-        let replaced = decided_by.is_some_and(|version| version < in_force);
-        replaced.then_some(StaleReason::Lagging)
+        let current_version = self.shared.view()?.config.version;
+        let is_replaced = decided_by.is_some_and(|version| version < current_version);
+        is_replaced.then_some(StaleReason::Lagging)
     }
 
     /// The id of a request, for logs; `-` if it has none.
-    pub fn id<'a>(&self, head: &'a Parts) -> &'a str {
+    pub fn request_id<'a>(&self, head: &'a Parts) -> &'a str {
         let id = head.headers.get(&self.headers.request_id);
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
@@ -143,10 +146,10 @@
     }
 
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let instances = self.board.view().map_or(1, |view| view.instance_count);
+        let instances = self.shared.view().map_or(1, |view| view.instance_count);
         let retries = self.settings.retry_budget;
-        let burst = (retries.extra * BUDGET_PART / instances as f64).max(1.0);
-        let share = retries.ratio * BUDGET_PART;
+        let burst = (retries.extra * BUDGET_SHARE / instances as f64).max(1.0);
+        let share = retries.ratio * BUDGET_SHARE;
         let new = || RetryBudget::with_one_token(BudgetConfig { share, burst });
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(new);
@@ -160,81 +163,88 @@
 /// # Errors
 /// If an address cannot be listened on.
 pub async fn run(
-    board: Arc<SharedState>,
+    shared: Arc<SharedState>,
     settings: EdgeSettings,
     clock: Clock,
-    names: Names,
+    names: PlatformNames,
     metrics: Metrics,
 ) -> Result<(), EdgeError> {
     let listener = http_server::listen(settings.traffic_address).await?;
-    let balancers = http_server::listen(settings.ready_address).await?;
-    let shared = Arc::clone(&board);
-    let is_ready =
-        move |request: &Request<_>| readiness::answer(&shared, &names.ready, request.uri().path());
-    spawn_local(http_server::serve(balancers, is_ready));
-    let front = Rc::new(Front {
-        bounds: SendBounds::from_limits(settings.drain_period, settings.evacuation_period),
-        leaving: board.subscribe_leaving(),
-        board,
+    let readiness_listener = http_server::listen(settings.ready_address).await?;
+    let readiness_shared = Arc::clone(&shared);
+    let readiness_handler = move |request: &Request<_>| {
+        readiness::readiness_response(
+            &readiness_shared,
+            &names.readiness_path,
+            request.uri().path(),
+        )
+    };
+    spawn_local(http_server::serve(readiness_listener, readiness_handler));
+    let state = Rc::new(TrafficState {
+        send_bounds: SendBounds::from_limits(settings.drain_period, settings.evacuation_period),
+        leaving: shared.subscribe_leaving(),
+        shared,
         settings,
         clock,
         started: clock.now(),
         headers: names.headers,
         pool: Pool::new(clock),
-        room: Rc::default(),
-        paces: Rc::default(),
-        idles: Rc::default(),
-        cold: RefCell::default(),
-        counts: RefCell::new(metrics.local()),
+        capacity_freed: Rc::default(),
+        concurrency_limits: Rc::default(),
+        idle_limits: Rc::default(),
+        cold_limiter: RefCell::default(),
+        local_metrics: RefCell::new(metrics.local()),
         metrics,
         budgets: RefCell::default(),
     });
-    serve_metrics(&front).await;
-    log::info!("{} at {}", events::STARTED, front.settings.traffic_address);
-    serve(&front, listener).await;
+    serve_metrics(&state).await;
+    log::info!("{} at {}", events::STARTED, state.settings.traffic_address);
+    accept_until_leaving(&state, listener).await;
     Ok(())
 }
 
 /// Callers matter more than counts: without the address for metrics the instance
 /// runs on.
-async fn serve_metrics(front: &Rc<Front>) {
-    let Some(address) = front.settings.metrics_address else {
+async fn serve_metrics(state: &Rc<TrafficState>) {
+    let Some(address) = state.settings.metrics_address else {
         return;
     };
     match http_server::listen(address).await {
         Ok(listener) => {
-            let counted = Rc::clone(front);
-            let answer = move |request: &Request<_>| counted.metrics_page(request.uri().path());
-            spawn_local(http_server::serve(listener, answer));
+            let metrics_state = Rc::clone(state);
+            let handler =
+                move |request: &Request<_>| metrics_state.metrics_page(request.uri().path());
+            spawn_local(http_server::serve(listener, handler));
         }
         Err(error) => log::error!("{} {error}", events::METRICS_NOT_SERVED),
     }
 }
 
-async fn serve(front: &Rc<Front>, listener: TcpListener) {
-    let (open, mut last) = mpsc::channel::<()>(1);
+async fn accept_until_leaving(state: &Rc<TrafficState>, listener: TcpListener) {
+    let (open_connections, mut all_closed) = mpsc::channel::<()>(1);
     let (close, closing) = watch::channel(false);
-    let mut leaving = front.leaving.clone();
-    let noticed = async {
+    let mut leaving = state.leaving.clone();
+    let notice_period = async {
         // The sender lives in the board, as long as the process.
         let _ = leaving.wait_for(|leaving| *leaving).await;
-        sleep(NOTICED).await;
+        sleep(LEAVE_NOTICE_TIME).await;
     };
     tokio::select! {
-        () = noticed => {}
-        () = accept(front, &listener, &open, &closing) => {}
+        () = notice_period => {}
+        () = accept_connections(state, &listener, &open_connections, &closing) => {}
     }
     // Connections that the kernel has completed already: closing the listener
     // would reset them, and requests that are on their way.
     while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-        start(front, stream, &open, &closing);
+        spawn_connection(state, stream, &open_connections, &closing);
     }
     drop(listener);
-    drop(open);
+    drop(open_connections);
     close.send_replace(true);
-    let leave = front.settings.leave_timeout;
-    let left = leave.saturating_sub(NOTICED + leave / LEAVE_MARGIN);
-    if timeout(left, last.recv()).await.is_err() {
+    let leave_timeout = state.settings.leave_timeout;
+    let remaining =
+        leave_timeout.saturating_sub(LEAVE_NOTICE_TIME + leave_timeout / LEAVE_MARGIN_DIVISOR);
+    if timeout(remaining, all_closed.recv()).await.is_err() {
         log::warn!(
             "{} requests are cut off at the end of the time to leave",
             events::STOPPED
@@ -242,61 +252,66 @@
     }
 }
 
-async fn accept(
-    front: &Rc<Front>,
+async fn accept_connections(
+    state: &Rc<TrafficState>,
     listener: &TcpListener,
-    open: &mpsc::Sender<()>,
+    open_connections: &mpsc::Sender<()>,
     closing: &watch::Receiver<bool>,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => start(front, stream, open, closing),
+            Ok((stream, _)) => spawn_connection(state, stream, open_connections, closing),
             Err(error) => {
                 log::warn!("{} {error}", events::ACCEPT_FAILED);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn start(
-    front: &Rc<Front>,
+fn spawn_connection(
+    state: &Rc<TrafficState>,
     stream: TcpStream,
-    open: &mpsc::Sender<()>,
+    open_connections: &mpsc::Sender<()>,
     closing: &watch::Receiver<bool>,
 ) {
-    let front = Rc::clone(front);
-    spawn_local(serve_caller(front, stream, open.clone(), closing.clone()));
+    let state = Rc::clone(state);
+    spawn_local(serve_connection(
+        state,
+        stream,
+        open_connections.clone(),
+        closing.clone(),
+    ));
 }
 
-async fn serve_caller(
-    front: Rc<Front>,
+async fn serve_connection(
+    state: Rc<TrafficState>,
     stream: TcpStream,
-    _open: mpsc::Sender<()>,
+    _open_connection: mpsc::Sender<()>,
     mut closing: watch::Receiver<bool>,
 ) {
-    let limits = limits(&front);
+    let limits = connection_limits(&state);
     let closing = closing.wait_for(|closing| *closing);
-    connection::serve(stream, limits, closing, Answers(front)).await;
+    connection::serve(stream, limits, closing, RequestHandler(state)).await;
 }
 
 /// Answers callers.
 #[derive(Clone)]
-struct Answers(Rc<Front>);
+struct RequestHandler(Rc<TrafficState>);
 
-impl connection::RequestHandler for Answers {
-    type Body = AnswerBody;
+impl connection::RequestHandler for RequestHandler {
+    type Body = ResponseBody;
 
-    async fn handle(self, head: Parts, body: Option<Incoming>) -> Response<AnswerBody> {
-        handler::serve(self.0, head, body).await
+    async fn handle(self, head: Parts, body: Option<Incoming>) -> Response<ResponseBody> {
+        handler::handle_request(self.0, head, body).await
     }
 
     fn can_start_early(&self, head: &Parts) -> bool {
-        handler::may_begin(&self.0, head)
+        handler::can_pipeline(&self.0, head)
     }
 
     fn max_head_bytes(&self) -> usize {
-        let view = self.0.board.view();
+        let view = self.0.shared.view();
         view.map_or(Limits::default().max_head_bytes, |view| {
             view.config.limits.max_header_bytes
         })
@@ -305,14 +320,14 @@
 
 /// What a caller may take up, by the configuration at its connection's begin. How
 /// large a head may be is asked again for each.
-fn limits(front: &Front) -> Limits {
+fn connection_limits(state: &TrafficState) -> Limits {
     let mut limits = Limits::default();
-    if let Some(view) = front.board.view() {
-        let set = view.config.limits;
-        limits.max_head_bytes = set.max_header_bytes;
-        limits.max_body_bytes = set.max_body_bytes;
-        limits.head_timeout = set.header_timeout;
-        limits.idle_timeout = set.idle_timeout * IDLE_FACTOR;
+    if let Some(view) = state.shared.view() {
+        let config = view.config.limits;
+        limits.max_head_bytes = config.max_header_bytes;
+        limits.max_body_bytes = config.max_body_bytes;
+        limits.head_timeout = config.header_timeout;
+        limits.idle_timeout = config.idle_timeout * IDLE_TIMEOUT_FACTOR;
     }
     limits
 }
