--- /dev/null
+++ b/crates/citronproxy/src/edge/traffic/handler.rs
@@ -0,0 +1,193 @@
+//! What a request asks for.
+
+use {
+    super::{
+        active_request::ActiveRequest,
+        attempt::OutgoingRequest,
+        denial::{Denial, refuse},
+        response::ResponseBody,
+        thread::TrafficState,
+    },
+    crate::{
+        edge::view::View,
+        traffic::{
+            guard::Refusal,
+            request::{host, prepare_forward},
+            request_body::CallerBody,
+        },
+    },
+    citron_core::{
+        ranges::RangeKey,
+        routes::{Idempotency, RouteConfig, RouteRule},
+        routing::Outcome,
+        time::Time,
+    },
+    http::{HeaderName, HeaderValue, Response, header, request::Parts},
+    hyper::body::Incoming,
+    rand::Rng,
+    std::{cell::Cell, rc::Rc, str::FromStr, sync::Arc, time::Duration},
+    tokio::time::timeout,
+};
+
+/// How much of a body is read before anything is sent, so that it can be sent
+/// to another server, and so that a server which answers early cannot leave the
+/// caller with its half of the message unsent. Larger than the uploads of today.
+const REPLAY_BUFFER_BYTES: usize = 512 * 1_024;
+/// How long after its start an instance usually has its first view.
+const FIRST_VIEW_TIME: Duration = Duration::from_millis(1_500);
+/// How long a request waits for it at most.
+const FIRST_VIEW_WAIT_MAX: Duration = Duration::from_millis(400);
+/// How long before a caller with unknown patience is given up.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Answers a caller's request.
+pub async fn handle_request(
+    state: Rc<TrafficState>,
+    head: Parts,
+    body: Option<Incoming>,
+) -> Response<ResponseBody> {
+    let mut response = route_request(&state, head, body).await;
+    if *state.leaving.borrow() {
+        let close = HeaderValue::from_static("close");
+        response.headers_mut().insert(header::CONNECTION, close);
+    }
+    response
+}
+
+/// Whether a request may be answered while one before it on its connection is not:
+/// it may run again where a connection ends before its answer, and the instance
+/// does not leave, which ends connections soon.
+pub fn can_pipeline(state: &TrafficState, head: &Parts) -> bool {
+    let view = state.shared.view();
+    let rule = view
+        .as_ref()
+        .and_then(|view| view.config.rule(host(head), head.uri.path()));
+    let is_idempotent = rule.is_some_and(|rule| rule.idempotency == Idempotency::Idempotent);
+    is_idempotent && !*state.leaving.borrow()
+}
+
+async fn route_request(
+    state: &TrafficState,
+    mut head: Parts,
+    body: Option<Incoming>,
+) -> Response<ResponseBody> {
+    let started = state.clock.now();
+    match Refusal::from_path(head.uri.path()) {
+        None => {}
+        Some(Refusal::BufferTooSmall) => {
+            return refuse(state, &head, None, &Refusal::BufferTooSmall.to_string());
+        }
+        Some(refusal) => return Denial::InvalidMessage(refusal).response(state, &head, None),
+    }
+    let Some(view) = wait_for_view(state).await else {
+        return refuse(state, &head, None, "no configuration is known yet");
+    };
+    let config = &view.config;
+    let deny = |denial: Denial, head| denial.response(state, head, Some(config.version));
+    let Some(rule) = config.rule(host(&head), head.uri.path()) else {
+        return deny(Denial::NoRoute, &head);
+    };
+    let deadline = started + client_timeout(state, &head).min(rule.timeout);
+    let source = CallerBody::new(body, config.limits.max_body_bytes, REPLAY_BUFFER_BYTES);
+    if source.declared_length() > config.limits.max_body_bytes {
+        return deny(Denial::BodyTooLarge, &head);
+    }
+    if timeout(deadline - started, source.buffer_prefix())
+        .await
+        .is_err()
+    {
+        let reason = "its body did not come before its deadline";
+        return refuse(state, &head, Some(config.version), reason);
+    }
+    if let Some(denial) = body_error(&source) {
+        return deny(denial, &head);
+    }
+    prepare_forward(&mut head);
+    let response = forward(state, config, rule, &head, &source, started, deadline).await;
+    match body_error(&source) {
+        Some(Denial::BodyTooLarge) => deny(Denial::BodyTooLargeAfterSend, &head),
+        Some(denial) => deny(denial, &head),
+        None => response,
+    }
+}
+
+/// The view in force. For as long as the first one may come any moment it is waited for:
+/// callers who are refused come back once only, and later.
+async fn wait_for_view(state: &TrafficState) -> Option<Arc<View>> {
+    let mut view_updates = state.shared.subscribe_views();
+    if let Some(view) = state.shared.view() {
+        return Some(view);
+    }
+    let remaining = FIRST_VIEW_TIME.saturating_sub(state.clock.now() - state.started);
+    // Without one in time there is none.
+    let _ = timeout(remaining.min(FIRST_VIEW_WAIT_MAX), view_updates.changed()).await;
+    state.shared.view()
+}
+
+async fn forward(
+    state: &TrafficState,
+    config: &RouteConfig,
+    rule: &RouteRule,
+    head: &Parts,
+    source: &Rc<CallerBody>,
+    started: Time,
+    deadline: Time,
+) -> Response<ResponseBody> {
+    let service = rule.split.pick(rand::rng().random());
+    let is_keyed = config
+        .service(service)
+        .is_some_and(|service| service.is_sharded);
+    let key = match is_keyed {
+        true => match parse_header::<u16>(head, &state.headers.key) {
+            Some(key) => Some(RangeKey(key)),
+            None => return Denial::NoKey.response(state, head, Some(config.version)),
+        },
+        false => None,
+    };
+    if let Some(key) = key {
+        state.shared.record_key(service, key);
+    }
+    state.count_request(service);
+    let active = ActiveRequest {
+        state,
+        rule,
+        service,
+        key,
+        request: OutgoingRequest {
+            head,
+            source,
+            idempotency: rule.idempotency,
+            objective: started + rule.latency_objective,
+            deadline,
+            is_keyed,
+            may_be_sent: Cell::default(),
+        },
+        started,
+        request_id: state.request_id(head),
+        tried: Vec::new(),
+        unsent: 0,
+        stale_owner: None,
+        misdirected: 0,
+        has_uncertain_attempt: false,
+        attempts: 0,
+        outcome: Cell::new(Outcome::Ran),
+    };
+    active.run().await
+}
+
+/// How long the caller goes on waiting.
+fn client_timeout(state: &TrafficState, head: &Parts) -> Duration {
+    let timeout_ms = parse_header::<u64>(head, &state.headers.deadline);
+    timeout_ms.map_or(DEFAULT_TIMEOUT, Duration::from_millis)
+}
+
+fn parse_header<T: FromStr>(head: &Parts, name: &HeaderName) -> Option<T> {
+    head.headers.get(name)?.to_str().ok()?.trim().parse().ok()
+}
+
+fn body_error(source: &CallerBody) -> Option<Denial> {
+    match source.is_too_large() {
+        true => Some(Denial::BodyTooLarge),
+        false => source.is_truncated().then_some(Denial::IncompleteBody),
+    }
+}
