--- a/crates/citronctl/src/commands/mod.rs
+++ b/crates/citronctl/src/commands/mod.rs
@@ -1,10 +1,10 @@
 //! One file per group of commands.
 
+mod edits;
 pub mod explain;
 mod log_lines;
-mod look;
 mod moves;
-mod rows;
+mod queries;
 mod summary;
 mod table;
 
@@ -26,16 +26,16 @@
 ) -> Result<(), CtlError> {
     match command {
         Command::Table => table::run(args, options, client).await,
-        Command::Drain => rows::drain(args, options, client).await,
-        Command::Cap => rows::cap(args, options, client).await,
-        Command::Retire => rows::retire(args, options, client).await,
-        Command::DeclareLost => rows::declare_lost(args, options, client).await,
+        Command::Drain => edits::drain(args, options, client).await,
+        Command::Cap => edits::cap(args, options, client).await,
+        Command::Retire => edits::retire(args, options, client).await,
+        Command::DeclareLost => edits::declare_lost(args, options, client).await,
         Command::Move => moves::run(args, options, client).await,
-        Command::Status => look::status(args, client).await,
-        Command::Owner => look::owner(args, client).await,
-        Command::History => look::history(args, client).await,
-        Command::Refused => look::refused(args, client).await,
-        Command::Report => look::report(args, client).await,
+        Command::Status => queries::status(args, client).await,
+        Command::Owner => queries::owner(args, client).await,
+        Command::History => queries::history(args, client).await,
+        Command::Refused => queries::refused(args, client).await,
+        Command::Report => queries::report(args, client).await,
         // Neither of them asks an instance.
         Command::Explain | Command::Help => Ok(()),
     }
--- a/crates/citronctl/src/commands/table.rs
+++ b/crates/citronctl/src/commands/table.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
+        edits::{changed, find},
         finish,
-        rows::{changed, find},
     },
     crate::{
         args::Options,
--- a/crates/citronproxy/examples/upload.rs
+++ b/crates/citronproxy/examples/upload.rs
@@ -9,7 +9,7 @@
         routing::{RouteMap, Snapshot},
         table::{Changes, Row, Table},
     },
-    citron_fakes::raw::drain_server,
+    citron_fakes::scripted::drain_server,
     citronproxy::{clock::Clock, dev, traffic},
     std::{
         error::Error,
--- a/crates/citronproxy/tests/ahead.rs
+++ b/crates/citronproxy/tests/ahead.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    citron_fakes::raw::{Act, RawServer},
+    citron_fakes::scripted::{Act, RawServer},
     std::time::{Duration, Instant},
     support::{LONG, Path, read_all},
     tokio::{
--- a/crates/citronproxy/tests/drain.rs
+++ b/crates/citronproxy/tests/drain.rs
@@ -8,7 +8,7 @@
     citron_fakes::{
         backend::{BackendConfig, BackendServer},
         platform::PlatformServer,
-        raw::{Act, RawServer},
+        scripted::{Act, RawServer},
     },
     http::{Request, Response, header},
     http_body_util::{BodyExt, Full},
--- a/crates/citronproxy/tests/exchange.rs
+++ b/crates/citronproxy/tests/exchange.rs
@@ -9,7 +9,7 @@
         ownership::Phase,
         table::Row,
     },
-    citron_fakes::raw::{Act, RawServer},
+    citron_fakes::scripted::{Act, RawServer},
     std::time::{Duration, Instant},
     support::{LONG, Path, get, post, read_all},
     tokio::{
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -8,7 +8,7 @@
         id::Slots,
         table::Row,
     },
-    citron_fakes::raw::{Act, RawServer},
+    citron_fakes::scripted::{Act, RawServer},
     citronproxy::traffic::Limits,
     std::{
         collections::BTreeMap,
--- a/crates/citronproxy/tests/memory.rs
+++ b/crates/citronproxy/tests/memory.rs
@@ -4,7 +4,7 @@
 
 use {
     citron_core::table::{Fencing, Row},
-    citron_fakes::{platform::PlatformServer, raw::drain_server},
+    citron_fakes::{platform::PlatformServer, scripted::drain_server},
     std::{fs, net::SocketAddr},
     support::{Instance, LONG, Sample, commit, domain_row, get, read_all, sample},
     tokio::{
--- a/crates/citronproxy/tests/points.rs
+++ b/crates/citronproxy/tests/points.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use {
-    citron_fakes::raw::{Act, RawServer},
+    citron_fakes::scripted::{Act, RawServer},
     std::time::Duration,
     support::{LONG, Path},
     tokio::net::TcpListener,
--- a/crates/citronproxy/tests/shapes.rs
+++ b/crates/citronproxy/tests/shapes.rs
@@ -5,7 +5,7 @@
 
 use {
     citron_core::table::Row,
-    citron_fakes::raw::{Act, RawServer},
+    citron_fakes::scripted::{Act, RawServer},
     citronproxy::traffic::Limits,
     std::time::{Duration, Instant},
     support::{LONG, Path, read_all},
--- a/crates/fakes/src/backend/mod.rs
+++ b/crates/fakes/src/backend/mod.rs
@@ -1,11 +1,11 @@
 //! A backend server: slots, fenced grants, and a record of all that it ran.
 
+mod execution;
 mod fence;
-mod record;
 mod server;
 
 pub use {
+    execution::{Run, Runs},
     fence::Fence,
-    record::{Run, Runs},
     server::{BackendConfig, BackendServer},
 };
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,6 +3,6 @@
 pub mod backend;
 pub mod link;
 pub mod platform;
-pub mod raw;
+pub mod scripted;
 
 mod http;
--- a/crates/fakes/src/raw/mod.rs
+++ b/crates/fakes/src/scripted/mod.rs
@@ -1,8 +1,8 @@
 //! A backend server on raw sockets: it breaks off, answers late, twice or in
 //! part, wherever its script says.
 
-mod act;
-mod drain;
 mod server;
+mod step;
+mod upload;
 
-pub use {act::Act, drain::drain_server, server::RawServer};
+pub use {server::RawServer, step::Act, upload::drain_server};
--- a/crates/fakes/src/raw/act.rs
+++ b/crates/fakes/src/scripted/step.rs
@@ -26,7 +26,7 @@
     /// Writes an answer with this body and its length.
     ///
     /// ```
-    /// use citron_fakes::raw::Act;
+    /// use citron_fakes::scripted::Act;
     /// let Act::Write(text) = Act::answer("keg") else { panic!() };
     /// assert!(text.ends_with("\r\n\r\nkeg"));
     /// ```
