--- a/crates/citronctl/src/args.rs
+++ b/crates/citronctl/src/args.rs
@@ -7,7 +7,7 @@
 };
 
 /// How long `--wait` waits unless told otherwise, in seconds.
-const WAIT_SECONDS: u64 = 30;
+const DEFAULT_WAIT_SECS: u64 = 30;
 
 /// Options of every command.
 #[derive(Debug)]
@@ -15,36 +15,36 @@
     /// Admin addresses of instances; the first that can be reached is used.
     pub admins: Vec<SocketAddr>,
     /// Who makes the edits.
-    pub by: String,
+    pub author: String,
     /// Where the token is, unless it is in the environment.
     pub token_file: Option<String>,
     /// Whether to wait until an edit is in force everywhere.
     pub wait: bool,
     /// How long to wait.
-    pub wait_time: Duration,
+    pub wait_timeout: Duration,
     /// Whether to apply without asking.
-    pub yes: bool,
+    pub skip_confirm: bool,
 }
 
 /// Who makes an edit if nobody is named, as in a bare container.
-const UNNAMED: &str = "unnamed";
+const DEFAULT_AUTHOR: &str = "unnamed";
 
 impl Options {
     /// Takes the common options out of the arguments.
-    pub fn read(args: &mut Arguments) -> Result<Self, CtlError> {
-        let given: Option<String> = args.opt_value_from_str("--at")?;
-        let admins = given.or_else(|| env::var("CITRON_ADMIN").ok());
-        let by: Option<String> = args.opt_value_from_str("--by")?;
+    pub fn parse(args: &mut Arguments) -> Result<Self, CtlError> {
+        let at: Option<String> = args.opt_value_from_str("--at")?;
+        let admins = at.or_else(|| env::var("CITRON_ADMIN").ok());
+        let author: Option<String> = args.opt_value_from_str("--by")?;
         let seconds: Option<u64> = args.opt_value_from_str("--wait-time")?;
         Ok(Self {
-            admins: addresses(&admins.unwrap_or_default())?,
-            by: by
+            admins: parse_addresses(&admins.unwrap_or_default())?,
+            author: author
                 .or_else(|| env::var("USER").ok())
-                .unwrap_or_else(|| UNNAMED.to_string()),
+                .unwrap_or_else(|| DEFAULT_AUTHOR.to_string()),
             token_file: args.opt_value_from_str("--token-file")?,
             wait: args.contains("--wait"),
-            wait_time: Duration::from_secs(seconds.unwrap_or(WAIT_SECONDS)),
-            yes: args.contains("--yes"),
+            wait_timeout: Duration::from_secs(seconds.unwrap_or(DEFAULT_WAIT_SECS)),
+            skip_confirm: args.contains("--yes"),
         })
     }
 
@@ -62,11 +62,11 @@
     }
 }
 
-fn addresses(text: &str) -> Result<Vec<SocketAddr>, CtlError> {
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, CtlError> {
     let parts = text.split(',').filter(|part| !part.is_empty());
     let parsed = parts.map(|part| {
-        let bad = |_| CtlError::Usage(format!("'{part}' is not an address and port"));
-        part.parse().map_err(bad)
+        let invalid = |_| CtlError::Usage(format!("'{part}' is not an address and port"));
+        part.parse().map_err(invalid)
     });
     parsed.collect()
 }
@@ -83,8 +83,8 @@
 
         impl Command {
             /// Finds a command by its word.
-            fn named(word: &str) -> Option<Self> {
-                match word {
+            fn from_name(name: &str) -> Option<Self> {
+                match name {
                     $($name => Some(Self::$variant),)*
                     _ => None,
                 }
@@ -110,12 +110,12 @@
 
 impl Command {
     /// Takes the command out of the arguments.
-    pub fn read(args: &mut Arguments) -> Result<Self, CtlError> {
+    pub fn parse(args: &mut Arguments) -> Result<Self, CtlError> {
         match args.subcommand()?.as_deref() {
             None | Some("help") => Ok(Self::Help),
-            Some(word) => {
-                let unknown = || CtlError::Usage(format!("no command '{word}'; see --help"));
-                Self::named(word).ok_or_else(unknown)
+            Some(name) => {
+                let unknown = || CtlError::Usage(format!("no command '{name}'; see --help"));
+                Self::from_name(name).ok_or_else(unknown)
             }
         }
     }
--- a/crates/citronctl/src/client.rs
+++ b/crates/citronctl/src/client.rs
@@ -20,9 +20,9 @@
 };
 
 /// How long connecting may take.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long an answer may take; an instance settles an edit for a few seconds.
-const ANSWER_TIME: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Connection = SendRequest<Full<Bytes>>;
 
@@ -31,7 +31,7 @@
 pub struct Client {
     /// Admin addresses, in the order they are tried.
     pub admins: Vec<SocketAddr>,
-    by: String,
+    author: String,
     token: String,
 }
 
@@ -44,7 +44,7 @@
         }
         Ok(Self {
             admins: options.admins.clone(),
-            by: options.by.clone(),
+            author: options.author.clone(),
             token: options.token()?,
         })
     }
@@ -59,7 +59,7 @@
     /// The status of one instance.
     pub async fn status(&self, admin: SocketAddr) -> Result<StatusWire, CtlError> {
         let connection = connect(admin).await?;
-        self.exchange(connection, admin, Method::GET, "/v1/status", &())
+        self.send(connection, admin, Method::GET, "/v1/status", &())
             .await
     }
 
@@ -103,15 +103,14 @@
     }
 
     /// Begins a move.
-    pub async fn begin(&self, moving: &MoveWire) -> Result<u64, CtlError> {
-        let accepted: RevisionWire = self.post("/v1/moves", moving).await?;
+    pub async fn begin_move(&self, request: &MoveWire) -> Result<u64, CtlError> {
+        let accepted: RevisionWire = self.post("/v1/moves", request).await?;
         Ok(accepted.revision)
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         let (connection, admin) = self.connect().await?;
-        self.exchange(connection, admin, Method::GET, path, &())
-            .await
+        self.send(connection, admin, Method::GET, path, &()).await
     }
 
     async fn post<T: DeserializeOwned>(
@@ -120,25 +119,24 @@
         body: &impl Serialize,
     ) -> Result<T, CtlError> {
         let (connection, admin) = self.connect().await?;
-        self.exchange(connection, admin, Method::POST, path, body)
-            .await
+        self.send(connection, admin, Method::POST, path, body).await
     }
 
     /// The first instance that takes a connection. Once a request is sent it is
     /// not sent to another one: an edit could then be reported as a lost race
     /// against itself.
     async fn connect(&self) -> Result<(Connection, SocketAddr), CtlError> {
-        let mut last = CtlError::Failed("no instance".to_string());
+        let mut last_error = CtlError::Failed("no instance".to_string());
         for admin in &self.admins {
             match connect(*admin).await {
                 Ok(connection) => return Ok((connection, *admin)),
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn exchange<T: DeserializeOwned>(
+    async fn send<T: DeserializeOwned>(
         &self,
         mut connection: Connection,
         admin: SocketAddr,
@@ -147,8 +145,8 @@
         body: &impl Serialize,
     ) -> Result<T, CtlError> {
         let body = serde_json::to_vec(body).map_err(failed)?;
-        let edits = method == Method::POST;
-        let open = |message: String| match edits {
+        let is_edit = method == Method::POST;
+        let unconfirmed = |message: String| match is_edit {
             true => CtlError::Unknown(message),
             false => CtlError::Failed(message),
         };
@@ -157,19 +155,21 @@
             .uri(path)
             .header(header::HOST, admin.to_string())
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
-            .header(HEADER_OPERATOR, &self.by)
+            .header(HEADER_OPERATOR, &self.author)
             .body(Full::from(body))
             .map_err(failed)?;
-        let answer = async {
+        let response_parts = async {
             let response = connection.send_request(request).await?;
             let status = response.status();
             let bytes = response.into_body().collect().await?.to_bytes();
             Ok::<_, hyper::Error>((status, bytes))
         };
-        let late = |_| open(format!("{admin} gave no answer"));
-        let answered = timeout(ANSWER_TIME, answer).await.map_err(late)?;
-        let (status, bytes) = answered.map_err(|error| open(format!("{admin}: {error}")))?;
-        let unreadable = |error| open(format!("{admin}: {error}"));
+        let timed_out = |_| unconfirmed(format!("{admin} gave no answer"));
+        let response = timeout(RESPONSE_TIMEOUT, response_parts)
+            .await
+            .map_err(timed_out)?;
+        let (status, bytes) = response.map_err(|error| unconfirmed(format!("{admin}: {error}")))?;
+        let unreadable = |error| unconfirmed(format!("{admin}: {error}"));
         if status == StatusCode::OK {
             return serde_json::from_slice(&bytes).map_err(unreadable);
         }
@@ -180,9 +180,9 @@
 }
 
 async fn connect(admin: SocketAddr) -> Result<Connection, CtlError> {
-    let late = |_| CtlError::Failed(format!("{admin} not reached in {CONNECT_TIME:?}"));
-    let connected = timeout(CONNECT_TIME, TcpStream::connect(admin)).await;
-    let stream = connected.map_err(late)?;
+    let timed_out = |_| CtlError::Failed(format!("{admin} not reached in {CONNECT_TIMEOUT:?}"));
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(admin)).await;
+    let stream = connected.map_err(timed_out)?;
     let stream = stream.map_err(|error| CtlError::Failed(format!("{admin}: {error}")))?;
     let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(failed)?;
     tokio::spawn(driver);
--- a/crates/citronctl/src/commands/edits.rs
+++ b/crates/citronctl/src/commands/edits.rs
@@ -1,7 +1,7 @@
 //! Commands that change one field of one row.
 
 use {
-    super::finish,
+    super::reject_extra_args,
     crate::{
         args::Options,
         client::Client,
@@ -24,21 +24,21 @@
         true => "active",
         false => "draining",
     };
-    let key = format!("server/{}", name(&mut args)?);
-    finish(args)?;
-    set(client, options, &key, &[("state", state.into())]).await
+    let key = format!("server/{}", parse_name(&mut args)?);
+    reject_extra_args(args)?;
+    set_fields(client, options, &key, &[("state", state.into())]).await
 }
 
 /// `cap SERVER RATE|none`
 pub async fn cap(mut args: Arguments, options: &Options, client: &Client) -> Result<(), CtlError> {
-    let key = format!("server/{}", name(&mut args)?);
+    let key = format!("server/{}", parse_name(&mut args)?);
     let rate: String = args.free_from_str()?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let cap = match rate.as_str() {
         "none" => Value::Null,
-        rate => sheet::value("cap", rate)?.unwrap_or(Value::Null),
+        rate => sheet::parse_cell("cap", rate)?.unwrap_or(Value::Null),
     };
-    set(client, options, &key, &[("cap", cap)]).await
+    set_fields(client, options, &key, &[("cap", cap)]).await
 }
 
 /// `retire SERVER`
@@ -47,9 +47,9 @@
     options: &Options,
     client: &Client,
 ) -> Result<(), CtlError> {
-    let key = format!("server/{}", name(&mut args)?);
-    finish(args)?;
-    set(client, options, &key, &[("state", "retired".into())]).await
+    let key = format!("server/{}", parse_name(&mut args)?);
+    reject_extra_args(args)?;
+    set_fields(client, options, &key, &[("state", "retired".into())]).await
 }
 
 /// `declare-lost DOMAIN [--undo]`
@@ -58,46 +58,46 @@
     options: &Options,
     client: &Client,
 ) -> Result<(), CtlError> {
-    let by = match args.contains("--undo") {
+    let author = match args.contains("--undo") {
         true => Value::Null,
-        false => options.by.as_str().into(),
+        false => options.author.as_str().into(),
     };
-    let key = format!("domain/{}", name(&mut args)?);
-    finish(args)?;
-    set(client, options, &key, &[("lost_by", by)]).await
+    let key = format!("domain/{}", parse_name(&mut args)?);
+    reject_extra_args(args)?;
+    set_fields(client, options, &key, &[("lost_by", author)]).await
 }
 
-fn name(args: &mut Arguments) -> Result<String, CtlError> {
+fn parse_name(args: &mut Arguments) -> Result<String, CtlError> {
     Ok(args.free_from_str()?)
 }
 
-async fn set(
+async fn set_fields(
     client: &Client,
     options: &Options,
     key: &str,
     values: &[(&str, Value)],
 ) -> Result<(), CtlError> {
     let table = client.rows(None).await?;
-    let row = find(&table, key)?;
-    let edit = changed(row, row.version, values)?;
+    let row = find_row(&table, key)?;
+    let edit = field_edit(row, row.version, values)?;
     let edits = edit.into_iter().collect();
     confirm::apply(client, options, &table, edits, false).await
 }
 
 /// A row of the table.
-pub fn find<'a>(table: &'a RowsWire, key: &str) -> Result<&'a VersionedRowWire, CtlError> {
-    let found = table.rows.iter().find(|row| row.key == key);
-    found.ok_or_else(|| CtlError::Failed(format!("there is no {key}")))
+pub fn find_row<'a>(table: &'a RowsWire, key: &str) -> Result<&'a VersionedRowWire, CtlError> {
+    let row = table.rows.iter().find(|row| row.key == key);
+    row.ok_or_else(|| CtlError::Failed(format!("there is no {key}")))
 }
 
 /// The edit that sets fields of a row; null takes a field out, and `None` says
 /// that nothing changes.
-pub fn changed(
+pub fn field_edit(
     row: &VersionedRowWire,
     version: u64,
     values: &[(&str, Value)],
 ) -> Result<Option<RowEditWire>, CtlError> {
-    let before = sheet::fields(&row.row);
+    let before = sheet::row_fields(&row.row);
     let mut after: Fields = before.clone();
     for (field, value) in values {
         match value {
@@ -111,6 +111,6 @@
     Ok(Some(RowEditWire {
         key: row.key.clone(),
         version,
-        row: Some(sheet::row(after)?),
+        row: Some(sheet::row_from_fields(after)?),
     }))
 }
--- a/crates/citronctl/src/commands/explain.rs
+++ b/crates/citronctl/src/commands/explain.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        log_lines::{Line, read_all},
+        log_lines::{LogLine, read_files},
         summary,
     },
     crate::error::CtlError,
@@ -11,9 +11,9 @@
 };
 
 /// Events of a request, by the beginning of their number.
-const OF_REQUEST: &str = "C05";
+const REQUEST_EVENT_PREFIX: &str = "C05";
 /// Events that end a request, and what they mean for its caller.
-const ENDS: [(&str, &str); 3] = [
+const OUTCOMES: [(&str, &str); 3] = [
     ("C0500", "refused: it has not run, and never will"),
     ("C0501", "its outcome is not known: it may have run"),
     (
@@ -22,10 +22,10 @@
     ),
 ];
 /// Without an end of its own, some try was answered in the end.
-const ANSWERED: &str = "answered by a server after the tries below";
+const ANSWERED_OUTCOME: &str = "answered by a server after the tries below";
 /// Events that tell what an instance knew: the last ones before a request's end
 /// are its background.
-const BACKGROUND: [&str; 6] = ["C0400", "C0401", "C0410", "C0420", "C0430", "C0434"];
+const CONTEXT_EVENTS: [&str; 6] = ["C0400", "C0401", "C0410", "C0420", "C0430", "C0434"];
 
 /// Prints the lines of a request in order of time, and what was known then.
 pub fn run(mut args: Arguments) -> Result<(), CtlError> {
@@ -33,67 +33,76 @@
         return summary::run(args);
     }
     let id: String = args.free_from_str()?;
-    let lines = read_all(args)?;
-    let story = lines.iter().filter(|line| is_of(line, &id)).collect();
-    print!("{}", told(&id, story, &lines)?);
+    let lines = read_files(args)?;
+    let request_lines = lines.iter().filter(|line| is_about(line, &id)).collect();
+    print!("{}", explain(&id, request_lines, &lines)?);
     Ok(())
 }
 
-fn is_of(line: &Line, id: &str) -> bool {
-    let named = |word: &str| word.strip_prefix("id=") == Some(id);
-    line.event.starts_with(OF_REQUEST) && line.text.split(' ').any(named)
+fn is_about(line: &LogLine, id: &str) -> bool {
+    let has_id = |word: &str| word.strip_prefix("id=") == Some(id);
+    line.event.starts_with(REQUEST_EVENT_PREFIX) && line.text.split(' ').any(has_id)
 }
 
-fn told(id: &str, story: Vec<&Line>, lines: &[Line]) -> Result<String, CtlError> {
-    let Some(last) = story.last() else {
+fn explain(id: &str, request_lines: Vec<&LogLine>, lines: &[LogLine]) -> Result<String, CtlError> {
+    let Some(last) = request_lines.last() else {
         let message = format!(
             "no line about {id}: a request that was answered at its first try leaves none, \
              or its instance's file is missing"
         );
         return Err(CtlError::Failed(message));
     };
-    let ended = ENDS.iter().find(|(event, _)| *event == last.event);
-    let mut text = format!("{id}: {}\n", ended.map_or(ANSWERED, |(_, words)| words));
-    for line in &story {
-        text.push_str(&shown(line));
+    let ended = OUTCOMES.iter().find(|(event, _)| *event == last.event);
+    let mut text = format!(
+        "{id}: {}\n",
+        ended.map_or(ANSWERED_OUTCOME, |(_, outcome)| outcome)
+    );
+    for line in &request_lines {
+        text.push_str(&format_line(line));
     }
     text.push_str("known before:\n");
-    for line in background(&story, last, lines) {
-        text.push_str(&shown(line));
+    for line in context_lines(&request_lines, last, lines) {
+        text.push_str(&format_line(line));
     }
     Ok(text)
 }
 
 /// The last word before a request's end on each matter that its lines name.
-fn background<'a>(story: &[&Line], last: &Line, lines: &'a [Line]) -> Vec<&'a Line> {
-    let names = names(story);
-    let mut latest: BTreeMap<(&str, &str), &Line> = BTreeMap::new();
+fn context_lines<'a>(
+    request_lines: &[&LogLine],
+    last: &LogLine,
+    lines: &'a [LogLine],
+) -> Vec<&'a LogLine> {
+    let mentioned_names = mentioned_names(request_lines);
+    let mut latest: BTreeMap<(&str, &str), &LogLine> = BTreeMap::new();
     let before = lines.iter().filter(|line| line.time <= last.time);
-    for line in before.filter(|line| BACKGROUND.contains(&line.event.as_str())) {
-        let about = names.iter().find(|name| line.text.contains(name.as_str()));
-        let own = (line.file == last.file).then_some(&last.file);
-        if let Some(matter) = about.or(own) {
-            latest.insert((line.event.as_str(), matter), line);
+    for line in before.filter(|line| CONTEXT_EVENTS.contains(&line.event.as_str())) {
+        let mentioned = mentioned_names
+            .iter()
+            .find(|name| line.text.contains(name.as_str()));
+        let same_file = (line.file == last.file).then_some(&last.file);
+        if let Some(subject) = mentioned.or(same_file) {
+            latest.insert((line.event.as_str(), subject), line);
         }
     }
-    let mut found: Vec<&Line> = latest.into_values().collect();
-    found.sort_by(|a, b| a.time.cmp(&b.time));
-    found
+    let mut lines: Vec<&LogLine> = latest.into_values().collect();
+    lines.sort_by(|a, b| a.time.cmp(&b.time));
+    lines
 }
 
 /// Servers and services in the lines of a request.
-fn names(story: &[&Line]) -> Vec<String> {
-    let words = story.iter().flat_map(|line| line.text.split(' '));
+fn mentioned_names(request_lines: &[&LogLine]) -> Vec<String> {
+    let words = request_lines.iter().flat_map(|line| line.text.split(' '));
     let values = words.filter_map(|word| {
         let server = word.strip_prefix("server=");
         server.or_else(|| word.strip_prefix("service="))
     });
-    let mut names: Vec<String> = values.map(str::to_string).collect();
-    names.sort();
-    names.dedup();
-    names
+    let mut mentioned_names: Vec<String> = values.map(str::to_string).collect();
+    mentioned_names.sort();
+    mentioned_names.dedup();
+    mentioned_names
 }
 
-fn shown(line: &Line) -> String {
+fn format_line(line: &LogLine) -> String {
     format!("  {} {} {}\n", line.time, line.file, line.text)
 }
--- a/crates/citronctl/src/commands/mod.rs
+++ b/crates/citronctl/src/commands/mod.rs
@@ -42,12 +42,12 @@
 }
 
 /// Refuses arguments that no command took, so that a slip changes nothing.
-fn finish(args: Arguments) -> Result<(), CtlError> {
-    let left = args.finish();
-    match left.first() {
+fn reject_extra_args(args: Arguments) -> Result<(), CtlError> {
+    let extra = args.finish();
+    match extra.first() {
         None => Ok(()),
-        Some(word) => {
-            let message = format!("unexpected argument '{}'", word.to_string_lossy());
+        Some(argument) => {
+            let message = format!("unexpected argument '{}'", argument.to_string_lossy());
             Err(CtlError::Usage(message))
         }
     }
--- a/crates/citronctl/src/commands/queries.rs
+++ b/crates/citronctl/src/commands/queries.rs
@@ -1,7 +1,7 @@
 //! Commands that only look.
 
 use {
-    super::finish,
+    super::reject_extra_args,
     crate::{
         client::Client,
         diff::changes,
@@ -20,28 +20,28 @@
 };
 
 /// History entries unless told otherwise.
-const HISTORY: usize = 100;
+const DEFAULT_HISTORY_LIMIT: usize = 100;
 
 /// `status [--format table|json]`
 pub async fn status(mut args: Arguments, client: &Client) -> Result<(), CtlError> {
     let json = is_json(&mut args)?;
-    finish(args)?;
-    let round = wait::ask_all(client).await;
+    reject_extra_args(args)?;
+    let statuses = wait::poll_instances(client).await;
     if json {
-        return print_json(&round);
+        return print_json(&statuses);
     }
-    print!("{}", status_grid(&round));
-    let reached = round.values().flatten().count();
-    println!("{reached} of {} instances reached", round.len());
+    print!("{}", status_grid(&statuses));
+    let reached = statuses.values().flatten().count();
+    println!("{reached} of {} instances reached", statuses.len());
     Ok(())
 }
 
-fn status_grid(round: &BTreeMap<String, Option<StatusWire>>) -> String {
-    let heads = ["instance", "domain", "in force", "latest known", "platform"];
+fn status_grid(statuses: &BTreeMap<String, Option<StatusWire>>) -> String {
+    let headings = ["instance", "domain", "in force", "latest known", "platform"];
     let line = |(name, status): (&String, &Option<StatusWire>)| {
         let Some(status) = status else {
-            let unreached = ["?", "?", "?", "not reached"].map(str::to_string);
-            return [vec![name.clone()], unreached.to_vec()].concat();
+            let unknown = ["?", "?", "?", "not reached"].map(str::to_string);
+            return [vec![name.clone()], unknown.to_vec()].concat();
         };
         let platform = if status.fresh { "reached" } else { "cut off" };
         vec![
@@ -52,15 +52,15 @@
             platform.to_string(),
         ]
     };
-    let lines: Vec<_> = round.iter().map(line).collect();
-    grid::layout(&heads.map(str::to_string), &lines)
+    let lines: Vec<_> = statuses.iter().map(line).collect();
+    grid::layout(&headings.map(str::to_string), &lines)
 }
 
 /// `owner SERVICE KEY`
 pub async fn owner(mut args: Arguments, client: &Client) -> Result<(), CtlError> {
     let service: String = args.free_from_str()?;
     let key: String = args.free_from_str()?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let owner = client.owner(&service, &key).await?;
     println!("{}", owner.owner);
     println!("{}", owner.why);
@@ -72,9 +72,9 @@
     let json = is_json(&mut args)?;
     let after: Option<u64> = args.opt_value_from_str("--after")?;
     let limit: Option<usize> = args.opt_value_from_str("--limit")?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let page = client
-        .history(after.unwrap_or(0), limit.unwrap_or(HISTORY))
+        .history(after.unwrap_or(0), limit.unwrap_or(DEFAULT_HISTORY_LIMIT))
         .await?;
     if json {
         return print_json(&page);
@@ -109,14 +109,14 @@
 /// `refused [--lift FINGERPRINT]`
 pub async fn refused(mut args: Arguments, client: &Client) -> Result<(), CtlError> {
     let lift: Option<String> = args.opt_value_from_str("--lift")?;
-    finish(args)?;
+    reject_extra_args(args)?;
     if let Some(fingerprint) = lift {
         let lifted = client.lift(fingerprint).await?;
         println!("{} is let through again", lifted.fingerprint);
         return Ok(());
     }
     let refused = client.refused().await?;
-    let heads = ["fingerprint", "crashes", "refused s", "request"].map(str::to_string);
+    let headings = ["fingerprint", "crashes", "refused s", "request"].map(str::to_string);
     let lines = refused.requests.iter().map(|request| {
         let seconds = request
             .refused_ms
@@ -128,14 +128,14 @@
             request.label.clone(),
         ]
     });
-    print!("{}", grid::layout(&heads, &lines.collect::<Vec<_>>()));
+    print!("{}", grid::layout(&headings, &lines.collect::<Vec<_>>()));
     Ok(())
 }
 
 /// `report [--format text|json|html]`
 pub async fn report(mut args: Arguments, client: &Client) -> Result<(), CtlError> {
     let format: Option<String> = args.opt_value_from_str("--format")?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let burn = client.burn().await?;
     let table = client.rows(None).await?;
     let figures = Figures::new(burn, table)?;
--- a/crates/citronctl/src/commands/table.rs
+++ b/crates/citronctl/src/commands/table.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        edits::{changed, find},
-        finish,
+        edits::{field_edit, find_row},
+        reject_extra_args,
     },
     crate::{
         args::Options,
@@ -11,7 +11,7 @@
         confirm,
         error::CtlError,
         grid,
-        sheet::{self, Line},
+        sheet::{self, ImportRow},
     },
     citron_wire::admin::{RowEditWire, RowsWire, VersionedRowWire},
     pico_args::Arguments,
@@ -20,7 +20,7 @@
 };
 
 /// Kinds that operators edit.
-const OPERATORS: &[&str] = &["domain", "service", "server"];
+const OPERATOR_KINDS: &[&str] = &["domain", "service", "server"];
 
 /// Runs a `table` command.
 pub async fn run(mut args: Arguments, options: &Options, client: &Client) -> Result<(), CtlError> {
@@ -36,16 +36,18 @@
     }
 }
 
-async fn show(mut args: Arguments, client: &Client, default: &str) -> Result<(), CtlError> {
+async fn show(mut args: Arguments, client: &Client, default_format: &str) -> Result<(), CtlError> {
     let format: Option<String> = args.opt_value_from_str("--format")?;
     let kind: Option<String> = args.opt_free_from_str()?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let mut table = client.rows(kind.as_deref()).await?;
     if kind.is_none() {
-        table.rows.retain(|row| OPERATORS.contains(&kind_of(row)));
+        table
+            .rows
+            .retain(|row| OPERATOR_KINDS.contains(&row_kind(row)));
     }
-    match format.as_deref().unwrap_or(default) {
-        "table" => print!("{}", grids(&table)),
+    match format.as_deref().unwrap_or(default_format) {
+        "table" => print!("{}", format_table(&table)),
         "csv" => print!("{}", sheet::to_csv(&table.rows)?),
         "json" => println!("{}", to_json(&table)?),
         other => {
@@ -56,27 +58,27 @@
     Ok(())
 }
 
-fn kind_of(row: &VersionedRowWire) -> &str {
+fn row_kind(row: &VersionedRowWire) -> &str {
     row.key.split('/').next().unwrap_or("")
 }
 
 /// One grid a kind: their columns differ.
-fn grids(table: &RowsWire) -> String {
+fn format_table(table: &RowsWire) -> String {
     let mut text = String::new();
     for rows in table
         .rows
-        .chunk_by(|one, next| kind_of(one) == kind_of(next))
+        .chunk_by(|one, next| row_kind(one) == row_kind(next))
     {
-        let (heads, lines) = sheet::cells(rows, &["kind"]);
-        text.push_str(&grid::layout(&heads, &lines));
+        let (headings, lines) = sheet::headings_and_cells(rows, &["kind"]);
+        text.push_str(&grid::layout(&headings, &lines));
         text.push('\n');
     }
-    let stale = if table.fresh {
+    let staleness = if table.fresh {
         ""
     } else {
         ", last known: the platform is not reached"
     };
-    text.push_str(&format!("revision {}{stale}\n", table.revision));
+    text.push_str(&format!("revision {}{staleness}\n", table.revision));
     text
 }
 
@@ -88,7 +90,7 @@
 async fn import(mut args: Arguments, options: &Options, client: &Client) -> Result<(), CtlError> {
     let dry_run = args.contains("--dry-run");
     let file: String = args.free_from_str()?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let text = fs::read_to_string(&file);
     let text = text.map_err(|error| CtlError::Usage(format!("{file}: {error}")))?;
     let lines = match text.trim_start().starts_with('[') {
@@ -98,24 +100,25 @@
     let table = client.rows(None).await?;
     let mut edits = Vec::new();
     for line in lines {
-        edits.extend(import_line(line, &table)?);
+        edits.extend(import_edit(line, &table)?);
     }
     confirm::apply(client, options, &table, edits, dry_run).await
 }
 
 /// The edit that a line asks for; `None` if the row is like that already.
-fn import_line(line: Line, table: &RowsWire) -> Result<Option<RowEditWire>, CtlError> {
-    let key = sheet::key(&line.row)?;
+fn import_edit(imported: ImportRow, table: &RowsWire) -> Result<Option<RowEditWire>, CtlError> {
+    let key = sheet::row_key(&imported.row)?;
     let current = table.rows.iter().find(|row| row.key == key);
-    let same = |row: &VersionedRowWire| sheet::fields(&row.row) == sheet::fields(&line.row);
-    if current.is_some_and(same) {
+    let is_unchanged =
+        |row: &VersionedRowWire| sheet::row_fields(&row.row) == sheet::row_fields(&imported.row);
+    if current.is_some_and(is_unchanged) {
         return Ok(None);
     }
-    let version = line.version.or(current.map(|row| row.version));
+    let version = imported.version.or(current.map(|row| row.version));
     Ok(Some(RowEditWire {
         key,
         version: version.unwrap_or(0),
-        row: Some(line.row),
+        row: Some(imported.row),
     }))
 }
 
@@ -128,17 +131,17 @@
         let (field, cell) = word
             .split_once('=')
             .ok_or_else(|| CtlError::Usage(format!("'{word}' is not FIELD=VALUE")))?;
-        let value = sheet::value(field, cell)?.unwrap_or(Value::Null);
+        let value = sheet::parse_cell(field, cell)?.unwrap_or(Value::Null);
         values.push((field.to_string(), value));
     }
-    finish(args)?;
+    reject_extra_args(args)?;
     let table = client.rows(None).await?;
-    let row = find(&table, &key)?;
+    let row = find_row(&table, &key)?;
     let values = values
         .iter()
         .map(|(field, value)| (field.as_str(), value.clone()));
     let values: Vec<_> = values.collect();
-    let edit = changed(row, version.unwrap_or(row.version), &values)?;
+    let edit = field_edit(row, version.unwrap_or(row.version), &values)?;
     confirm::apply(client, options, &table, edit.into_iter().collect(), dry_run).await
 }
 
@@ -146,9 +149,9 @@
     let dry_run = args.contains("--dry-run");
     let version: Option<u64> = args.opt_value_from_str("--version")?;
     let key: String = args.free_from_str()?;
-    finish(args)?;
+    reject_extra_args(args)?;
     let table = client.rows(None).await?;
-    let row = find(&table, &key)?;
+    let row = find_row(&table, &key)?;
     let edit = RowEditWire {
         version: version.unwrap_or(row.version),
         key,
--- a/crates/citronctl/src/confirm.rs
+++ b/crates/citronctl/src/confirm.rs
@@ -22,27 +22,27 @@
         return Ok(());
     }
     for edit in &edits {
-        eprint!("{}", diff(edit, current(table, &edit.key)));
+        eprint!("{}", diff(edit, find_row(table, &edit.key)));
     }
     if dry_run {
         println!("nothing was sent, rows that would change: {}", edits.len());
         return Ok(());
     }
-    ask(options)?;
+    confirm(options)?;
     let count = edits.len();
     let revision = client.edit(edits).await?;
     println!("accepted as revision {revision}, rows: {count}");
-    wait::in_force(client, options, revision).await
+    wait::until_in_force(client, options, revision).await
 }
 
-fn current<'a>(table: &'a RowsWire, key: &str) -> Option<&'a RowWire> {
-    let found = table.rows.iter().find(|row| row.key == key);
-    found.map(|row| &row.row)
+fn find_row<'a>(table: &'a RowsWire, key: &str) -> Option<&'a RowWire> {
+    let row = table.rows.iter().find(|row| row.key == key);
+    row.map(|row| &row.row)
 }
 
 /// Asks on a terminal; elsewhere nobody could answer, so `--yes` must be given.
-fn ask(options: &Options) -> Result<(), CtlError> {
-    if options.yes {
+fn confirm(options: &Options) -> Result<(), CtlError> {
+    if options.skip_confirm {
         return Ok(());
     }
     if !io::stdin().is_terminal() {
@@ -51,8 +51,8 @@
     }
     eprint!("apply? [y/N] ");
     let mut line = String::new();
-    let read = io::stdin().lock().read_line(&mut line);
-    read.map_err(|error| CtlError::Failed(error.to_string()))?;
+    let result = io::stdin().lock().read_line(&mut line);
+    result.map_err(|error| CtlError::Failed(error.to_string()))?;
     match line.trim() {
         "y" | "Y" | "yes" => Ok(()),
         _ => Err(CtlError::Failed("nothing was sent".to_string())),
--- a/crates/citronctl/src/diff.rs
+++ b/crates/citronctl/src/diff.rs
@@ -1,7 +1,7 @@
 //! What an edit changes.
 
 use {
-    crate::sheet::{cell, fields},
+    crate::sheet::{cell_text, row_fields},
     citron_wire::{admin::RowEditWire, row::RowWire},
     serde_json::Value,
     std::collections::BTreeSet,
@@ -19,7 +19,7 @@
 
 /// The fields that two rows differ in, as `field: old -> new`.
 pub fn changes(key: &str, before: &RowWire, after: &RowWire) -> String {
-    let (before, after) = (fields(before), fields(after));
+    let (before, after) = (row_fields(before), row_fields(after));
     let names: BTreeSet<_> = before.keys().chain(after.keys()).collect();
     let mut text = String::new();
     for name in names {
@@ -27,11 +27,11 @@
         if old == new {
             continue;
         }
-        for (place, old, new) in parts(name, old, new) {
+        for (path, old, new) in field_changes(name, old, new) {
             text.push_str(&format!(
-                "~ {key} {place}: {} -> {}\n",
-                shown(old),
-                shown(new)
+                "~ {key} {path}: {} -> {}\n",
+                display_value(old),
+                display_value(new)
             ));
         }
     }
@@ -39,35 +39,39 @@
 }
 
 /// A field, before and after.
-type Part<'a> = (String, Option<&'a Value>, Option<&'a Value>);
+type FieldChange<'a> = (String, Option<&'a Value>, Option<&'a Value>);
 
 /// A long list of owners is compared item by item: a move changes one of them.
-fn parts<'a>(name: &str, old: Option<&'a Value>, new: Option<&'a Value>) -> Vec<Part<'a>> {
-    let (Some(Value::Array(olds)), Some(Value::Array(news))) = (old, new) else {
+fn field_changes<'a>(
+    name: &str,
+    old: Option<&'a Value>,
+    new: Option<&'a Value>,
+) -> Vec<FieldChange<'a>> {
+    let (Some(Value::Array(old_items)), Some(Value::Array(new_items))) = (old, new) else {
         return vec![(name.to_string(), old, new)];
     };
-    if olds.len() != news.len() || !olds.iter().all(Value::is_object) {
+    if old_items.len() != new_items.len() || !old_items.iter().all(Value::is_object) {
         return vec![(name.to_string(), old, new)];
     }
-    let pairs = olds.iter().zip(news).enumerate();
+    let pairs = old_items.iter().zip(new_items).enumerate();
     let changed = pairs.filter(|(_, (old, new))| old != new);
-    let parts =
-        changed.map(|(place, (old, new))| (format!("{name}[{place}]"), Some(old), Some(new)));
-    parts.collect()
+    let field_changes =
+        changed.map(|(index, (old, new))| (format!("{name}[{index}]"), Some(old), Some(new)));
+    field_changes.collect()
 }
 
-fn shown(value: Option<&Value>) -> String {
-    match cell(value) {
+fn display_value(value: Option<&Value>) -> String {
+    match cell_text(value) {
         empty if empty.is_empty() => "-".to_string(),
         text => text,
     }
 }
 
 fn row_text(row: &RowWire) -> String {
-    let fields = fields(row);
-    let plain = fields
+    let row_fields = row_fields(row);
+    let shown_fields = row_fields
         .iter()
         .filter(|(name, _)| !["kind", "name"].contains(&name.as_str()));
-    let cells = plain.map(|(name, value)| format!("{name}={}", cell(Some(value))));
+    let cells = shown_fields.map(|(name, value)| format!("{name}={}", cell_text(Some(value))));
     cells.collect::<Vec<_>>().join(" ")
 }
--- a/crates/citronctl/src/error.rs
+++ b/crates/citronctl/src/error.rs
@@ -12,7 +12,7 @@
     #[error("{0}")]
     Usage(String),
     /// The instance refused, and nothing took effect.
-    #[error("{}{}", wire.message, shown(wire))]
+    #[error("{}{}", wire.message, current_row(wire))]
     Refused {
         /// What the instance said.
         wire: Box<ErrorWire>,
@@ -46,7 +46,7 @@
 }
 
 /// The row as it is, after a lost race.
-fn shown(wire: &ErrorWire) -> String {
+fn current_row(wire: &ErrorWire) -> String {
     let Some(current) = &wire.current else {
         return String::new();
     };
--- a/crates/citronctl/src/grid.rs
+++ b/crates/citronctl/src/grid.rs
@@ -1,23 +1,23 @@
 //! Aligned columns.
 
 /// Lays cells out under headings; numbers are set flush right.
-pub fn layout(heads: &[String], lines: &[Vec<String>]) -> String {
+pub fn layout(headings: &[String], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
-        let cells = lines.iter().map(|line| line[column].chars().count());
+        let cells = rows.iter().map(|cells| cells[column].chars().count());
         cells
-            .chain([heads[column].chars().count()])
+            .chain([headings[column].chars().count()])
             .max()
             .unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..heads.len()).map(width).collect();
-    let mut text = line(heads, &widths);
-    for cells in lines {
-        text.push_str(&line(cells, &widths));
+    let widths: Vec<usize> = (0..headings.len()).map(width).collect();
+    let mut text = format_row(headings, &widths);
+    for cells in rows {
+        text.push_str(&format_row(cells, &widths));
     }
     text
 }
 
-fn line(cells: &[String], widths: &[usize]) -> String {
+fn format_row(cells: &[String], widths: &[usize]) -> String {
     let padded = cells
         .iter()
         .zip(widths)
--- a/crates/citronctl/src/main.rs
+++ b/crates/citronctl/src/main.rs
@@ -22,7 +22,7 @@
 
 fn main() -> ExitCode {
     env_logger::init();
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("citronctl: {error}");
@@ -31,11 +31,11 @@
     }
 }
 
-fn start() -> Result<(), CtlError> {
+fn run() -> Result<(), CtlError> {
     let mut args = pico_args::Arguments::from_env();
     let help = args.contains(["-h", "--help"]);
-    let options = Options::read(&mut args)?;
-    let command = Command::read(&mut args)?;
+    let options = Options::parse(&mut args)?;
+    let command = Command::parse(&mut args)?;
     if help || command == Command::Help {
         print!("{}", help::text(&command));
         return Ok(());
--- a/crates/citronctl/src/report/figures.rs
+++ b/crates/citronctl/src/report/figures.rs
@@ -13,7 +13,7 @@
 };
 
 /// Minutes that one point of a plot stands for.
-const STEP: u64 = 5;
+const POINT_MINUTES: u64 = 5;
 
 /// Figures of all services.
 #[derive(Debug)]
@@ -56,15 +56,15 @@
     /// Works the figures out from what instances counted and the objectives of
     /// the table.
     pub fn new(burn: BurnWire, table: RowsWire) -> Result<Self, CtlError> {
-        let bad = |error: WireError| CtlError::Failed(error.to_string());
+        let invalid = |error: WireError| CtlError::Failed(error.to_string());
         let now = Minute(burn.minute);
-        let record = TallySeries::try_from(burn.record).map_err(bad)?;
+        let record = TallySeries::try_from(burn.record).map_err(invalid)?;
         let mut services = Vec::new();
         let rows = table.rows.into_iter().map(|row| Row::try_from(row.row));
-        let rows = rows.collect::<Result<Vec<_>, _>>().map_err(bad)?;
+        let rows = rows.collect::<Result<Vec<_>, _>>().map_err(invalid)?;
         for row in &rows {
             if let Row::Service(row) = row {
-                let weights = weights(&rows, &row.name);
+                let weights = server_weights(&rows, &row.name);
                 services.push(ServiceFigures::new(&record, row, &weights, now));
             }
         }
@@ -81,9 +81,10 @@
 
 impl ServiceFigures {
     fn new(record: &TallySeries, row: &ServiceRow, weights: &Weights, now: Minute) -> Self {
-        let first = now.0.saturating_sub(SLOW_BURN.long - STEP);
-        let ends = (first..=now.0).step_by(STEP as usize).map(Minute);
-        let points = ends.map(|end| Point::new(&record.sum(&row.name, end, STEP), row, weights));
+        let first = now.0.saturating_sub(SLOW_BURN.long - POINT_MINUTES);
+        let ends = (first..=now.0).step_by(POINT_MINUTES as usize).map(Minute);
+        let points =
+            ends.map(|end| Point::new(&record.sum(&row.name, end, POINT_MINUTES), row, weights));
         Self {
             report: ServiceReport::new(record, row, weights, now),
             points: points.collect(),
@@ -95,13 +96,13 @@
     fn new(tally: &Tally, row: &ServiceRow, weights: &Weights) -> Self {
         let rate =
             |bad, budget| (tally.requests > 0).then(|| burn_rate(bad, tally.requests, budget));
-        let watched = !tally.observed.is_zero();
+        let is_observed = !tally.observed.is_zero();
         Self {
             failures: rate(tally.failed, row.objectives.failures_per_million),
             latency: rate(tally.slow, row.objectives.slow_per_million),
             imbalance: tally.imbalance(weights),
-            churn: watched.then_some(tally.shards_moved as f64),
-            unavailable: watched.then(|| tally.unreachable_share() * 100.0),
+            churn: is_observed.then_some(tally.shards_moved as f64),
+            unavailable: is_observed.then(|| tally.unreachable_share() * 100.0),
         }
     }
 }
@@ -109,18 +110,18 @@
 /// Weights of the servers that are to share the load of a service.
 type Weights = BTreeMap<ServerName, Weight>;
 
-fn weights(rows: &[Row], service: &ServiceName) -> Weights {
-    let sharing = rows.iter().filter_map(|row| match row {
+fn server_weights(rows: &[Row], service: &ServiceName) -> Weights {
+    let active = rows.iter().filter_map(|row| match row {
         Row::Server(row) if row.service == *service && row.state == ServerState::Active => {
             Some((row.name.clone(), row.weight))
         }
         _ => None,
     });
-    sharing.collect()
+    active.collect()
 }
 
 /// What a report calls for, as a word.
-pub fn alert_word(report: &ServiceReport) -> &'static str {
+pub fn alert_label(report: &ServiceReport) -> &'static str {
     if report.requests == 0 {
         return "no data";
     }
@@ -132,7 +133,7 @@
 }
 
 /// A rate, short; a budget of nothing is spent at once.
-pub fn rate_text(rate: f64) -> String {
+pub fn format_rate(rate: f64) -> String {
     match rate.is_finite() {
         true => format!("{rate:.1}"),
         false => "over".to_string(),
--- a/crates/citronctl/src/report/html.rs
+++ b/crates/citronctl/src/report/html.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        figures::{Figures, Point, ServiceFigures, alert_word},
+        figures::{Figures, Point, ServiceFigures, alert_label},
         plot::Plot,
-        text::{rates, who},
+        text::{format_rates, instance_names},
     },
     citron_core::slo::{BurnRates, FAST_BURN},
 };
@@ -31,7 +31,7 @@
          <title>Service-level burn</title>\n<style>\n{STYLE}</style></head><body>\n\
          <h1>Service-level burn</h1>\n<p>As of {}, counted by {}.",
         escape(&figures.at),
-        escape(&who(figures)),
+        escape(&instance_names(figures)),
     );
     if figures.unread > 0 {
         page.push_str(&format!(" Records not readable: {}.", figures.unread));
@@ -49,14 +49,14 @@
 
 fn section(service: &ServiceFigures) -> String {
     let report = &service.report;
-    let word = alert_word(report);
-    let class = match word {
+    let alert = alert_label(report);
+    let class = match alert {
         "ok" | "no data" => "ok",
         _ => "alert",
     };
     let imbalance = report.imbalance.map(|ratio| format!("{ratio:.2}"));
     let mut section = format!(
-        "<section>\n<h2>{} <span class=\"{class}\">{word}</span></h2>\n\
+        "<section>\n<h2>{} <span class=\"{class}\">{alert}</span></h2>\n\
          <table><tr><th>burn</th><th>5 min</th><th>1 h</th><th>30 min</th><th>6 h</th></tr>\n{}{}</table>\n\
          <p>{} requests in 6 h; imbalance {} over the last hour; {} shards moved; a key was \
          unavailable for {:.1} s on the mean.</p>\n<div class=\"plots\">\n",
@@ -76,15 +76,15 @@
 }
 
 fn row(name: &str, burns: &BurnRates) -> String {
-    let cells = rates(burns).map(|rate| format!("<td>{rate}</td>"));
+    let cells = format_rates(burns).map(|rate| format!("<td>{rate}</td>"));
     format!("<tr><td>{name}</td>{}</tr>\n", cells.concat())
 }
 
 fn plots(points: &[Point]) -> Vec<Plot> {
-    let plot = |title, floor, limit, value: fn(&Point) -> Option<f64>| Plot {
+    let plot = |title, min_height, limit, value: fn(&Point) -> Option<f64>| Plot {
         title,
         points: points.iter().map(value).collect(),
-        floor,
+        min_height,
         limit,
     };
     let fast = Some(FAST_BURN.rate);
--- a/crates/citronctl/src/report/json.rs
+++ b/crates/citronctl/src/report/json.rs
@@ -1,7 +1,7 @@
 //! The report as JSON.
 
 use {
-    super::figures::{Figures, ServiceFigures, alert_word},
+    super::figures::{Figures, ServiceFigures, alert_label},
     crate::error::CtlError,
     citron_core::slo::BurnRates,
     serde::Serialize,
@@ -53,7 +53,7 @@
         let unavailable = report.unavailable.as_millis();
         Self {
             service: report.service.to_string(),
-            alert: alert_word(report),
+            alert: alert_label(report),
             failures: (&report.failure_burn).into(),
             latency: (&report.latency_burn).into(),
             requests: report.requests,
--- a/crates/citronctl/src/report/plot.rs
+++ b/crates/citronctl/src/report/plot.rs
@@ -4,10 +4,10 @@
 const WIDTH: f64 = 420.0;
 const HEIGHT: f64 = 130.0;
 /// Room for numbers on the left, and for the time below.
-const LEFT: f64 = 44.0;
-const BELOW: f64 = 18.0;
+const LEFT_MARGIN: f64 = 44.0;
+const BOTTOM_MARGIN: f64 = 18.0;
 /// Room above the highest point.
-const ABOVE: f64 = 10.0;
+const TOP_MARGIN: f64 = 10.0;
 
 /// One plot.
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     /// Oldest first; gaps where nothing was counted.
     pub points: Vec<Option<f64>>,
     /// The least height of the vertical axis.
-    pub floor: f64,
+    pub min_height: f64,
     /// Where a limit lies.
     pub limit: Option<f64>,
 }
@@ -25,94 +25,94 @@
 impl Plot {
     /// The plot in a figure of its own.
     pub fn svg(&self) -> String {
-        let top = self.top();
+        let max = self.axis_max();
         let mut svg = format!(
             "<figure><figcaption>{}</figcaption>\n<svg viewBox=\"0 0 {WIDTH} {HEIGHT}\" role=\"img\" aria-label=\"{}\">\n",
             self.title, self.title
         );
-        svg.push_str(&self.axes(top));
-        if let Some(limit) = self.limit.filter(|limit| *limit <= top) {
-            let y = y(limit, top);
+        svg.push_str(&self.axes(max));
+        if let Some(limit) = self.limit.filter(|limit| *limit <= max) {
+            let y = y(limit, max);
             svg.push_str(&format!(
-                "<line class=\"limit\" x1=\"{LEFT}\" y1=\"{y:.1}\" x2=\"{WIDTH}\" y2=\"{y:.1}\"/>\n"
+                "<line class=\"limit\" x1=\"{LEFT_MARGIN}\" y1=\"{y:.1}\" x2=\"{WIDTH}\" y2=\"{y:.1}\"/>\n"
             ));
         }
-        for run in self.runs() {
-            svg.push_str(&self.line(&run, top));
+        for segment in self.segments() {
+            svg.push_str(&self.line(&segment, max));
         }
         svg.push_str("</svg></figure>\n");
         svg
     }
 
     /// The highest finite point, or the floor.
-    fn top(&self) -> f64 {
+    fn axis_max(&self) -> f64 {
         let finite = self
             .points
             .iter()
             .flatten()
             .filter(|value| value.is_finite());
-        finite.fold(self.floor, |top, value| top.max(*value))
+        finite.fold(self.min_height, |max, value| max.max(*value))
     }
 
-    fn axes(&self, top: f64) -> String {
-        let base = HEIGHT - BELOW;
+    fn axes(&self, max: f64) -> String {
+        let baseline = HEIGHT - BOTTOM_MARGIN;
         let mut axes = String::new();
-        for value in [0.0, top / 2.0, top] {
-            let y = y(value, top);
+        for value in [0.0, max / 2.0, max] {
+            let y = y(value, max);
             axes.push_str(&format!(
-                "<line class=\"axis\" x1=\"{LEFT}\" y1=\"{y:.1}\" x2=\"{WIDTH}\" y2=\"{y:.1}\"/>\
+                "<line class=\"axis\" x1=\"{LEFT_MARGIN}\" y1=\"{y:.1}\" x2=\"{WIDTH}\" y2=\"{y:.1}\"/>\
                  <text x=\"{:.1}\" y=\"{:.1}\" text-anchor=\"end\">{}</text>\n",
-                LEFT - 4.0,
+                LEFT_MARGIN - 4.0,
                 y + 3.5,
-                number(value),
+                format_number(value),
             ));
         }
-        let text = base + 13.0;
+        let text = baseline + 13.0;
         axes.push_str(&format!(
-            "<text x=\"{LEFT}\" y=\"{text}\">6 h ago</text>\
+            "<text x=\"{LEFT_MARGIN}\" y=\"{text}\">6 h ago</text>\
              <text x=\"{WIDTH}\" y=\"{text}\" text-anchor=\"end\">now</text>\n"
         ));
         axes
     }
 
     /// Neighbouring points that were counted.
-    fn runs(&self) -> Vec<Vec<(usize, f64)>> {
-        let mut runs = Vec::new();
-        let mut run = Vec::new();
-        for (place, point) in self.points.iter().enumerate() {
+    fn segments(&self) -> Vec<Vec<(usize, f64)>> {
+        let mut segments = Vec::new();
+        let mut segment = Vec::new();
+        for (index, point) in self.points.iter().enumerate() {
             match point {
-                Some(value) => run.push((place, *value)),
-                None if run.is_empty() => {}
-                None => runs.push(std::mem::take(&mut run)),
+                Some(value) => segment.push((index, *value)),
+                None if segment.is_empty() => {}
+                None => segments.push(std::mem::take(&mut segment)),
             }
         }
-        if !run.is_empty() {
-            runs.push(run);
+        if !segment.is_empty() {
+            segments.push(segment);
         }
-        runs
+        segments
     }
 
-    fn line(&self, run: &[(usize, f64)], top: f64) -> String {
+    fn line(&self, segment: &[(usize, f64)], max: f64) -> String {
         let last = self.points.len().saturating_sub(1).max(1) as f64;
-        let x = |place: usize| LEFT + (WIDTH - LEFT) * place as f64 / last;
-        if let [(place, value)] = run {
-            let (x, y) = (x(*place), y(value.min(top), top));
+        let x = |index: usize| LEFT_MARGIN + (WIDTH - LEFT_MARGIN) * index as f64 / last;
+        if let [(index, value)] = segment {
+            let (x, y) = (x(*index), y(value.min(max), max));
             return format!("<circle class=\"dot\" cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"1.5\"/>\n");
         }
-        let corners = run
+        let vertices = segment
             .iter()
-            .map(|(place, value)| format!("{:.1},{:.1}", x(*place), y(value.min(top), top)));
-        let corners = corners.collect::<Vec<_>>().join(" ");
-        format!("<polyline class=\"line\" points=\"{corners}\"/>\n")
+            .map(|(index, value)| format!("{:.1},{:.1}", x(*index), y(value.min(max), max)));
+        let vertices = vertices.collect::<Vec<_>>().join(" ");
+        format!("<polyline class=\"line\" points=\"{vertices}\"/>\n")
     }
 }
 
-fn y(value: f64, top: f64) -> f64 {
-    let room = HEIGHT - BELOW - ABOVE;
-    ABOVE + room * (1.0 - value / top)
+fn y(value: f64, max: f64) -> f64 {
+    let height = HEIGHT - BOTTOM_MARGIN - TOP_MARGIN;
+    TOP_MARGIN + height * (1.0 - value / max)
 }
 
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     match value {
         value if value >= 100.0 => format!("{value:.0}"),
         value if value >= 10.0 => format!("{value:.1}"),
--- a/crates/citronctl/src/report/text.rs
+++ b/crates/citronctl/src/report/text.rs
@@ -1,12 +1,12 @@
 //! The report as text.
 
 use {
-    super::figures::{Figures, ServiceFigures, alert_word, rate_text},
+    super::figures::{Figures, ServiceFigures, alert_label, format_rate},
     crate::grid,
     citron_core::slo::BurnRates,
 };
 
-const HEADS: [&str; 13] = [
+const HEADINGS: [&str; 13] = [
     "service",
     "alert",
     "fail 5m",
@@ -24,14 +24,14 @@
 
 /// One line a service; rates are multiples of the allowed one.
 pub fn text(figures: &Figures) -> String {
-    let heads = HEADS.iter().copied().chain(["unavailable s"]);
-    let heads: Vec<String> = heads.map(str::to_string).collect();
-    let lines: Vec<_> = figures.services.iter().map(line).collect();
-    let mut text = grid::layout(&heads, &lines);
+    let headings = HEADINGS.iter().copied().chain(["unavailable s"]);
+    let headings: Vec<String> = headings.map(str::to_string).collect();
+    let rows: Vec<_> = figures.services.iter().map(report_row).collect();
+    let mut text = grid::layout(&headings, &rows);
     text.push_str(&format!(
         "\nas of {}, counted by {}",
         figures.at,
-        who(figures)
+        instance_names(figures)
     ));
     if figures.unread > 0 {
         text.push_str(&format!("; records not readable: {}", figures.unread));
@@ -41,18 +41,18 @@
 }
 
 /// The instances that counted.
-pub fn who(figures: &Figures) -> String {
+pub fn instance_names(figures: &Figures) -> String {
     match figures.instances.as_slice() {
         [] => "no instance".to_string(),
         names => names.join(", "),
     }
 }
 
-fn line(service: &ServiceFigures) -> Vec<String> {
+fn report_row(service: &ServiceFigures) -> Vec<String> {
     let report = &service.report;
-    let mut cells = vec![report.service.to_string(), alert_word(report).to_string()];
-    cells.extend(rates(&report.failure_burn));
-    cells.extend(rates(&report.latency_burn));
+    let mut cells = vec![report.service.to_string(), alert_label(report).to_string()];
+    cells.extend(format_rates(&report.failure_burn));
+    cells.extend(format_rates(&report.latency_burn));
     cells.push(report.requests.to_string());
     let imbalance = report.imbalance.map(|ratio| format!("{ratio:.2}"));
     cells.push(imbalance.unwrap_or_else(|| "-".to_string()));
@@ -62,6 +62,6 @@
 }
 
 /// Over 5 min, 1 h, 30 min and 6 h.
-pub fn rates(burns: &BurnRates) -> [String; 4] {
-    [burns.fast.0, burns.fast.1, burns.slow.0, burns.slow.1].map(rate_text)
+pub fn format_rates(burns: &BurnRates) -> [String; 4] {
+    [burns.fast.0, burns.fast.1, burns.slow.0, burns.slow.1].map(format_rate)
 }
--- a/crates/citronctl/src/sheet.rs
+++ b/crates/citronctl/src/sheet.rs
@@ -11,7 +11,7 @@
 };
 
 /// Fields that hold a number; an empty cell leaves the field out.
-const NUMBERS: &[&str] = &[
+const NUMBER_FIELDS: &[&str] = &[
     "weight",
     "cap",
     "slots",
@@ -26,18 +26,18 @@
     "slo_slower",
 ];
 /// Fields that hold true or false.
-const FLAGS: &[&str] = &["fenced"];
+const BOOL_FIELDS: &[&str] = &["fenced"];
 /// Fields that hold a list; cells separate its items by spaces.
-const LISTS: &[&str] = &["hosts", "idempotent"];
+const LIST_FIELDS: &[&str] = &["hosts", "idempotent"];
 /// Columns that come first.
-const FIRST: &[&str] = &["kind", "version", "name", "id", "service", "domain"];
+const LEADING_COLUMNS: &[&str] = &["kind", "version", "name", "id", "service", "domain"];
 
 /// Fields of a row.
 pub type Fields = Map<String, Value>;
 
 /// A line of a file that is to be imported.
 #[derive(Debug)]
-pub struct Line {
+pub struct ImportRow {
     /// The version that the file names.
     pub version: Option<u64>,
     /// The row.
@@ -45,7 +45,7 @@
 }
 
 /// The fields of a row.
-pub fn fields(row: &RowWire) -> Fields {
+pub fn row_fields(row: &RowWire) -> Fields {
     match serde_json::to_value(row) {
         Ok(Value::Object(fields)) => fields,
         _ => Fields::new(),
@@ -53,14 +53,14 @@
 }
 
 /// A row from its fields.
-pub fn row(fields: Fields) -> Result<RowWire, CtlError> {
-    let bad = |error: serde_json::Error| CtlError::Usage(error.to_string());
-    serde_json::from_value(Value::Object(fields)).map_err(bad)
+pub fn row_from_fields(fields: Fields) -> Result<RowWire, CtlError> {
+    let invalid = |error: serde_json::Error| CtlError::Usage(error.to_string());
+    serde_json::from_value(Value::Object(fields)).map_err(invalid)
 }
 
 /// The key of a row.
-pub fn key(row: &RowWire) -> Result<String, CtlError> {
-    let fields = fields(row);
+pub fn row_key(row: &RowWire) -> Result<String, CtlError> {
+    let fields = row_fields(row);
     let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or("");
     let name = if text("name").is_empty() {
         text("id")
@@ -68,12 +68,12 @@
         text("name")
     };
     let key = format!("{}/{name}", text("kind"));
-    let bad = |error: citron_wire::WireError| CtlError::Usage(error.to_string());
-    Ok(parse_row_key(&key).map_err(bad)?.to_string())
+    let invalid = |error: citron_wire::WireError| CtlError::Usage(error.to_string());
+    Ok(parse_row_key(&key).map_err(invalid)?.to_string())
 }
 
 /// A field as a cell shows it.
-pub fn cell(value: Option<&Value>) -> String {
+pub fn cell_text(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => String::new(),
         Some(Value::String(text)) => text.clone(),
@@ -86,59 +86,67 @@
 }
 
 /// A field from a cell; `None` leaves it out.
-pub fn value(field: &str, cell: &str) -> Result<Option<Value>, CtlError> {
-    let bad = |what: &str| CtlError::Usage(format!("{field}: '{cell}' is not {what}"));
-    if LISTS.contains(&field) {
+pub fn parse_cell(field: &str, cell: &str) -> Result<Option<Value>, CtlError> {
+    let invalid = |what: &str| CtlError::Usage(format!("{field}: '{cell}' is not {what}"));
+    if LIST_FIELDS.contains(&field) {
         let items = cell.split_whitespace().map(Value::from);
         return Ok(Some(items.collect()));
     }
     if cell.is_empty() {
         return Ok(None);
     }
-    if NUMBERS.contains(&field) {
-        let number: u64 = cell.parse().map_err(|_| bad("a number"))?;
+    if NUMBER_FIELDS.contains(&field) {
+        let number: u64 = cell.parse().map_err(|_| invalid("a number"))?;
         return Ok(Some(number.into()));
     }
-    if FLAGS.contains(&field) {
-        let flag: bool = cell.parse().map_err(|_| bad("true or false"))?;
+    if BOOL_FIELDS.contains(&field) {
+        let flag: bool = cell.parse().map_err(|_| invalid("true or false"))?;
         return Ok(Some(flag.into()));
     }
     Ok(Some(cell.into()))
 }
 
 /// Headings and cells of rows, but for columns to leave out.
-pub fn cells(rows: &[VersionedRowWire], without: &[&str]) -> (Vec<String>, Vec<Vec<String>>) {
-    let whole: Vec<Fields> = rows.iter().map(with_version).collect();
-    let mut names: BTreeSet<&str> = whole
+pub fn headings_and_cells(
+    rows: &[VersionedRowWire],
+    excluded: &[&str],
+) -> (Vec<String>, Vec<Vec<String>>) {
+    let records: Vec<Fields> = rows.iter().map(with_version).collect();
+    let mut names: BTreeSet<&str> = records
         .iter()
         .flat_map(Map::keys)
         .map(String::as_str)
         .collect();
-    names.retain(|name| !without.contains(name));
-    let mut heads: Vec<String> = Vec::new();
-    for name in FIRST {
+    names.retain(|name| !excluded.contains(name));
+    let mut headings: Vec<String> = Vec::new();
+    for name in LEADING_COLUMNS {
         if names.remove(name) {
-            heads.push((*name).to_string());
+            headings.push((*name).to_string());
         }
     }
-    heads.extend(names.into_iter().map(str::to_string));
-    let line = |fields: &Fields| heads.iter().map(|head| cell(fields.get(head))).collect();
-    let lines = whole.iter().map(line).collect();
-    (heads, lines)
+    headings.extend(names.into_iter().map(str::to_string));
+    let line = |fields: &Fields| {
+        headings
+            .iter()
+            .map(|heading| cell_text(fields.get(heading)))
+            .collect()
+    };
+    let lines = records.iter().map(line).collect();
+    (headings, lines)
 }
 
 fn with_version(row: &VersionedRowWire) -> Fields {
-    let mut fields = fields(&row.row);
+    let mut fields = row_fields(&row.row);
     fields.insert("version".to_string(), row.version.into());
     fields
 }
 
 /// Rows as CSV.
 pub fn to_csv(rows: &[VersionedRowWire]) -> Result<String, CtlError> {
-    let (heads, lines) = cells(rows, &[]);
+    let (headings, lines) = headings_and_cells(rows, &[]);
     let mut writer = csv::Writer::from_writer(Vec::new());
     let failed = |error: csv::Error| CtlError::Failed(error.to_string());
-    writer.write_record(&heads).map_err(failed)?;
+    writer.write_record(&headings).map_err(failed)?;
     for line in &lines {
         writer.write_record(line).map_err(failed)?;
     }
@@ -149,35 +157,39 @@
 }
 
 /// Rows from CSV with headings.
-pub fn from_csv(text: &str) -> Result<Vec<Line>, CtlError> {
+pub fn from_csv(text: &str) -> Result<Vec<ImportRow>, CtlError> {
     let mut reader = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
         .from_reader(text.as_bytes());
-    let bad = |error: csv::Error| CtlError::Usage(error.to_string());
-    let heads = reader.headers().map_err(bad)?.clone();
+    let invalid = |error: csv::Error| CtlError::Usage(error.to_string());
+    let headings = reader.headers().map_err(invalid)?.clone();
     let mut lines = Vec::new();
     for (number, record) in reader.records().enumerate() {
-        let record = record.map_err(bad)?;
-        let line = csv_line(&heads, &record);
+        let record = record.map_err(invalid)?;
+        let line = parse_csv_row(&headings, &record);
         // The headings are line 1.
-        let place = |error: CtlError| CtlError::Usage(format!("line {}: {error}", number + 2));
-        lines.push(line.map_err(place)?);
+        let with_line_number =
+            |error: CtlError| CtlError::Usage(format!("line {}: {error}", number + 2));
+        lines.push(line.map_err(with_line_number)?);
     }
     Ok(lines)
 }
 
-fn csv_line(heads: &csv::StringRecord, record: &csv::StringRecord) -> Result<Line, CtlError> {
+fn parse_csv_row(
+    headings: &csv::StringRecord,
+    record: &csv::StringRecord,
+) -> Result<ImportRow, CtlError> {
     let mut fields = Fields::new();
     let mut version = None;
-    for (head, cell) in heads.iter().zip(record) {
-        if head == "version" {
-            version = version_cell(cell)?;
+    for (heading, cell) in headings.iter().zip(record) {
+        if heading == "version" {
+            version = parse_version(cell)?;
             continue;
         }
         // A sheet of several kinds has columns that only some of them know.
-        let empty = cell.is_empty();
-        if let Some(value) = value(head, cell)?.filter(|_| !empty) {
-            fields.insert(head.to_string(), value);
+        let is_empty = cell.is_empty();
+        if let Some(value) = parse_cell(heading, cell)?.filter(|_| !is_empty) {
+            fields.insert(heading.to_string(), value);
         }
     }
     if fields.get("kind").and_then(Value::as_str) == Some("service") {
@@ -185,33 +197,33 @@
             .entry("idempotent")
             .or_insert_with(|| Value::Array(Vec::new()));
     }
-    let row = row(fields)?;
-    Ok(Line { version, row })
+    let row = row_from_fields(fields)?;
+    Ok(ImportRow { version, row })
 }
 
-fn version_cell(cell: &str) -> Result<Option<u64>, CtlError> {
+fn parse_version(cell: &str) -> Result<Option<u64>, CtlError> {
     if cell.is_empty() {
         return Ok(None);
     }
-    let bad = |_| CtlError::Usage(format!("version: '{cell}' is not a number"));
-    cell.parse().map(Some).map_err(bad)
+    let invalid = |_| CtlError::Usage(format!("version: '{cell}' is not a number"));
+    cell.parse().map(Some).map_err(invalid)
 }
 
 /// Rows from a JSON array of rows, bare or as `export` writes them.
-pub fn from_json(text: &str) -> Result<Vec<Line>, CtlError> {
-    let bad = |error: serde_json::Error| CtlError::Usage(error.to_string());
-    let items: Vec<Value> = serde_json::from_str(text).map_err(bad)?;
+pub fn from_json(text: &str) -> Result<Vec<ImportRow>, CtlError> {
+    let invalid = |error: serde_json::Error| CtlError::Usage(error.to_string());
+    let items: Vec<Value> = serde_json::from_str(text).map_err(invalid)?;
     let lines = items.into_iter().map(|item| {
         if item.get("row").is_some() {
-            let wire: VersionedRowWire = serde_json::from_value(item).map_err(bad)?;
+            let wire: VersionedRowWire = serde_json::from_value(item).map_err(invalid)?;
             let version = Some(wire.version);
-            return Ok(Line {
+            return Ok(ImportRow {
                 version,
                 row: wire.row,
             });
         }
-        let row = serde_json::from_value(item).map_err(bad)?;
-        Ok(Line { version: None, row })
+        let row = serde_json::from_value(item).map_err(invalid)?;
+        Ok(ImportRow { version: None, row })
     });
     lines.collect()
 }
--- a/crates/citronctl/src/wait.rs
+++ b/crates/citronctl/src/wait.rs
@@ -8,47 +8,51 @@
 };
 
 /// The pause between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// With `--wait`: waits until every instance routes by a revision.
-pub async fn in_force(client: &Client, options: &Options, revision: u64) -> Result<(), CtlError> {
+pub async fn until_in_force(
+    client: &Client,
+    options: &Options,
+    revision: u64,
+) -> Result<(), CtlError> {
     if !options.wait {
         return Ok(());
     }
-    let end = Instant::now() + options.wait_time;
-    let mut before = String::new();
+    let deadline = Instant::now() + options.wait_timeout;
+    let mut last_progress = String::new();
     loop {
-        let round = ask_all(client).await;
-        let missing = missing(&round, revision);
+        let statuses = poll_instances(client).await;
+        let missing = instances_behind(&statuses, revision);
         let progress = format!(
             "in force on {} of {}",
-            round.len() - missing.len(),
-            round.len()
+            statuses.len() - missing.len(),
+            statuses.len()
         );
-        if progress != before {
+        if progress != last_progress {
             eprintln!("{progress}");
-            before = progress;
+            last_progress = progress;
         }
         if missing.is_empty() {
             return Ok(());
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             let missing = missing.join(", ");
             return Err(CtlError::Pending { revision, missing });
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// What each instance says, by name or by address if it cannot be reached.
 /// Instances of the table are asked as well as those that were named.
-pub async fn ask_all(client: &Client) -> BTreeMap<String, Option<StatusWire>> {
-    let mut waiting: Vec<(String, SocketAddr)> = Vec::new();
+pub async fn poll_instances(client: &Client) -> BTreeMap<String, Option<StatusWire>> {
+    let mut targets: Vec<(String, SocketAddr)> = Vec::new();
     let named = client
         .admins
         .iter()
         .map(|admin| (admin.to_string(), *admin));
-    waiting.extend(named);
+    targets.extend(named);
     if let Ok(status) = client.any_status().await {
         // Expelled and leaving instances route nothing new.
         let listed = status
@@ -56,49 +60,49 @@
             .iter()
             .filter(|row| !row.leaving && !row.expelled);
         for row in listed {
-            waiting.retain(|(_, admin)| *admin != row.admin);
-            waiting.push((row.id.clone(), row.admin));
+            targets.retain(|(_, admin)| *admin != row.admin);
+            targets.push((row.id.clone(), row.admin));
         }
     }
-    let mut round = BTreeMap::new();
-    for (name, admin) in waiting {
+    let mut statuses = BTreeMap::new();
+    for (name, admin) in targets {
         match client.status(admin).await {
-            Ok(status) => round.insert(status.instance.clone(), Some(status)),
-            Err(_) => round.insert(name, None),
+            Ok(status) => statuses.insert(status.instance.clone(), Some(status)),
+            Err(_) => statuses.insert(name, None),
         };
     }
-    round
+    statuses
 }
 
-fn missing(round: &BTreeMap<String, Option<StatusWire>>, revision: u64) -> Vec<String> {
-    let behind = round.iter().filter(|(_, status)| {
-        let reached = status
+fn instances_behind(statuses: &BTreeMap<String, Option<StatusWire>>, revision: u64) -> Vec<String> {
+    let behind = statuses.iter().filter(|(_, status)| {
+        let is_in_force = status
             .as_ref()
             .is_some_and(|status| status.revision >= revision);
-        !reached
+        !is_in_force
     });
     behind.map(|(name, _)| name.clone()).collect()
 }
 
 /// With `--wait`: waits until a key's owner is another one.
-pub async fn moved(
+pub async fn until_moved(
     client: &Client,
     options: &Options,
     service: &str,
     key: &str,
     to: &str,
 ) -> Result<(), CtlError> {
-    let end = Instant::now() + options.wait_time;
+    let deadline = Instant::now() + options.wait_timeout;
     loop {
         let owner = client.owner(service, key).await?;
         if owner.owner == to && owner.to.is_none() {
             println!("{}", owner.why);
             return Ok(());
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             let (revision, missing) = (owner.revision, owner.why);
             return Err(CtlError::Pending { revision, missing });
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/citronctl/tests/ctl.rs
+++ b/crates/citronctl/tests/ctl.rs
@@ -4,7 +4,7 @@
 
 use {
     std::{fs, io::Read, net::TcpListener, path::PathBuf, thread},
-    support::{Ran, Shell},
+    support::{CommandOutput, Shell},
 };
 
 const TABLE: &str = concat!(
@@ -12,9 +12,9 @@
     "/../../examples/tables/kubbahus.json"
 );
 
-fn ok(ran: Ran) -> String {
+fn expect_success(ran: CommandOutput) -> String {
     assert_eq!(ran.code, 0, "{ran:?}");
-    ran.out
+    ran.stdout
 }
 
 /// A file of this test, removed when dropped.
@@ -62,7 +62,7 @@
     let mut text = String::new();
     for command in commands {
         let ran = shell.run(&format!("{command} --help"));
-        text.push_str(&ok(ran));
+        text.push_str(&expect_success(ran));
         text.push('\n');
     }
     insta::assert_snapshot!(text);
@@ -73,17 +73,17 @@
 #[test]
 fn a_table_goes_out_to_a_spreadsheet_and_back() {
     let shell = Shell::start();
-    ok(shell.run(&format!("table import {TABLE} --yes --wait")));
-    let again = ok(shell.run(&format!("table import {TABLE} --yes")));
+    expect_success(shell.run(&format!("table import {TABLE} --yes --wait")));
+    let again = expect_success(shell.run(&format!("table import {TABLE} --yes")));
     assert_eq!(again, "nothing to change\n");
-    insta::assert_snapshot!("show", ok(shell.run("table show")));
+    insta::assert_snapshot!("show", expect_success(shell.run("table show")));
 
-    let csv = ok(shell.run("table export server"));
+    let csv = expect_success(shell.run("table export server"));
     let sheet = File::write("servers.csv", &csv);
-    let unchanged = ok(shell.run(&format!("table import {} --yes", sheet.path())));
+    let unchanged = expect_success(shell.run(&format!("table import {} --yes", sheet.path())));
     assert_eq!(unchanged, "nothing to change\n");
-    let heads: Vec<&str> = csv.lines().next().unwrap().split(',').collect();
-    let weight = heads.iter().position(|head| *head == "weight").unwrap();
+    let headings: Vec<&str> = csv.lines().next().unwrap().split(',').collect();
+    let weight = headings.iter().position(|head| *head == "weight").unwrap();
     let mut lines: Vec<String> = csv.lines().map(str::to_string).collect();
     let mut cells: Vec<&str> = lines[1].split(',').collect();
     cells[weight] = "7";
@@ -91,22 +91,22 @@
     let edited = File::write("edited.csv", &lines.join("\n"));
     let dry = shell.run(&format!("table import {} --dry-run", edited.path()));
     assert_eq!(dry.code, 0, "{dry:?}");
-    assert_eq!(dry.err.lines().count(), 1, "{}", dry.err);
-    assert!(dry.err.contains("weight: 100 -> 7"), "{}", dry.err);
+    assert_eq!(dry.stderr.lines().count(), 1, "{}", dry.stderr);
+    assert!(dry.stderr.contains("weight: 100 -> 7"), "{}", dry.stderr);
     let ran = shell.run(&format!("table import {} --yes --wait", edited.path()));
-    assert!(ran.err.contains("in force on 1 of 1"), "{ran:?}");
+    assert!(ran.stderr.contains("in force on 1 of 1"), "{ran:?}");
     let late = shell.run(&format!("table import {} --yes", sheet.path()));
     assert_eq!(late.code, 3, "the older sheet lost: {late:?}");
-    let json = ok(shell.run("table export server --format json"));
+    let json = expect_success(shell.run("table export server --format json"));
     let file = File::write("servers.json", &json);
-    let same = ok(shell.run(&format!("table import {} --yes", file.path())));
+    let same = expect_success(shell.run(&format!("table import {} --yes", file.path())));
     assert_eq!(same, "nothing to change\n");
 }
 
 #[test]
 fn commands_change_what_they_say_and_end_with_their_codes() {
     let shell = Shell::start();
-    ok(shell.run(&format!("table import {TABLE} --yes")));
+    expect_success(shell.run(&format!("table import {TABLE} --yes")));
     let mut text = String::new();
     let lines = [
         "cap checkout-01 200 --yes",
@@ -134,10 +134,16 @@
         "status --colour",
     ];
     for line in lines {
-        let Ran { code, out, err } = shell.run(line);
-        text.push_str(&format!("$ citronctl {line}\n{out}{err}exit {code}\n\n"));
+        let CommandOutput {
+            code,
+            stdout,
+            stderr,
+        } = shell.run(line);
+        text.push_str(&format!(
+            "$ citronctl {line}\n{stdout}{stderr}exit {code}\n\n"
+        ));
     }
-    let history = ok(shell.run("history --after 1"));
+    let history = expect_success(shell.run("history --after 1"));
     let plain = history
         .lines()
         .map(|line| line.split(" at ").next().unwrap());
@@ -156,13 +162,13 @@
     let both = format!("--at 127.0.0.1:1,{} status", shell.admin);
     let ran = shell.run(&both);
     assert_eq!(ran.code, 0, "{ran:?}");
-    assert!(ran.out.contains("1 of 2 instances reached"), "{ran:?}");
+    assert!(ran.stdout.contains("1 of 2 instances reached"), "{ran:?}");
     let wrong = File::write("wrong", "some-other-token\n");
     let ran = shell.run(&format!("history --token-file {}", wrong.path()));
     assert_eq!(ran.code, 1, "{ran:?}");
-    assert!(ran.err.contains("token"), "{ran:?}");
+    assert!(ran.stderr.contains("token"), "{ran:?}");
     let right = File::write("right", "a-token-for-tests\n");
-    ok(shell.run(&format!("history --token-file {}", right.path())));
+    expect_success(shell.run(&format!("history --token-file {}", right.path())));
 }
 
 /// The instance dies after it took the order and before it answered: the order
@@ -185,20 +191,20 @@
     let ran = shell.run(&line);
     assert!(server.join().unwrap() > 0, "the order was sent");
     assert_eq!(ran.code, 4, "{ran:?}");
-    assert!(ran.err.contains("outcome unknown"), "{ran:?}");
+    assert!(ran.stderr.contains("outcome unknown"), "{ran:?}");
 }
 
 #[test]
 fn refused_requests_are_shown_and_lifted() {
     let shell = Shell::start();
-    let before = ok(shell.run("refused"));
+    let before = expect_success(shell.run("refused"));
     let first = before
         .lines()
         .find(|line| line.contains("/sets/666"))
         .unwrap();
-    let print = first.split_whitespace().next().unwrap();
-    let lifted = ok(shell.run(&format!("refused --lift {print}")));
-    let after = ok(shell.run("refused"));
+    let fingerprint = first.split_whitespace().next().unwrap();
+    let lifted = expect_success(shell.run(&format!("refused --lift {fingerprint}")));
+    let after = expect_success(shell.run("refused"));
     insta::assert_snapshot!(format!("{before}\n{lifted}\n{after}"));
     assert_eq!(shell.run("refused --lift nonsense").code, 1);
 }
@@ -229,7 +235,7 @@
     let first = File::write("first.log", FIRST_LOG);
     let second = File::write("second.log", SECOND_LOG);
     let files = format!("{} {}", first.path(), second.path());
-    let text = ok(shell.run(&format!("explain ab12 {files}")));
+    let text = expect_success(shell.run(&format!("explain ab12 {files}")));
     let pid = format!("citronctl-{}-", std::process::id());
     insta::assert_snapshot!("explained", text.replace(&pid, ""));
     assert_eq!(shell.run(&format!("explain none {files}")).code, 1);
@@ -247,7 +253,7 @@
     let first = File::write("sum-first.log", FIRST_LOG);
     let second = File::write("sum-second.log", SECOND_LOG);
     let files = format!("{} {}", first.path(), second.path());
-    insta::assert_snapshot!(ok(shell.run(&format!("explain --all {files}"))));
+    insta::assert_snapshot!(expect_success(shell.run(&format!("explain --all {files}"))));
     assert_eq!(
         shell.run(&format!("explain --all --every 0 {files}")).code,
         2
--- a/crates/citronctl/tests/report.rs
+++ b/crates/citronctl/tests/report.rs
@@ -17,14 +17,14 @@
 
 /// Six hours and more of two instances, the same in every minute, so that the figures
 /// do not depend on when the test runs.
-fn pages() -> Memory {
+fn recorded_pages() -> Memory {
     let memory = Memory::default();
     let now = SystemTime::UNIX_EPOCH.elapsed().unwrap().as_secs() / 60;
     let runtime = Builder::new_current_thread().build().unwrap();
     for instance in ["entry-1", "entry-2"] {
         for hour in now / 60 - 6..=now / 60 + 1 {
             let minutes = hour * 60..hour * 60 + 60;
-            let entries = minutes.flat_map(|minute| [burning(minute), calm(minute)]);
+            let entries = minutes.flat_map(|minute| [failing_minute(minute), slow_minute(minute)]);
             let page = PageWire {
                 instance: instance.to_string(),
                 hour,
@@ -40,7 +40,7 @@
     memory
 }
 
-fn calm(minute: u64) -> TallyWire {
+fn slow_minute(minute: u64) -> TallyWire {
     let busy = [("catalogue-01", 300), ("catalogue-02", 100)];
     TallyWire {
         minute,
@@ -55,7 +55,7 @@
     }
 }
 
-fn burning(minute: u64) -> TallyWire {
+fn failing_minute(minute: u64) -> TallyWire {
     TallyWire {
         service: "checkout".to_string(),
         failed: 20,
@@ -63,25 +63,25 @@
         closed_ms: 600,
         moved: 1,
         busy_ms: BTreeMap::new(),
-        ..calm(minute)
+        ..slow_minute(minute)
     }
 }
 
 #[test]
 fn the_report_comes_as_text_json_and_page() {
-    let shell = Shell::start_with(pages());
+    let shell = Shell::start_with(recorded_pages());
     let imported = shell.run(&format!("table import {TABLE} --yes"));
     assert_eq!(imported.code, 0, "{imported:?}");
     let text = shell.run("report");
     assert_eq!(text.code, 0, "{text:?}");
-    let figures = text.out.split("\nas of").next().unwrap();
+    let figures = text.stdout.split("\nas of").next().unwrap();
     insta::assert_snapshot!(figures);
 
     let json = shell.run("report --format json");
-    let json: serde_json::Value = serde_json::from_str(&json.out).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&json.stdout).expect("JSON");
     insta::assert_json_snapshot!(json, { ".at" => "[time]" });
 
-    let page = shell.run("report --format html").out;
+    let page = shell.run("report --format html").stdout;
     assert_eq!(page.matches("<svg").count(), 3 * 5);
     assert_eq!(page.matches("<svg").count(), page.matches("</svg>").count());
     assert_eq!(page.matches("fast burn").count(), 1);
@@ -96,5 +96,5 @@
 fn a_report_without_records_says_that_nobody_counted() {
     let shell = Shell::start();
     let text = shell.run("report");
-    assert!(text.out.contains("counted by no instance"), "{text:?}");
+    assert!(text.stdout.contains("counted by no instance"), "{text:?}");
 }
--- a/crates/citronctl/tests/support/mod.rs
+++ b/crates/citronctl/tests/support/mod.rs
@@ -32,10 +32,10 @@
 
 /// What a command left.
 #[derive(Debug)]
-pub struct Ran {
+pub struct CommandOutput {
     pub code: i32,
-    pub out: String,
-    pub err: String,
+    pub stdout: String,
+    pub stderr: String,
 }
 
 /// An operator at a shell.
@@ -67,8 +67,8 @@
     }
 
     /// Runs a command as ann; the words are separated by spaces.
-    pub fn run(&self, line: &str) -> Ran {
-        let ran = Command::new(env!("CARGO_BIN_EXE_citronctl"))
+    pub fn run(&self, line: &str) -> CommandOutput {
+        let output = Command::new(env!("CARGO_BIN_EXE_citronctl"))
             .args(line.split_whitespace())
             .env("CITRON_ADMIN", self.admin.to_string())
             .env("CITRON_TOKEN", TOKEN)
@@ -76,10 +76,10 @@
             .stdin(Stdio::null())
             .output()
             .expect("the command runs");
-        Ran {
-            code: ran.status.code().expect("an exit code"),
-            out: String::from_utf8(ran.stdout).unwrap(),
-            err: String::from_utf8(ran.stderr).unwrap(),
+        CommandOutput {
+            code: output.status.code().expect("an exit code"),
+            stdout: String::from_utf8(output.stdout).unwrap(),
+            stderr: String::from_utf8(output.stderr).unwrap(),
         }
     }
 }
@@ -87,12 +87,12 @@
 async fn run(server: AdminServer, memory: Memory) {
     let domain = "kingston-1".parse().unwrap();
     let store = LaneStore::new(memory.clone(), "admin".to_string());
-    let control = View {
+    let control = TableView {
         store: Rc::new(LaneStore::new(memory, "control".to_string())),
         table: Rc::default(),
         crashes: Rc::new(RefCell::new(crashes())),
     };
-    spawn_local(follow(control.clone()));
+    spawn_local(poll_table(control.clone()));
     let admin = Admin {
         instance: "entry-1".parse().unwrap(),
         domain,
@@ -105,39 +105,39 @@
 
 /// A request that is refused, and one that may yet be.
 fn crashes() -> CrashTracker {
-    let mut log = CrashTracker::new(CrashConfig::STANDARD);
+    let mut tracker = CrashTracker::new(CrashConfig::STANDARD);
     for (path, servers) in [("/sets/666", 3), ("/sets/7", 1)] {
-        let print = Fingerprint::from_parts(&[b"GET", path.as_bytes()]);
+        let fingerprint = Fingerprint::from_parts(&[b"GET", path.as_bytes()]);
         for server in 0..servers {
             let server = format!("catalogue-{server}").parse().unwrap();
-            log.record_crash(print, &format!("GET {path}"), &server, Time::ZERO);
+            tracker.record_crash(fingerprint, &format!("GET {path}"), &server, Time::ZERO);
         }
     }
-    log
+    tracker
 }
 
-async fn follow(view: View) {
+async fn poll_table(table_view: TableView) {
     loop {
-        view.refresh().await.unwrap();
+        table_view.refresh().await.unwrap();
         sleep(READ_PAUSE).await;
     }
 }
 
 /// Follows the table, and has each revision in force as soon as it is read.
 #[derive(Clone)]
-struct View {
+struct TableView {
     store: Rc<LaneStore<Memory>>,
     table: Rc<RefCell<Table>>,
     crashes: Rc<RefCell<CrashTracker>>,
 }
 
-impl ControlView for View {
+impl ControlView for TableView {
     fn in_force(&self) -> Revision {
         self.table.borrow().revision()
     }
 
-    fn table<T>(&self, look: impl FnOnce(&Table) -> T) -> T {
-        look(&self.table.borrow())
+    fn table<T>(&self, read: impl FnOnce(&Table) -> T) -> T {
+        read(&self.table.borrow())
     }
 
     async fn refresh(&self) -> Result<(), PlatformError> {
@@ -151,8 +151,8 @@
         self.crashes.borrow().entries(Time::ZERO)
     }
 
-    fn lift(&self, print: Fingerprint) {
-        self.crashes.borrow_mut().lift(print, Time::ZERO);
+    fn lift(&self, fingerprint: Fingerprint) {
+        self.crashes.borrow_mut().lift(fingerprint, Time::ZERO);
     }
 
     fn accepted(&self) {}
--- a/crates/citronproxy/examples/upload.rs
+++ b/crates/citronproxy/examples/upload.rs
@@ -9,7 +9,7 @@
         routing::{RouteMap, Snapshot},
         table::{Changes, Row, Table},
     },
-    citron_fakes::scripted::drain_server,
+    citron_fakes::scripted::upload_server,
     citronproxy::{clock::Clock, dev, traffic},
     std::{
         error::Error,
@@ -33,7 +33,7 @@
     let mut args = pico_args::Arguments::from_env();
     let mib: usize = args.opt_value_from_str("--mib")?.unwrap_or(1_024);
     // The server pauses a little after each MiB, so that the caller is faster.
-    let server = drain_server(Duration::from_millis(1)).await?;
+    let server = upload_server(Duration::from_millis(1)).await?;
     let instance = instance(server)?;
     let before = resident("VmRSS:")?;
     let begun = Instant::now();
--- a/crates/citronproxy/src/main.rs
+++ b/crates/citronproxy/src/main.rs
@@ -4,7 +4,7 @@
 mod instance;
 
 use {
-    citron_adapter::UserPlatform,
+    citron_adapter::PlatformAdapter,
     citronproxy::{
         dev,
         edge::{self, EdgeSettings},
@@ -28,7 +28,7 @@
         }
         Ok(Command::Dev) => exit(run_dev()),
         Ok(Command::Edge(file)) => with_edge_settings(&file, |settings| {
-            let platform = UserPlatform::new(settings.store_address);
+            let platform = PlatformAdapter::new(settings.store_address);
             edge::run(platform, settings, file.clone()).map_err(Into::into)
         }),
         Ok(Command::CheckEdge(file)) => with_edge_settings(&file, |_| Ok(())),
--- a/crates/citronproxy/tests/admin.rs
+++ b/crates/citronproxy/tests/admin.rs
@@ -125,7 +125,7 @@
     for (case, called) in cases {
         lines.push(line(case, &called.unwrap()));
     }
-    platform.faults.set(|trouble| trouble.down = true);
+    platform.faults.update(|settings| settings.is_down = true);
     let down = ann.put("server/server-1", 3, &row).await.unwrap();
     assert_eq!(
         (down.0, down.1["code"].as_str()),
--- a/crates/citronproxy/tests/ahead.rs
+++ b/crates/citronproxy/tests/ahead.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    citron_fakes::scripted::{Act, RawServer},
+    citron_fakes::scripted::{ScriptedServer, Step},
     std::time::{Duration, Instant},
     support::{LONG, Path, read_all},
     tokio::{
@@ -39,18 +39,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_request_does_not_hold_up_those_behind_it() {
     let slow = vec![
-        Act::Request,
-        Act::Pause(Duration::from_secs(2)),
-        Act::answer("first"),
+        Step::ReadRequest,
+        Step::Pause(Duration::from_secs(2)),
+        Step::respond("first"),
     ];
-    let fine = vec![Act::Request, Act::answer("other")];
-    let server = RawServer::start(vec![slow, fine]).await.unwrap();
+    let fine = vec![Step::ReadRequest, Step::respond("other")];
+    let server = ScriptedServer::start(vec![slow, fine]).await.unwrap();
     let path = Path::start(server.address);
     let mut caller = send(&path, &get("bar-1")).await;
-    until("the first request", || server.runs() == 1).await;
+    until("the first request", || server.request_count() == 1).await;
     let more = [get("bar-2"), get("bar-3")].concat();
     caller.write_all(more.as_bytes()).await.unwrap();
-    until("the other requests", || server.runs() == 3).await;
+    until("the other requests", || server.request_count() == 3).await;
     let early = timeout(Duration::ZERO, caller.read_u8()).await;
     assert!(early.is_err(), "the first answer was waited for");
     let answers = read_all(&mut caller, LONG / 4).await;
@@ -67,13 +67,16 @@
 /// and stop, for those behind the first one, too.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_all_its_servers() {
-    let hang = vec![Act::Request, Act::Hang];
-    let server = RawServer::start(vec![hang]).await.unwrap();
+    let hang = vec![Step::ReadRequest, Step::Hang];
+    let server = ScriptedServer::start(vec![hang]).await.unwrap();
     let path = Path::start(server.address);
     let caller = send(&path, &[get("bar-1"), get("bar-2")].concat()).await;
-    until("both requests", || server.runs() == 2).await;
+    until("both requests", || server.request_count() == 2).await;
     drop(caller);
-    until("the end of both connections", || server.closed() == 2).await;
+    until("the end of both connections", || {
+        server.closed_connections() == 2
+    })
+    .await;
 }
 
 /// A read behind a request that changes something may depend on it, and a request
@@ -85,12 +88,12 @@
         [get("bar-1"), post.to_string()],
         [post.to_string(), get("bar-1")],
     ] {
-        let hang = vec![Act::Request, Act::Hang];
-        let server = RawServer::start(vec![hang]).await.unwrap();
+        let hang = vec![Step::ReadRequest, Step::Hang];
+        let server = ScriptedServer::start(vec![hang]).await.unwrap();
         let path = Path::start(server.address);
         let _caller = send(&path, &pair.concat()).await;
-        until("the first request", || server.runs() == 1).await;
+        until("the first request", || server.request_count() == 1).await;
         sleep(SHORT).await;
-        assert_eq!(server.runs(), 1);
+        assert_eq!(server.request_count(), 1);
     }
 }
--- a/crates/citronproxy/tests/crashes.rs
+++ b/crates/citronproxy/tests/crashes.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    citron_fakes::scripted::{Act, RawServer},
+    citron_fakes::scripted::{ScriptedServer, Step},
     std::time::Duration,
     support::{Path, post},
     tokio::time::sleep,
@@ -15,15 +15,15 @@
 /// is served; an operator lifts the entry, and the request goes through again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_servers_is_refused() {
-    let crash = vec![Act::Request, Act::Reset];
+    let crash = vec![Step::ReadRequest, Step::Reset];
     let fine = vec![
-        Act::Request,
-        Act::answer("fine"),
-        Act::Request,
-        Act::answer("fine"),
+        Step::ReadRequest,
+        Step::respond("fine"),
+        Step::ReadRequest,
+        Step::respond("fine"),
     ];
     let scripts = vec![crash.clone(), crash.clone(), crash, fine];
-    let server = RawServer::start(scripts).await.unwrap();
+    let server = ScriptedServer::start(scripts).await.unwrap();
     let path = Path::start(server.address);
     for _ in 0..3 {
         let reply = post(path.address, "/kegs/a", "", "bad").await.unwrap();
@@ -36,7 +36,7 @@
     assert_eq!(reply.status.as_u16(), 422);
     assert_eq!(reply.header("citron-outcome"), "not-run");
     assert_ne!(reply.header("retry-after"), "");
-    assert_eq!(server.runs(), 3);
+    assert_eq!(server.request_count(), 3);
 
     let other = post(path.address, "/kegs/a", "", "gut").await.unwrap();
     assert_eq!(other.body, "fine");
--- a/crates/citronproxy/tests/cut.rs
+++ b/crates/citronproxy/tests/cut.rs
@@ -26,7 +26,7 @@
         let peer = Link::start(any()).await.unwrap();
         let more = format!(r#", "advertise": "{}" "#, peer.address);
         let instance = Instance::start_with(name, domain, platform.address, &more);
-        peer.lead_to(instance.peer);
+        peer.set_target(instance.peer);
         until_serving(instance.traffic).await;
         let links = [platform, peer];
         Self { instance, links }
--- a/crates/citronproxy/tests/drain.rs
+++ b/crates/citronproxy/tests/drain.rs
@@ -8,7 +8,7 @@
     citron_fakes::{
         backend::{BackendConfig, BackendServer},
         platform::PlatformServer,
-        scripted::{Act, RawServer},
+        scripted::{ScriptedServer, Step},
     },
     http::{Request, Response, header},
     http_body_util::{BodyExt, Full},
@@ -198,12 +198,12 @@
         name: "server-1".to_string(),
         slots: 64,
         work: Duration::from_millis(5),
-        fenced: false,
+        checks_grants: false,
     };
     let server = BackendServer::start(any, config).await.unwrap();
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {LARGE}\r\n\r\n");
-    let large = Act::Write(head + &"y".repeat(LARGE));
-    let raw = RawServer::start(vec![vec![Act::Request, large]])
+    let large = Step::Write(head + &"y".repeat(LARGE));
+    let raw = ScriptedServer::start(vec![vec![Step::ReadRequest, large]])
         .await
         .unwrap();
     let servers = vec![(
@@ -265,7 +265,12 @@
         results.len()
     );
     let sent: BTreeSet<&String> = results.iter().flatten().collect();
-    let ran: Vec<String> = server.runs.all().iter().map(|run| run.id.clone()).collect();
+    let ran: Vec<String> = server
+        .executions
+        .all()
+        .iter()
+        .map(|run| run.id.clone())
+        .collect();
     let ran: Vec<&String> = ran.iter().filter(|id| *id != "upload").collect();
     assert!(sent.len() > 100, "too little traffic: {}", sent.len());
     assert_eq!(
--- a/crates/citronproxy/tests/exchange.rs
+++ b/crates/citronproxy/tests/exchange.rs
@@ -9,7 +9,7 @@
         ownership::Phase,
         table::Row,
     },
-    citron_fakes::scripted::{Act, RawServer},
+    citron_fakes::scripted::{ScriptedServer, Step},
     std::time::{Duration, Instant},
     support::{LONG, Path, get, post, read_all},
     tokio::{
@@ -40,16 +40,16 @@
 /// after all, when a second caller asks. The second must get its own.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_reaches_nobody() {
-    let late = Act::Pause(Duration::from_millis(600));
-    let fine = vec![Act::Request, Act::answer("second")];
+    let late = Step::Pause(Duration::from_millis(600));
+    let fine = vec![Step::ReadRequest, Step::respond("second")];
     let script = vec![
-        Act::Request,
+        Step::ReadRequest,
         late,
-        Act::answer("first"),
-        Act::Request,
-        Act::Hang,
+        Step::respond("first"),
+        Step::ReadRequest,
+        Step::Hang,
     ];
-    let server = RawServer::start(vec![script, fine]).await.unwrap();
+    let server = ScriptedServer::start(vec![script, fine]).await.unwrap();
     let path = Path::start(server.address);
     let first = path.raw(POST_300_MS, SHORT * 3).await;
     assert!(first.starts_with("HTTP/1.1 504"), "{first}");
@@ -58,7 +58,7 @@
     sleep(SHORT).await;
     let second = post(path.address, "/kegs/bar-7", "2", "hi").await.unwrap();
     assert_eq!(second.body, "second");
-    assert_eq!(server.runs(), 2);
+    assert_eq!(server.request_count(), 2);
 }
 
 /// The server answers one request twice, in one piece or in chunks. The surplus
@@ -72,9 +72,14 @@
         format!("{chunked}5\r\nfirst\r\n0\r\n\r\n{chunked}5\r\ncross\r\n0\r\n\r\n"),
     ];
     for double in bodies {
-        let script = vec![Act::Request, Act::Write(double), Act::Request, Act::Hang];
-        let fine = vec![Act::Request, Act::answer("own"), Act::Hang];
-        let server = RawServer::start(vec![script, fine]).await.unwrap();
+        let script = vec![
+            Step::ReadRequest,
+            Step::Write(double),
+            Step::ReadRequest,
+            Step::Hang,
+        ];
+        let fine = vec![Step::ReadRequest, Step::respond("own"), Step::Hang];
+        let server = ScriptedServer::start(vec![script, fine]).await.unwrap();
         let path = Path::start(server.address);
         // Both requests in one write, so that the second follows at once.
         let both = [POST, POST].concat();
@@ -89,17 +94,20 @@
 /// at once, and no later request is put on it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_the_server() {
-    let fine = vec![Act::Request, Act::answer("own")];
-    let server = RawServer::start(vec![vec![Act::Request, Act::Hang], fine])
+    let fine = vec![Step::ReadRequest, Step::respond("own")];
+    let server = ScriptedServer::start(vec![vec![Step::ReadRequest, Step::Hang], fine])
         .await
         .unwrap();
     let path = Path::start(server.address);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     caller.write_all(POST).await.unwrap();
-    until("the request", || server.runs() == 1).await;
-    assert_eq!(server.closed(), 0);
+    until("the request", || server.request_count() == 1).await;
+    assert_eq!(server.closed_connections(), 0);
     drop(caller);
-    until("the end of the connection", || server.closed() == 1).await;
+    until("the end of the connection", || {
+        server.closed_connections() == 1
+    })
+    .await;
     let next = post(path.address, "/kegs/bar-7", "2", "hi").await.unwrap();
     assert_eq!(next.body, "own");
 }
@@ -108,29 +116,35 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_during_the_answer_frees_the_server() {
     let part = "HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\npart";
-    let script = vec![Act::Request, Act::write(part), Act::Hang];
-    let server = RawServer::start(vec![script]).await.unwrap();
+    let script = vec![Step::ReadRequest, Step::write(part), Step::Hang];
+    let server = ScriptedServer::start(vec![script]).await.unwrap();
     let path = Path::start(server.address);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     caller.write_all(POST).await.unwrap();
     let begin = read_all(&mut caller, SHORT).await;
     assert!(begin.ends_with("part"), "{begin}");
     drop(caller);
-    until("the end of the connection", || server.closed() == 1).await;
+    until("the end of the connection", || {
+        server.closed_connections() == 1
+    })
+    .await;
 }
 
 /// The server answers before it has read the upload, and keeps its connection.
 /// The rest of the body must not be taken for a new request there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_with_half_a_request_is_not_used_again() {
-    let fine = vec![Act::Request, Act::answer("own")];
-    let early = vec![Act::Head, Act::answer("early"), Act::Hang];
-    let server = RawServer::start(vec![early, fine]).await.unwrap();
+    let fine = vec![Step::ReadRequest, Step::respond("own")];
+    let early = vec![Step::ReadHead, Step::respond("early"), Step::Hang];
+    let server = ScriptedServer::start(vec![early, fine]).await.unwrap();
     let path = Path::start(server.address);
     let half = b"POST /kegs/bar-7 HTTP/1.1\r\nhost: a\r\ncontent-length: 9000\r\n\r\nhalf";
     let first = path.raw(half, SHORT).await;
     assert!(first.contains("early"), "{first}");
-    until("the end of the connection", || server.closed() == 1).await;
+    until("the end of the connection", || {
+        server.closed_connections() == 1
+    })
+    .await;
     let next = post(path.address, "/kegs/bar-7", "2", "hi").await.unwrap();
     assert_eq!(next.body, "own");
 }
@@ -138,13 +152,13 @@
 /// The server learns how long it may take: the caller's time, less what is spent.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_deadline_is_passed_on() {
-    let fine = vec![Act::Request, Act::answer("own")];
-    let server = RawServer::start(vec![fine]).await.unwrap();
+    let fine = vec![Step::ReadRequest, Step::respond("own")];
+    let server = ScriptedServer::start(vec![fine]).await.unwrap();
     let path = Path::start(server.address);
     path.raw(POST_300_MS, SHORT).await;
     path.raw(POST, SHORT).await;
     let told = |number| {
-        let text = server.text(number);
+        let text = server.received_text(number);
         let line = text
             .lines()
             .find_map(|l| l.strip_prefix("citron-timeout-ms: "));
@@ -159,9 +173,9 @@
 /// connection long before its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_connection_is_replaced() {
-    let silent = vec![Act::Request, Act::answer("one"), Act::Hang];
-    let fine = vec![Act::Request, Act::answer("two")];
-    let server = RawServer::start(vec![silent, fine]).await.unwrap();
+    let silent = vec![Step::ReadRequest, Step::respond("one"), Step::Hang];
+    let fine = vec![Step::ReadRequest, Step::respond("two")];
+    let server = ScriptedServer::start(vec![silent, fine]).await.unwrap();
     let path = Path::start(server.address);
     assert_eq!(get(path.address, "/kegs/bar-7").await.unwrap().body, "one");
     let begun = Instant::now();
@@ -174,9 +188,9 @@
 /// it is not put on a connection that has received nothing lately.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_may_run_once_avoids_old_connections() {
-    let silent = vec![Act::Request, Act::answer("one"), Act::Hang];
-    let fine = vec![Act::Request, Act::answer("two")];
-    let server = RawServer::start(vec![silent, fine]).await.unwrap();
+    let silent = vec![Step::ReadRequest, Step::respond("one"), Step::Hang];
+    let fine = vec![Step::ReadRequest, Step::respond("two")];
+    let server = ScriptedServer::start(vec![silent, fine]).await.unwrap();
     let path = Path::start(server.address);
     assert_eq!(get(path.address, "/kegs/bar-7").await.unwrap().body, "one");
     sleep(Duration::from_millis(1_300)).await;
@@ -199,8 +213,8 @@
 /// Requests of that time wait and are answered; none is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_wait_for_a_move_to_end() {
-    let fine = vec![Act::Request, Act::answer("own")];
-    let server = RawServer::start(vec![fine]).await.unwrap();
+    let fine = vec![Step::ReadRequest, Step::respond("own")];
+    let server = ScriptedServer::start(vec![fine]).await.unwrap();
     let mut path = Path::start(server.address);
     let releasing = Phase::Releasing { to: server_1() };
     edit_owner(&mut path, &releasing, 2);
@@ -208,19 +222,23 @@
     let address = path.address;
     let waiting = tokio::spawn(async move { post(address, "/kegs/bar-7", "1", "hi").await });
     sleep(Duration::from_millis(400)).await;
-    assert_eq!(server.begun(), 0, "written while nobody owns the key");
+    assert_eq!(
+        server.used_connections(),
+        0,
+        "written while nobody owns the key"
+    );
     edit_owner(&mut path, &Phase::Owned, 3);
     path.publish(3, LONG);
     let reply = waiting.await.unwrap().unwrap();
     assert_eq!(reply.body, "own");
-    assert!(server.text(0).contains("citron-epoch: 3"));
+    assert!(server.received_text(0).contains("citron-epoch: 3"));
 }
 
 /// Nobody is named in time: the caller is told at once after the short wait, well
 /// before its own deadline, that nothing ran and when to come back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_that_lasts_is_told() {
-    let server = RawServer::start(vec![vec![Act::Hang]]).await.unwrap();
+    let server = ScriptedServer::start(vec![vec![Step::Hang]]).await.unwrap();
     let mut path = Path::start(server.address);
     let releasing = Phase::Releasing { to: server_1() };
     edit_owner(&mut path, &releasing, 2);
@@ -238,15 +256,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn quiet_waits_for_requests_under_way() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nha";
-    let pause = Act::Pause(SHORT);
+    let pause = Step::Pause(SHORT);
     let script = vec![
-        Act::Request,
+        Step::ReadRequest,
         pause.clone(),
-        Act::write(head),
+        Step::write(head),
         pause,
-        Act::write("lf"),
+        Step::write("lf"),
     ];
-    let server = RawServer::start(vec![script]).await.unwrap();
+    let server = ScriptedServer::start(vec![script]).await.unwrap();
     let path = Path::start(server.address);
     let early = server_1();
     let early = path.handle.quiet(&early, Revision(2));
@@ -254,7 +272,7 @@
     assert!(early.is_err(), "quiet before the publication");
     let address = path.address;
     let call = tokio::spawn(async move { get(address, "/kegs/bar-7").await.unwrap() });
-    until("the request", || server.runs() == 1).await;
+    until("the request", || server.request_count() == 1).await;
     let (handle, server_1) = (path.handle.clone(), server_1());
     let quiet = handle.quiet(&server_1, Revision(2));
     assert!(
@@ -287,7 +305,7 @@
 /// 300 ms. It may still do so, and control must not take it for quiet.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_abandoned_request_counts_until_its_deadline() {
-    let server = RawServer::start(vec![vec![Act::Request, Act::Hang]])
+    let server = ScriptedServer::start(vec![vec![Step::ReadRequest, Step::Hang]])
         .await
         .unwrap();
     let path = Path::start(server.address);
@@ -295,9 +313,12 @@
     let begun = Instant::now();
     let post = String::from_utf8_lossy(POST_300_MS).replace(": 300", ": 1500");
     caller.write_all(post.as_bytes()).await.unwrap();
-    until("the request", || server.runs() == 1).await;
+    until("the request", || server.request_count() == 1).await;
     drop(caller);
-    until("the end of the connection", || server.closed() == 1).await;
+    until("the end of the connection", || {
+        server.closed_connections() == 1
+    })
+    .await;
     path.publish(2, LONG);
     path.handle.quiet(&server_1(), Revision(2)).await;
     assert!(begun.elapsed() >= Duration::from_millis(1_400));
@@ -308,17 +329,17 @@
 /// to the owner of its key with the header unchanged, and the server decides.
 #[tokio::test(flavor = "multi_thread")]
 async fn idempotency_keys_are_passed_on_to_the_same_owner() {
-    let fine = vec![Act::Request, Act::answer("own")];
-    let server = RawServer::start(vec![fine]).await.unwrap();
+    let fine = vec![Step::ReadRequest, Step::respond("own")];
+    let server = ScriptedServer::start(vec![fine]).await.unwrap();
     let instances = [Path::start(server.address), Path::start(server.address)];
     let keyed = String::from_utf8_lossy(POST).replace("host: a", "host: a\r\nidempotency-key: k-7");
     for path in [&instances[0], &instances[0], &instances[1]] {
         let answer = path.raw(keyed.as_bytes(), SHORT).await;
         assert!(answer.contains("citron-outcome: ran"), "{answer}");
     }
-    assert_eq!(server.runs(), 3);
+    assert_eq!(server.request_count(), 3);
     for connection in 0..3 {
-        let text = server.text(connection);
+        let text = server.received_text(connection);
         assert_eq!(text.matches("idempotency-key: k-7").count(), 1, "{text}");
     }
 }
--- a/crates/citronproxy/tests/faults.rs
+++ b/crates/citronproxy/tests/faults.rs
@@ -47,14 +47,17 @@
     // So many that some requests of the dead instance surely go on elsewhere.
     let more = Callers::start(&[addresses[number]; 12], KEYS);
     sleep(SECOND).await;
-    deployment.platform.faults.set(|t| t.slow = SECOND / 10);
+    deployment.platform.faults.update(|t| t.delay = SECOND / 10);
     deployment.drain("server-1").await;
     while deployment.moving().await == 0 {
         sleep(Duration::from_millis(5)).await;
     }
     instances[number].kill();
     let killed = Instant::now();
-    deployment.platform.faults.set(|t| t.slow = Duration::ZERO);
+    deployment
+        .platform
+        .faults
+        .update(|t| t.delay = Duration::ZERO);
     let took = deployment.until_empty("server-1").await;
     sleep(SECOND).await;
     let told = callers.stop().await;
@@ -121,7 +124,7 @@
         let callers = Callers::start(&[one.traffic, two.traffic, one.traffic], KEYS);
         sleep(SECOND / 2).await;
         let stopped = Instant::now();
-        deployment.platform.faults.set(|t| t.down = true);
+        deployment.platform.faults.update(|t| t.is_down = true);
         sleep(2 * SECOND).await;
         let before = callers.stop().await;
         let gap = longest_gap(&of_keys(&before, &kept), stopped);
@@ -133,7 +136,7 @@
         deployment.servers[0].freeze();
         let callers = Callers::start(&[one.traffic, two.traffic], KEYS);
         sleep(2 * SECOND).await;
-        deployment.platform.faults.set(|t| t.down = false);
+        deployment.platform.faults.update(|t| t.is_down = false);
         let took = deployment.until_empty("server-1").await;
         deployment.servers[0].thaw();
         sleep(SECOND).await;
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -8,7 +8,7 @@
         id::Slots,
         table::Row,
     },
-    citron_fakes::scripted::{Act, RawServer},
+    citron_fakes::scripted::{ScriptedServer, Step},
     citronproxy::traffic::Limits,
     std::{
         collections::BTreeMap,
@@ -23,14 +23,14 @@
     },
 };
 
-async fn slow(work: Duration) -> RawServer {
-    let answer = Act::answer("fine");
-    let one = [Act::Request, Act::Pause(work), answer];
+async fn slow(work: Duration) -> ScriptedServer {
+    let answer = Step::respond("fine");
+    let one = [Step::ReadRequest, Step::Pause(work), answer];
     let script = one.iter().cycle().take(300).cloned().collect();
-    RawServer::start(vec![script]).await.unwrap()
+    ScriptedServer::start(vec![script]).await.unwrap()
 }
 
-fn path(server: &RawServer, slots: u32, cap: Option<u32>) -> Path {
+fn path(server: &ScriptedServer, slots: u32, cap: Option<u32>) -> Path {
     Path::start_with(server.address, Limits::default(), |row| {
         if let Row::Server(row) = row {
             row.slots = Slots(slots);
@@ -67,11 +67,11 @@
     let path = path(&server, 2, None);
     let calls = send(&path, 6);
     sleep(Duration::from_millis(200)).await;
-    assert_eq!(server.runs(), 2);
+    assert_eq!(server.request_count(), 2);
     for reply in replies(calls).await {
         assert_eq!(told(&reply), (200, "ran", false));
     }
-    assert_eq!(server.runs(), 6);
+    assert_eq!(server.request_count(), 6);
 }
 
 /// More callers than can be served in time: those who are refused learn at
@@ -81,7 +81,7 @@
     let server = slow(Duration::from_millis(100)).await;
     let path = path(&server, 1, None);
     replies(send(&path, 8)).await;
-    let before = server.runs();
+    let before = server.request_count();
     let begun = Instant::now();
     let calls = send(&path, 60);
     let mut refused = 0;
@@ -95,7 +95,7 @@
     }
     assert!(refused >= 30, "{refused} refused");
     assert!(ran >= 1);
-    assert_eq!(server.runs() - before, ran);
+    assert_eq!(server.request_count() - before, ran);
     assert!(begun.elapsed() < LONG / 4);
 }
 
@@ -110,25 +110,29 @@
         (of((200, "ran", false)), of((429, "not-run", true))),
         (2, 3)
     );
-    assert_eq!(server.runs(), 2);
+    assert_eq!(server.request_count(), 2);
 }
 
 /// The only slot is held by a caller that leaves: the next one gets it at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_its_slot() {
-    let hang = vec![Act::Request, Act::Hang];
-    let fine = vec![Act::Request, Act::answer("fine")];
-    let server = RawServer::start(vec![hang, fine]).await.unwrap();
+    let hang = vec![Step::ReadRequest, Step::Hang];
+    let fine = vec![Step::ReadRequest, Step::respond("fine")];
+    let server = ScriptedServer::start(vec![hang, fine]).await.unwrap();
     let path = path(&server, 1, None);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     let request = b"POST /kegs/a HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(request).await.unwrap();
-    while server.runs() == 0 {
+    while server.request_count() == 0 {
         sleep(Duration::from_millis(5)).await;
     }
     let next = send(&path, 1);
     sleep(Duration::from_millis(150)).await;
-    assert_eq!(server.runs(), 1, "two requests at a server of one slot");
+    assert_eq!(
+        server.request_count(),
+        1,
+        "two requests at a server of one slot"
+    );
     drop(caller);
     assert_eq!(told(&replies(next).await[0]), (200, "ran", false));
 }
@@ -165,7 +169,7 @@
     path.handle.set_parts(parts).await;
     let calls = send(&path, 4);
     sleep(Duration::from_millis(200)).await;
-    assert_eq!(server.runs(), 2);
+    assert_eq!(server.request_count(), 2);
     replies(calls).await;
     let demand = path.handle.demand().await;
     let demand = &demand[&"server-1".parse().unwrap()];
--- a/crates/citronproxy/tests/listing.rs
+++ b/crates/citronproxy/tests/listing.rs
@@ -105,7 +105,7 @@
 async fn an_instance_starts_while_the_platform_is_down() {
     let deployment = deployment(20 * SECOND).await;
     let one = deployment.instance("entry-1", "harbour").await;
-    deployment.platform.faults.set(|t| t.down = true);
+    deployment.platform.faults.update(|t| t.is_down = true);
     sleep(2 * SECOND).await;
     let seeds = format!(r#", "seeds": ["{}"]"#, one.peer);
     let platform = deployment.platform.address;
@@ -117,7 +117,7 @@
 
     // A move waits for the instance that nobody lists: the one that lent it its
     // leave answers for it.
-    deployment.platform.faults.set(|t| t.down = false);
+    deployment.platform.faults.update(|t| t.is_down = false);
     while incarnation(&deployment, "entry-2").await.is_none() {
         assert!(begun.elapsed() < 20 * SECOND, "never listed");
         sleep(SECOND / 50).await;
--- a/crates/citronproxy/tests/memory.rs
+++ b/crates/citronproxy/tests/memory.rs
@@ -4,7 +4,7 @@
 
 use {
     citron_core::table::{Fencing, Row},
-    citron_fakes::{platform::PlatformServer, scripted::drain_server},
+    citron_fakes::{platform::PlatformServer, scripted::upload_server},
     std::{fs, net::SocketAddr},
     support::{Instance, LONG, Sample, commit, domain_row, get, read_all, sample},
     tokio::{
@@ -39,7 +39,7 @@
 async fn an_upload_is_streamed_with_backpressure() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let platform = PlatformServer::start(any).await.unwrap();
-    let server = drain_server(Duration::from_millis(1)).await.unwrap();
+    let server = upload_server(Duration::from_millis(1)).await.unwrap();
     let servers = vec![("server-1".to_string(), "harbour".to_string(), server)];
     let fencing = Fencing::Unchecked;
     let mut rows = sample(&Sample { servers, fencing });
--- a/crates/citronproxy/tests/moves.rs
+++ b/crates/citronproxy/tests/moves.rs
@@ -31,7 +31,7 @@
         name: name.to_string(),
         slots: 64,
         work: Duration::from_millis(4),
-        fenced: false,
+        checks_grants: false,
     };
     let any = "127.0.0.1:0".parse().unwrap();
     BackendServer::start(any, config).await.unwrap()
@@ -116,7 +116,7 @@
 
     let runs: Vec<_> = servers
         .iter()
-        .flat_map(|server| server.runs.all())
+        .flat_map(|server| server.executions.all())
         .collect();
     assert!(sent.len() > 200, "too little traffic: {}", sent.len());
     assert_eq!(runs.len(), sent.len(), "a request ran twice, or not at all");
--- a/crates/citronproxy/tests/path.rs
+++ b/crates/citronproxy/tests/path.rs
@@ -21,7 +21,7 @@
         name: name.to_string(),
         slots: 4,
         work: Duration::from_millis(1),
-        fenced: false,
+        checks_grants: false,
     };
     BackendServer::start(ANY.parse().unwrap(), config)
         .await
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -189,7 +189,7 @@
         let link = Link::start(address).await.unwrap();
         let peers = Peers::default();
         peers.status(link.address).await.unwrap();
-        link.silence_open();
+        link.stall_connections();
         let late = peers.status(link.address).await;
         assert!(matches!(late, Err(PeerError::Late(_))), "{late:?}");
         assert_eq!(peers.status(link.address).await.unwrap(), status());
@@ -216,7 +216,7 @@
         peers.status(link.address).await.unwrap();
 
         let torn = Link::start(address).await.unwrap();
-        torn.tear(1, 40);
+        torn.truncate_replies(1, 40);
         assert!(peers.status(torn.address).await.is_err(), "torn");
         peers.status(torn.address).await.unwrap();
 
--- a/crates/citronproxy/tests/points.rs
+++ b/crates/citronproxy/tests/points.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use {
-    citron_fakes::scripted::{Act, RawServer},
+    citron_fakes::scripted::{ScriptedServer, Step},
     std::time::Duration,
     support::{LONG, Path},
     tokio::net::TcpListener,
@@ -57,98 +57,103 @@
 /// caller learns `not-run` only if no byte was written or the server promised it.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_point_has_its_exact_outcome() {
-    let fine = vec![Act::Request, Act::answer("fine")];
-    let cases: Vec<(&str, Vec<u8>, Vec<Act>)> = vec![
-        ("POST head part", post(9), vec![Act::Read(10), Act::Reset]),
+    let fine = vec![Step::ReadRequest, Step::respond("fine")];
+    let cases: Vec<(&str, Vec<u8>, Vec<Step>)> = vec![
+        ("POST head part", post(9), vec![Step::Read(10), Step::Reset]),
         (
             "POST body part",
             post(LARGE),
-            vec![Act::Head, Act::Read(1_000), Act::Reset],
+            vec![Step::ReadHead, Step::Read(1_000), Step::Reset],
         ),
         (
             "POST all written, reset",
             post(9),
-            vec![Act::Request, Act::Reset],
+            vec![Step::ReadRequest, Step::Reset],
         ),
-        ("POST all written, closed", post(9), vec![Act::Request]),
+        ("POST all written, closed", post(9), vec![Step::ReadRequest]),
         (
             "POST answer's head part",
             post(9),
-            vec![Act::Request, Act::write("HTTP/1.1 200 OK\r\nconte")],
+            vec![Step::ReadRequest, Step::write("HTTP/1.1 200 OK\r\nconte")],
         ),
         (
             "POST answer's body part by length, reset",
             post(9),
             vec![
-                Act::Request,
-                Act::write(CUT_LENGTH),
-                Act::Pause(Duration::from_millis(50)),
-                Act::Reset,
+                Step::ReadRequest,
+                Step::write(CUT_LENGTH),
+                Step::Pause(Duration::from_millis(50)),
+                Step::Reset,
             ],
         ),
         (
             "POST answer's body part by length, closed",
             post(9),
-            vec![Act::Request, Act::write(CUT_LENGTH)],
+            vec![Step::ReadRequest, Step::write(CUT_LENGTH)],
         ),
         (
             "POST answer's body part in chunks, reset",
             post(9),
             vec![
-                Act::Request,
-                Act::write(CUT_CHUNKED),
-                Act::Pause(Duration::from_millis(50)),
-                Act::Reset,
+                Step::ReadRequest,
+                Step::write(CUT_CHUNKED),
+                Step::Pause(Duration::from_millis(50)),
+                Step::Reset,
             ],
         ),
         (
             "POST answer's body part in chunks, closed",
             post(9),
-            vec![Act::Request, Act::write(CUT_CHUNKED)],
+            vec![Step::ReadRequest, Step::write(CUT_CHUNKED)],
         ),
         (
             "POST answer without an end of its own",
             post(9),
-            vec![Act::Request, Act::write("HTTP/1.1 200 OK\r\n\r\npart")],
+            vec![
+                Step::ReadRequest,
+                Step::write("HTTP/1.1 200 OK\r\n\r\npart"),
+            ],
         ),
         (
             "POST not HTTP",
             post(9),
-            vec![Act::Request, Act::write("hello\r\n\r\n")],
+            vec![Step::ReadRequest, Step::write("hello\r\n\r\n")],
         ),
         (
             "POST refused by load",
             post(9),
-            vec![Act::Head, Act::Read(9), Act::write(SHED)],
+            vec![Step::ReadHead, Step::Read(9), Step::write(SHED)],
         ),
         (
             "POST refused by epoch, then taken",
             post(9),
-            vec![Act::Head, Act::write(EPOCH)],
+            vec![Step::ReadHead, Step::write(EPOCH)],
         ),
-        ("GET head part", get(), vec![Act::Read(10), Act::Reset]),
+        ("GET head part", get(), vec![Step::Read(10), Step::Reset]),
         (
             "GET all written, reset",
             get(),
-            vec![Act::Request, Act::Reset],
+            vec![Step::ReadRequest, Step::Reset],
         ),
         (
             "GET answer's head part",
             get(),
-            vec![Act::Request, Act::write("HTTP/1.1 200 OK\r\nconte")],
+            vec![Step::ReadRequest, Step::write("HTTP/1.1 200 OK\r\nconte")],
         ),
         (
             "GET answer's body part by length",
             get(),
-            vec![Act::Request, Act::write(CUT_LENGTH)],
+            vec![Step::ReadRequest, Step::write(CUT_LENGTH)],
         ),
     ];
     let mut lines = Vec::new();
     for (case, request, script) in cases {
-        let server = RawServer::start(vec![script, fine.clone()]).await.unwrap();
+        let server = ScriptedServer::start(vec![script, fine.clone()])
+            .await
+            .unwrap();
         let path = Path::start(server.address);
         let answer = path.raw(&request, Duration::from_secs(2)).await;
-        let (runs, begun) = (server.runs(), server.begun());
+        let (runs, begun) = (server.request_count(), server.used_connections());
         lines.push(format!(
             "{case}: {}; begun {begun}, runs {runs}",
             summary(&answer)
--- a/crates/citronproxy/tests/race.rs
+++ b/crates/citronproxy/tests/race.rs
@@ -121,14 +121,14 @@
         .collect();
     let mut losses = 0;
     for round in 0..40 {
-        losses += 1 - platform.faults.get().lost;
-        platform.faults.set(|trouble| trouble.lost = 1);
+        losses += 1 - platform.faults.current().lost_replies;
+        platform.faults.update(|settings| settings.lost_replies = 1);
         if round == 5 {
             instances[0].kill();
         }
         sleep(Duration::from_millis(10)).await;
     }
-    platform.faults.set(|trouble| trouble.lost = 0);
+    platform.faults.update(|settings| settings.lost_replies = 0);
     let mut tried = Vec::new();
     for operator in operators {
         tried.extend(operator.await.unwrap());
@@ -212,11 +212,13 @@
     let ann = Operator::new("ann", instance.admin);
     let (_, made) = ann.edit(&starting_rows()).await.unwrap();
     let version = made["revision"].as_u64().expect("accepted");
-    platform.faults.set(|trouble| trouble.lost = 100);
+    platform
+        .faults
+        .update(|settings| settings.lost_replies = 100);
     let called = ann
         .put("server/server-1", version, &server_row(1, 77))
         .await;
-    platform.faults.set(|trouble| trouble.lost = 0);
+    platform.faults.update(|settings| settings.lost_replies = 0);
     let (status, body) = called.unwrap();
     assert_eq!((status, body["code"].as_str()), (504, Some("unknown")));
     assert_eq!(history(&ann).await.len(), 2);
--- a/crates/citronproxy/tests/shapes.rs
+++ b/crates/citronproxy/tests/shapes.rs
@@ -5,7 +5,7 @@
 
 use {
     citron_core::table::Row,
-    citron_fakes::scripted::{Act, RawServer},
+    citron_fakes::scripted::{ScriptedServer, Step},
     citronproxy::traffic::Limits,
     std::time::{Duration, Instant},
     support::{LONG, Path, read_all},
@@ -20,9 +20,9 @@
 /// Would be a request of its own if the one before it were misread.
 const SMUGGLED: &str = "GET /kegs/smuggled HTTP/1.1\r\nhost: a\r\n\r\n";
 
-async fn fine() -> RawServer {
-    let script = vec![Act::Request, Act::answer("fine"), Act::Hang];
-    RawServer::start(vec![script]).await.unwrap()
+async fn fine() -> ScriptedServer {
+    let script = vec![Step::ReadRequest, Step::respond("fine"), Step::Hang];
+    ScriptedServer::start(vec![script]).await.unwrap()
 }
 
 /// Status, outcome, whether the connection ended, and what the server saw.
@@ -53,8 +53,9 @@
         .await
         .is_ok();
     let ended = if closed { "closed" } else { "open" };
-    let smuggled = server.text(0).contains("smuggled") || server.text(1).contains("smuggled");
-    let passed = match (server.begun(), smuggled) {
+    let smuggled = server.received_text(0).contains("smuggled")
+        || server.received_text(1).contains("smuggled");
+    let passed = match (server.used_connections(), smuggled) {
         (0, false) => "nothing passed on",
         (_, false) => "passed on",
         (_, true) => "next request passed on",
@@ -217,12 +218,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hop_by_hop_headers_are_not_passed_on() {
     let answer = "HTTP/1.1 200 OK\r\nconnection: x-hop\r\nx-hop: 1\r\nkeep-alive: timeout=9\r\nx-end: 2\r\ncontent-length: 0\r\n\r\n";
-    let script = vec![Act::Request, Act::write(answer), Act::Hang];
-    let server = RawServer::start(vec![script]).await.unwrap();
+    let script = vec![Step::ReadRequest, Step::write(answer), Step::Hang];
+    let server = ScriptedServer::start(vec![script]).await.unwrap();
     let path = Path::start(server.address);
     let request = "GET /kegs/a HTTP/1.1\r\nhost: a\r\nconnection: x-hop, close\r\nx-hop: 1\r\nte: trailers\r\nkeep-alive: 5\r\nupgrade: h2c\r\nproxy-authorization: secret\r\nx-end: 2\r\n\r\n";
     let answer = path.raw(request.as_bytes(), LONG).await;
-    for text in [server.text(0), answer] {
+    for text in [server.received_text(0), answer] {
         for name in ["x-hop", "te:", "keep-alive", "upgrade", "proxy-auth"] {
             assert!(!text.contains(&format!("\r\n{name}")), "{name} in {text}");
         }
@@ -258,7 +259,7 @@
             "{status}: {answer}"
         );
     }
-    assert_eq!(server.runs(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// A caller dribbles a head, another keeps its connection without a request:
@@ -285,7 +286,7 @@
     assert!(begun.elapsed() < LONG / 2);
     assert_eq!(read_all(&mut idle, LONG).await, "");
     assert!(begun.elapsed() < LONG / 2);
-    assert_eq!(server.begun(), 0);
+    assert_eq!(server.used_connections(), 0);
     assert!(path.raw(SMUGGLED.as_bytes(), QUIET).await.contains("fine"));
 }
 
@@ -309,5 +310,5 @@
     sleep(QUIET).await;
     drop(stream);
     sleep(QUIET).await;
-    assert_eq!(server.runs(), 0, "{}", server.text(0));
+    assert_eq!(server.request_count(), 0, "{}", server.received_text(0));
 }
--- a/crates/citronproxy/tests/slo.rs
+++ b/crates/citronproxy/tests/slo.rs
@@ -49,7 +49,7 @@
         name: "server-1".to_string(),
         slots: 4,
         work: Duration::from_millis(20),
-        fenced: false,
+        checks_grants: false,
     };
     let server = BackendServer::start(ANY.parse().unwrap(), config)
         .await
@@ -146,13 +146,13 @@
         drop(first);
 
         let mut second = recorder(&handle);
-        platform.faults.set(|trouble| trouble.down = true);
+        platform.faults.update(|settings| settings.is_down = true);
         get(address, "/kegs/bar-2").await.unwrap();
         second.sample(Time::from_micros(0), hour).await;
         assert!(second.flush(&store).await.is_err());
         get(address, "/kegs/bar-3").await.unwrap();
         second.sample(Time::from_micros(1_000_000), hour).await;
-        platform.faults.set(|trouble| trouble.down = false);
+        platform.faults.update(|settings| settings.is_down = false);
         second.flush(&store).await.unwrap();
         second.flush(&store).await.unwrap();
         assert_eq!(total(&gathered(&store).await), (3, 0));
--- a/crates/citronproxy/tests/support/callers.rs
+++ b/crates/citronproxy/tests/support/callers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{Reply, post},
-    citron_fakes::backend::Run,
+    citron_fakes::backend::Execution,
     std::{
         collections::BTreeMap,
         net::SocketAddr,
@@ -123,7 +123,7 @@
 /// Checks what the servers ran against what the callers were told: nothing ran
 /// twice, nothing that was told not to have run did, and all that was told to
 /// have run did.
-pub fn check_told(told: &[Told], runs: &[Run]) {
+pub fn check_told(told: &[Told], runs: &[Execution]) {
     let mut count: BTreeMap<&str, u32> = BTreeMap::new();
     for run in runs {
         *count.entry(&run.id).or_default() += 1;
@@ -140,8 +140,8 @@
 
 /// Checks that no scope ever had two owners: once a run under an epoch has
 /// begun, none under a lower one begins or goes on.
-pub fn check_owners(runs: &[Run]) {
-    let mut scopes: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
+pub fn check_owners(runs: &[Execution]) {
+    let mut scopes: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
     for run in runs {
         scopes.entry(&run.scope).or_default().push(run);
     }
--- a/crates/citronproxy/tests/support/deployment.rs
+++ b/crates/citronproxy/tests/support/deployment.rs
@@ -8,7 +8,7 @@
         table::{Changes, Commit, CommitOutcome, DomainState, Fencing, Row, ServerState, Write},
     },
     citron_fakes::{
-        backend::{BackendConfig, BackendServer, Run},
+        backend::{BackendConfig, BackendServer, Execution},
         platform::PlatformServer,
     },
     citron_ports::{LaneStore, TableService, TableStore},
@@ -54,7 +54,7 @@
                 name: format!("server-{number}"),
                 slots: 16,
                 work,
-                fenced: fencing == Fencing::Checked,
+                checks_grants: fencing == Fencing::Checked,
             };
             let started = BackendServer::start(any(), config).await;
             servers.push(started.expect("a port"));
@@ -87,8 +87,8 @@
     }
 
     /// All that the servers ran.
-    pub fn runs(&self) -> Vec<Run> {
-        let runs = self.servers.iter().map(|server| server.runs.all());
+    pub fn runs(&self) -> Vec<Execution> {
+        let runs = self.servers.iter().map(|server| server.executions.all());
         runs.collect::<Vec<_>>().concat()
     }
 
--- a/crates/fakes/examples/backend.rs
+++ b/crates/fakes/examples/backend.rs
@@ -15,7 +15,7 @@
         name: args.value_from_str("--name")?,
         slots: args.opt_value_from_str("--slots")?.unwrap_or(4),
         work: Duration::from_millis(work),
-        fenced: args.contains("--fenced"),
+        checks_grants: args.contains("--fenced"),
     };
     let server = BackendServer::start(args.free_from_str()?, config).await?;
     println!("backend on {}", server.address);
--- a/crates/fakes/src/backend/execution.rs
+++ b/crates/fakes/src/backend/execution.rs
@@ -7,7 +7,7 @@
 
 /// One request that was run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
+pub struct Execution {
     /// The server.
     pub server: String,
     /// The scope it was routed under; empty if none was sent.
@@ -27,42 +27,57 @@
 
 /// All runs of one server; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct Runs {
-    runs: Arc<Mutex<Vec<Run>>>,
+pub struct ExecutionLog {
+    executions: Arc<Mutex<Vec<Execution>>>,
 }
 
-impl Runs {
+impl ExecutionLog {
     /// Adds a run, and gives its number.
-    pub fn push(&self, run: Run) -> usize {
-        let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        runs.push(run);
-        runs.len() - 1
+    pub fn push(&self, execution: Execution) -> usize {
+        let mut executions = self
+            .executions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        executions.push(execution);
+        executions.len() - 1
     }
 
     /// Notes that a run has ended.
-    pub fn end(&self, number: usize, at: u64) {
-        let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        runs[number].end_us = at;
+    pub fn finish(&self, index: usize, at: u64) {
+        let mut executions = self
+            .executions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        executions[index].end_us = at;
     }
 
     /// Notes that all runs have ended.
-    pub fn end_all(&self, at: u64) {
-        let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        for run in runs.iter_mut().filter(|run| run.end_us == 0) {
-            run.end_us = at;
+    pub fn finish_all(&self, at: u64) {
+        let mut executions = self
+            .executions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        for execution in executions
+            .iter_mut()
+            .filter(|execution| execution.end_us == 0)
+        {
+            execution.end_us = at;
         }
     }
 
     /// Whether a run of a scope up to an epoch has not ended.
-    pub fn running(&self, scope: &str, epoch: u64) -> bool {
-        let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut open = runs.iter().filter(|run| run.end_us == 0);
-        open.any(|run| run.scope == scope && run.epoch <= epoch)
+    pub fn is_running(&self, scope: &str, epoch: u64) -> bool {
+        let executions = self
+            .executions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let mut unfinished = executions.iter().filter(|execution| execution.end_us == 0);
+        unfinished.any(|execution| execution.scope == scope && execution.epoch <= epoch)
     }
 
     /// All so far, in order.
-    pub fn all(&self) -> Vec<Run> {
-        self.runs
+    pub fn all(&self) -> Vec<Execution> {
+        self.executions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
--- a/crates/fakes/src/backend/fence.rs
+++ b/crates/fakes/src/backend/fence.rs
@@ -9,7 +9,7 @@
 };
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldGrant {
     epoch: Epoch,
     kind: GrantKind,
 }
@@ -26,8 +26,8 @@
 #[derive(Debug, Clone)]
 pub struct Fence {
     boot: BootId,
-    until: Duration,
-    held: BTreeMap<(ServiceName, Scope), Held>,
+    lease_end: Duration,
+    latest: BTreeMap<(ServiceName, Scope), HeldGrant>,
 }
 
 impl Fence {
@@ -35,23 +35,26 @@
     pub fn new(boot: BootId) -> Self {
         Self {
             boot,
-            until: Duration::ZERO,
-            held: BTreeMap::new(),
+            lease_end: Duration::ZERO,
+            latest: BTreeMap::new(),
         }
     }
 
     /// Takes an order; `clock` is the server's own.
-    pub fn order(
+    pub fn apply(
         &mut self,
         boot: Option<BootId>,
         grants: &[Grant],
         lease: Option<ServerLease>,
         clock: Duration,
     ) -> GrantReply {
-        let mine = boot.is_none_or(|boot| boot == self.boot);
-        let results = grants.iter().map(|grant| self.grant(grant, mine)).collect();
+        let is_current_boot = boot.is_none_or(|boot| boot == self.boot);
+        let results = grants
+            .iter()
+            .map(|grant| self.apply_grant(grant, is_current_boot))
+            .collect();
         if let Some(lease) = lease.filter(|lease| lease.boot == self.boot) {
-            self.until = self.until.max(lease.until);
+            self.lease_end = self.lease_end.max(lease.until);
         }
         GrantReply {
             boot: self.boot,
@@ -60,19 +63,19 @@
         }
     }
 
-    fn grant(&mut self, grant: &Grant, mine: bool) -> GrantResult {
+    fn apply_grant(&mut self, grant: &Grant, is_current_boot: bool) -> GrantResult {
         let key = (grant.service.clone(), grant.scope);
-        let seen = self.held.get(&key).map_or(Epoch(0), |held| held.epoch);
-        let revoked = self
-            .held
+        let seen = self.latest.get(&key).map_or(Epoch(0), |held| held.epoch);
+        let was_revoked = self
+            .latest
             .get(&key)
             .is_some_and(|held| held.kind == GrantKind::Revoke);
-        let undone = revoked && grant.epoch == seen && grant.kind == GrantKind::Own;
-        if !mine || grant.epoch < seen || undone {
+        let is_revoked = was_revoked && grant.epoch == seen && grant.kind == GrantKind::Own;
+        if !is_current_boot || grant.epoch < seen || is_revoked {
             return GrantResult::Stale { seen };
         }
         let (epoch, kind) = (grant.epoch, grant.kind);
-        self.held.insert(key, Held { epoch, kind });
+        self.latest.insert(key, HeldGrant { epoch, kind });
         GrantResult::Accepted
     }
 
@@ -84,8 +87,9 @@
         epoch: Epoch,
         clock: Duration,
     ) -> bool {
-        let held = self.held.get(&(service.clone(), scope));
-        let granted = held.is_some_and(|held| held.kind == GrantKind::Own && held.epoch == epoch);
-        granted && clock < self.until
+        let held = self.latest.get(&(service.clone(), scope));
+        let is_granted =
+            held.is_some_and(|held| held.kind == GrantKind::Own && held.epoch == epoch);
+        is_granted && clock < self.lease_end
     }
 }
--- a/crates/fakes/src/backend/mod.rs
+++ b/crates/fakes/src/backend/mod.rs
@@ -5,7 +5,7 @@
 mod server;
 
 pub use {
-    execution::{Run, Runs},
+    execution::{Execution, ExecutionLog},
     fence::Fence,
     server::{BackendConfig, BackendServer},
 };
--- a/crates/fakes/src/backend/server.rs
+++ b/crates/fakes/src/backend/server.rs
@@ -1,8 +1,8 @@
 //! The HTTP server of the stand-in backend server.
 
 use {
-    super::{Fence, Run, Runs},
-    crate::http::{Answer, json, plain},
+    super::{Execution, ExecutionLog, Fence},
+    crate::http::{HttpResponse, byte_response, json_response},
     citron_core::{
         id::{Epoch, ServiceName},
         ownership::{BootId, Grant, GrantKind, GrantResult, Scope, ServerLease},
@@ -15,7 +15,7 @@
     http_body_util::BodyExt,
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::TokioIo,
-    serde_json::json as value,
+    serde_json::json as json_value,
     std::{
         convert::Infallible,
         io,
@@ -45,7 +45,7 @@
     /// How long a request runs.
     pub work: Duration,
     /// Whether it checks grants.
-    pub fenced: bool,
+    pub checks_grants: bool,
 }
 
 /// The stand-in, listening; it stops when its runtime does.
@@ -54,14 +54,14 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What it ran.
-    pub runs: Runs,
+    pub executions: ExecutionLog,
     config: BackendConfig,
     slots: Arc<Semaphore>,
     fence: Arc<Mutex<Fence>>,
-    draining: Arc<AtomicBool>,
+    is_draining: Arc<AtomicBool>,
     frozen: watch::Sender<bool>,
     crashed: watch::Sender<bool>,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl BackendServer {
@@ -71,16 +71,16 @@
     /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, config: BackendConfig) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let boot = BootId(wall_micros());
+        let boot = BootId(unix_micros());
         let server = Self {
             address: listener.local_addr()?,
-            runs: Runs::default(),
+            executions: ExecutionLog::default(),
             slots: Arc::new(Semaphore::new(config.slots)),
             fence: Arc::new(Mutex::new(Fence::new(boot))),
-            draining: Arc::default(),
+            is_draining: Arc::default(),
             frozen: watch::Sender::default(),
             crashed: watch::Sender::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
             config,
         };
         tokio::spawn(server.clone().accept(listener));
@@ -91,39 +91,39 @@
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = self.ended() => return,
+                () = self.wait_crashed() => return,
             };
             let Ok((stream, _)) = accepted else {
                 continue;
             };
-            tokio::spawn(self.clone().connection(stream));
+            tokio::spawn(self.clone().handle_connection(stream));
         }
     }
 
-    async fn connection(self, stream: TcpStream) {
+    async fn handle_connection(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let service = service_fn(|request| self.answer(request));
+        let service = service_fn(|request| self.handle(request));
         let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             ended = served => log::debug!("backend connection ended: {ended:?}"),
-            () = self.ended() => {}
+            () = self.wait_crashed() => {}
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Answer, Infallible> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<HttpResponse, Infallible> {
         let (head, body) = request.into_parts();
         let Ok(body) = body.collect().await else {
-            return Ok(plain(StatusCode::BAD_REQUEST, Vec::new()));
+            return Ok(byte_response(StatusCode::BAD_REQUEST, Vec::new()));
         };
         let body = body.to_bytes();
-        self.thawed().await;
+        self.wait_thawed().await;
         if head.method == Method::OPTIONS {
-            return Ok(self.probe());
+            return Ok(self.health_response());
         }
         match head.uri.path() {
-            GRANTS_PATH => Ok(self.order(&body).await),
-            "/.citron/runs" => Ok(json(StatusCode::OK, &self.runs.all())),
-            path => Ok(self.run(path, &head.headers, body.len()).await),
+            GRANTS_PATH => Ok(self.apply_grants(&body).await),
+            "/.citron/runs" => Ok(json_response(StatusCode::OK, &self.executions.all())),
+            path => Ok(self.execute(path, &head.headers, body.len()).await),
         }
     }
 
@@ -137,11 +137,11 @@
     /// ones refused, and what runs ends at once.
     pub fn crash(&self) {
         self.crashed.send_replace(true);
-        self.runs.end_all(wall_micros());
+        self.executions.finish_all(unix_micros());
     }
 
     /// Resolves once the server has crashed.
-    async fn ended(&self) {
+    async fn wait_crashed(&self) {
         let mut crashed = self.crashed.subscribe();
         let _ = crashed.wait_for(|crashed| *crashed).await;
     }
@@ -151,41 +151,48 @@
         self.frozen.send_replace(false);
     }
 
-    async fn thawed(&self) {
+    async fn wait_thawed(&self) {
         let mut frozen = self.frozen.subscribe();
         let _ = frozen.wait_for(|frozen| !frozen).await;
     }
 
     /// Says that it is leaving, to control and to callers, from now on.
     pub fn drain(&self) {
-        self.draining.store(true, Ordering::Relaxed);
+        self.is_draining.store(true, Ordering::Relaxed);
     }
 
-    fn probe(&self) -> Answer {
-        match self.draining.load(Ordering::Relaxed) {
-            true => refused("draining"),
-            false => plain(StatusCode::OK, Vec::new()),
+    fn health_response(&self) -> HttpResponse {
+        match self.is_draining.load(Ordering::Relaxed) {
+            true => misdirected("draining"),
+            false => byte_response(StatusCode::OK, Vec::new()),
         }
     }
 
-    async fn order(&self, body: &[u8]) -> Answer {
+    async fn apply_grants(&self, body: &[u8]) -> HttpResponse {
         let order: GrantOrderWire = match serde_json::from_slice(body) {
             Ok(order) => order,
-            Err(error) => return plain(StatusCode::BAD_REQUEST, error.to_string().into_bytes()),
+            Err(error) => {
+                return byte_response(StatusCode::BAD_REQUEST, error.to_string().into_bytes());
+            }
         };
         let grants: Result<Vec<Grant>, _> = order.grants.into_iter().map(Grant::try_from).collect();
         let grants = match grants {
             Ok(grants) => grants,
-            Err(error) => return plain(StatusCode::BAD_REQUEST, error.to_string().into_bytes()),
+            Err(error) => {
+                return byte_response(StatusCode::BAD_REQUEST, error.to_string().into_bytes());
+            }
         };
         let boot = order.boot.map(BootId);
         let lease = order.lease.map(ServerLease::from);
-        let clock = self.started.elapsed();
-        self.thawed().await;
-        let reply = self.fence().order(boot, &grants, lease, clock);
+        let clock = self.started_at.elapsed();
+        self.wait_thawed().await;
+        let reply = self.fence().apply(boot, &grants, lease, clock);
         // A revocation is accepted once nothing of the scope runs any more.
         for grant in grants.iter().filter(|g| g.kind == GrantKind::Revoke) {
-            while self.runs.running(&grant.scope.to_string(), grant.epoch.0) {
+            while self
+                .executions
+                .is_running(&grant.scope.to_string(), grant.epoch.0)
+            {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         }
@@ -208,89 +215,89 @@
             clock_us: reply.clock.as_micros() as u64,
             results: results.collect(),
         };
-        json(StatusCode::OK, &wire)
+        json_response(StatusCode::OK, &wire)
     }
 
-    async fn run(&self, path: &str, headers: &HeaderMap, size: usize) -> Answer {
+    async fn execute(&self, path: &str, headers: &HeaderMap, size: usize) -> HttpResponse {
         let Ok(_slot) = self.slots.acquire().await else {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
+            return byte_response(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
         };
-        self.thawed().await;
-        let Some(number) = self.begin(path, headers) else {
-            return refused("epoch");
+        self.wait_thawed().await;
+        let Some(index) = self.start_execution(path, headers) else {
+            return misdirected("epoch");
         };
         // What has begun goes on to its end, whether or not the caller waits, but
         // no longer than its deadline: a server that finds itself past that
         // after a freeze gives the request up.
         let server = self.clone();
-        let last = wall_micros().saturating_add(time_left(headers));
+        let deadline = unix_micros().saturating_add(remaining_micros(headers));
         let work = tokio::spawn(async move {
             tokio::time::sleep(server.config.work).await;
-            server.thawed().await;
-            server.runs.end(number, wall_micros().min(last));
+            server.wait_thawed().await;
+            server.executions.finish(index, unix_micros().min(deadline));
         });
         let _ = work.await;
-        let body = value!({ "server": self.config.name, "path": path, "received": size });
-        json(StatusCode::OK, &body)
+        let body = json_value!({ "server": self.config.name, "path": path, "received": size });
+        json_response(StatusCode::OK, &body)
     }
 
     /// Begins a run; in one step with the check, so that no revocation comes
     /// between the two.
-    fn begin(&self, path: &str, headers: &HeaderMap) -> Option<usize> {
+    fn start_execution(&self, path: &str, headers: &HeaderMap) -> Option<usize> {
         let fence = self.fence();
-        let allowed = !self.config.fenced || self.allowed(&fence, headers);
-        allowed.then(|| self.runs.push(self.record(path, headers)))
+        let is_allowed = !self.config.checks_grants || self.is_allowed(&fence, headers);
+        is_allowed.then(|| self.executions.push(self.new_execution(path, headers)))
     }
 
     fn fence(&self) -> MutexGuard<'_, Fence> {
         self.fence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn allowed(&self, fence: &Fence, headers: &HeaderMap) -> bool {
-        grant_of(headers).is_some_and(|(service, scope, epoch)| {
-            fence.allows(&service, scope, epoch, self.started.elapsed())
+    fn is_allowed(&self, fence: &Fence, headers: &HeaderMap) -> bool {
+        parse_grant_headers(headers).is_some_and(|(service, scope, epoch)| {
+            fence.allows(&service, scope, epoch, self.started_at.elapsed())
         })
     }
 
-    fn record(&self, path: &str, headers: &HeaderMap) -> Run {
-        Run {
+    fn new_execution(&self, path: &str, headers: &HeaderMap) -> Execution {
+        Execution {
             server: self.config.name.clone(),
-            scope: text(headers, HEADER_SCOPE).to_string(),
-            epoch: text(headers, HEADER_EPOCH).parse().unwrap_or(0),
+            scope: header_text(headers, HEADER_SCOPE).to_string(),
+            epoch: header_text(headers, HEADER_EPOCH).parse().unwrap_or(0),
             path: path.to_string(),
-            id: text(headers, "test-id").to_string(),
-            at_us: wall_micros(),
+            id: header_text(headers, "test-id").to_string(),
+            at_us: unix_micros(),
             end_us: 0,
         }
     }
 }
 
 /// How long a request may take, in microseconds.
-fn time_left(headers: &HeaderMap) -> u64 {
-    let millis: Option<u64> = text(headers, HEADER_TIMEOUT).parse().ok();
+fn remaining_micros(headers: &HeaderMap) -> u64 {
+    let millis: Option<u64> = header_text(headers, HEADER_TIMEOUT).parse().ok();
     millis.map_or(u64::MAX, |millis| millis.saturating_mul(1_000))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or("")
 }
 
-fn grant_of(headers: &HeaderMap) -> Option<(ServiceName, Scope, Epoch)> {
-    let service = text(headers, HEADER_SERVICE).parse().ok()?;
-    let scope = parse_scope(text(headers, HEADER_SCOPE)).ok()?;
-    let epoch = text(headers, HEADER_EPOCH).parse().ok()?;
+fn parse_grant_headers(headers: &HeaderMap) -> Option<(ServiceName, Scope, Epoch)> {
+    let service = header_text(headers, HEADER_SERVICE).parse().ok()?;
+    let scope = parse_scope(header_text(headers, HEADER_SCOPE)).ok()?;
+    let epoch = header_text(headers, HEADER_EPOCH).parse().ok()?;
     Some((service, scope, epoch))
 }
 
-fn refused(reason: &'static str) -> Answer {
-    let mut answer = plain(StatusCode::MISDIRECTED_REQUEST, Vec::new());
+fn misdirected(reason: &'static str) -> HttpResponse {
+    let mut response = byte_response(StatusCode::MISDIRECTED_REQUEST, Vec::new());
     let value = HeaderValue::from_static(reason);
-    answer.headers_mut().insert(HEADER_REFUSED, value);
-    answer
+    response.headers_mut().insert(HEADER_REFUSED, value);
+    response
 }
 
-fn wall_micros() -> u64 {
+fn unix_micros() -> u64 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     now.map_or(0, |since| since.as_micros() as u64)
 }
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -8,21 +8,21 @@
 };
 
 /// An answer of any stand-in.
-pub(crate) type Answer = Response<Full<Bytes>>;
+pub(crate) type HttpResponse = Response<Full<Bytes>>;
 
-pub(crate) fn json(status: StatusCode, body: &impl Serialize) -> Answer {
+pub(crate) fn json_response(status: StatusCode, body: &impl Serialize) -> HttpResponse {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
-    plain(status, bytes)
+    byte_response(status, bytes)
 }
 
-pub(crate) fn plain(status: StatusCode, bytes: Vec<u8>) -> Answer {
+pub(crate) fn byte_response(status: StatusCode, bytes: Vec<u8>) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from(bytes)));
     *response.status_mut() = status;
     response
 }
 
 /// The value of one query parameter, as it stands.
-pub(crate) fn query<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
+pub(crate) fn query_param<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let pairs = query?.split('&').filter_map(|pair| pair.split_once('='));
     pairs
         .into_iter()
--- a/crates/fakes/src/platform/mod.rs
+++ b/crates/fakes/src/platform/mod.rs
@@ -4,6 +4,6 @@
 mod server;
 
 pub use {
-    faults::{Faults, Trouble},
+    faults::{FaultSettings, Faults},
     server::PlatformServer,
 };
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -2,14 +2,14 @@
 
 use {
     super::Faults,
-    crate::http::{Answer, json, plain, query},
+    crate::http::{HttpResponse, byte_response, json_response, query_param},
     bytes::Bytes,
     citron_ports::{InstanceList, ListedState, Memory, ObjectStore, TableService},
     http::{Method, Request, StatusCode},
     http_body_util::BodyExt,
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::TokioIo,
-    serde_json::json as value,
+    serde_json::json as json_value,
     std::{io, net::SocketAddr},
     thiserror::Error,
     tokio::net::{TcpListener, TcpStream},
@@ -18,7 +18,7 @@
 /// Cuts the connection instead of answering.
 #[derive(Debug, Error)]
 #[error("cut off")]
-struct CutOff;
+struct ConnectionAborted;
 
 /// The stand-in, listening; it stops when its runtime does.
 #[derive(Debug, Clone)]
@@ -52,106 +52,114 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            tokio::spawn(self.clone().connection(stream));
+            tokio::spawn(self.clone().handle_connection(stream));
         }
     }
 
-    async fn connection(self, stream: TcpStream) {
-        let service = service_fn(|request| self.answer(request));
+    async fn handle_connection(self, stream: TcpStream) {
+        let service = service_fn(|request| self.handle(request));
         let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         if let Err(error) = served.await {
             log::debug!("platform connection ended: {error}");
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Answer, CutOff> {
-        let trouble = self.faults.get();
-        if trouble.down {
-            return Err(CutOff);
+    async fn handle(&self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionAborted> {
+        let settings = self.faults.current();
+        if settings.is_down {
+            return Err(ConnectionAborted);
         }
-        tokio::time::sleep(trouble.slow).await;
-        let commit = request.method() == Method::POST;
-        if commit && self.faults.take(|trouble| &mut trouble.dropped) {
-            return Err(CutOff);
+        tokio::time::sleep(settings.delay).await;
+        let is_commit = request.method() == Method::POST;
+        if is_commit
+            && self
+                .faults
+                .consume(|settings| &mut settings.dropped_commits)
+        {
+            return Err(ConnectionAborted);
         }
-        let answer = self.route(request).await;
-        if commit && self.faults.take(|trouble| &mut trouble.lost) {
-            return Err(CutOff);
+        let response = self.route(request).await;
+        if is_commit && self.faults.consume(|settings| &mut settings.lost_replies) {
+            return Err(ConnectionAborted);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn route(&self, request: Request<Incoming>) -> Answer {
+    async fn route(&self, request: Request<Incoming>) -> HttpResponse {
         let (head, body) = request.into_parts();
         let body = body
             .collect()
             .await
-            .map(|whole| whole.to_bytes())
+            .map(|collected| collected.to_bytes())
             .unwrap_or_default();
         let path = head.uri.path();
         let params = head.uri.query();
-        let number = |name| {
-            query(params, name)
+        let number_param = |name| {
+            query_param(params, name)
                 .and_then(|text| text.parse().ok())
                 .unwrap_or(0)
         };
         match (head.method.clone(), path) {
-            (Method::GET, "/v1/changes") => answer(self.memory.changes(number("since")).await),
+            (Method::GET, "/v1/changes") => {
+                result_response(self.memory.changes(number_param("since")).await)
+            }
             (Method::POST, "/v1/commit") => self.commit(&body).await,
-            (Method::GET, "/v1/row") => self.row(query(params, "key").unwrap_or("")).await,
+            (Method::GET, "/v1/row") => self.row(query_param(params, "key").unwrap_or("")).await,
             (Method::GET, "/v1/log") => {
-                let limit = number("limit") as usize;
-                answer(self.memory.log(number("after"), limit).await)
+                let limit = number_param("limit") as usize;
+                result_response(self.memory.log(number_param("after"), limit).await)
             }
             (Method::GET, "/v1/instances") => self.instances().await,
             (Method::GET, "/v1/objects") => {
-                let prefix = query(params, "prefix").unwrap_or("");
-                answer(ObjectStore::list(&self.memory, prefix).await)
+                let prefix = query_param(params, "prefix").unwrap_or("");
+                result_response(ObjectStore::list(&self.memory, prefix).await)
             }
             (method, path) => match path.strip_prefix("/v1/objects/") {
                 Some(name) => self.object(method, name, body).await,
-                None => plain(StatusCode::NOT_FOUND, Vec::new()),
+                None => byte_response(StatusCode::NOT_FOUND, Vec::new()),
             },
         }
     }
 
-    async fn commit(&self, body: &[u8]) -> Answer {
+    async fn commit(&self, body: &[u8]) -> HttpResponse {
         match serde_json::from_slice(body) {
-            Ok(commit) => answer(self.memory.commit(&commit).await),
-            Err(error) => plain(StatusCode::BAD_REQUEST, error.to_string().into_bytes()),
+            Ok(commit) => result_response(self.memory.commit(&commit).await),
+            Err(error) => byte_response(StatusCode::BAD_REQUEST, error.to_string().into_bytes()),
         }
     }
 
-    async fn row(&self, key: &str) -> Answer {
+    async fn row(&self, key: &str) -> HttpResponse {
         match self.memory.row(key).await {
-            Ok(Some(row)) => json(StatusCode::OK, &row),
-            _ => plain(StatusCode::NOT_FOUND, Vec::new()),
+            Ok(Some(row)) => json_response(StatusCode::OK, &row),
+            _ => byte_response(StatusCode::NOT_FOUND, Vec::new()),
         }
     }
 
-    async fn instances(&self) -> Answer {
+    async fn instances(&self) -> HttpResponse {
         let listed = InstanceList::list(&self.memory).await.unwrap_or_default();
         let wires = listed.iter().map(|entry| {
-            let leaving = entry.state == ListedState::Leaving;
-            value!({ "name": entry.name, "leaving": leaving })
+            let is_leaving = entry.state == ListedState::Leaving;
+            json_value!({ "name": entry.name, "leaving": is_leaving })
         });
-        json(StatusCode::OK, &wires.collect::<Vec<_>>())
+        json_response(StatusCode::OK, &wires.collect::<Vec<_>>())
     }
 
-    async fn object(&self, method: Method, name: &str, body: Bytes) -> Answer {
+    async fn object(&self, method: Method, name: &str, body: Bytes) -> HttpResponse {
         if method == Method::PUT {
-            return answer(self.memory.put(name, body.to_vec()).await);
+            return result_response(self.memory.put(name, body.to_vec()).await);
         }
         match self.memory.get(name).await {
-            Ok(Some(bytes)) => plain(StatusCode::OK, bytes),
-            _ => plain(StatusCode::NOT_FOUND, Vec::new()),
+            Ok(Some(bytes)) => byte_response(StatusCode::OK, bytes),
+            _ => byte_response(StatusCode::NOT_FOUND, Vec::new()),
         }
     }
 }
 
-fn answer<T: serde::Serialize>(result: Result<T, citron_ports::PlatformError>) -> Answer {
+fn result_response<T: serde::Serialize>(
+    result: Result<T, citron_ports::PlatformError>,
+) -> HttpResponse {
     match result {
-        Ok(body) => json(StatusCode::OK, &body),
-        Err(error) => plain(StatusCode::BAD_GATEWAY, error.to_string().into_bytes()),
+        Ok(body) => json_response(StatusCode::OK, &body),
+        Err(error) => byte_response(StatusCode::BAD_GATEWAY, error.to_string().into_bytes()),
     }
 }
--- a/crates/fakes/src/scripted/mod.rs
+++ b/crates/fakes/src/scripted/mod.rs
@@ -5,4 +5,4 @@
 mod step;
 mod upload;
 
-pub use {server::RawServer, step::Act, upload::drain_server};
+pub use {server::ScriptedServer, step::Step, upload::upload_server};
--- a/crates/fakes/src/scripted/step.rs
+++ b/crates/fakes/src/scripted/step.rs
@@ -4,14 +4,14 @@
 
 /// One step on one connection.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Step {
     /// Reads so many bytes.
     Read(usize),
     /// Reads one request to the end of its head.
-    Head,
+    ReadHead,
     /// Reads one whole request, by `Content-Length` or in chunks, and counts it
     /// as run.
-    Request,
+    ReadRequest,
     /// Writes this text.
     Write(String),
     /// Waits.
@@ -22,15 +22,15 @@
     Hang,
 }
 
-impl Act {
+impl Step {
     /// Writes an answer with this body and its length.
     ///
     /// ```
-    /// use citron_fakes::scripted::Act;
-    /// let Act::Write(text) = Act::answer("keg") else { panic!() };
+    /// use citron_fakes::scripted::Step;
+    /// let Step::Write(text) = Step::respond("keg") else { panic!() };
     /// assert!(text.ends_with("\r\n\r\nkeg"));
     /// ```
-    pub fn answer(body: &str) -> Self {
+    pub fn respond(body: &str) -> Self {
         let length = body.len();
         Self::Write(format!(
             "HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}"
--- a/crates/fakes/src/scripted/upload.rs
+++ b/crates/fakes/src/scripted/upload.rs
@@ -10,56 +10,56 @@
 };
 
 /// Bytes read at a time.
-const READ: usize = 64 * 1_024;
+const READ_BYTES: usize = 64 * 1_024;
 
 /// Bytes after which it pauses.
-const PAUSE_EVERY: usize = 1_024 * 1_024;
+const PAUSE_INTERVAL_BYTES: usize = 1_024 * 1_024;
 
 /// Starts a server on any free port that reads uploads by their length, pausing
 /// now and then, and answers how much it received.
 ///
 /// # Errors
 /// If no port is free.
-pub async fn drain_server(pause: Duration) -> io::Result<SocketAddr> {
+pub async fn upload_server(pause: Duration) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(drain(stream, pause));
+            tokio::spawn(receive_upload(stream, pause));
         }
     });
     Ok(address)
 }
 
-async fn drain(mut stream: TcpStream, pause: Duration) -> io::Result<()> {
-    let mut buffer = vec![0; READ];
+async fn receive_upload(mut stream: TcpStream, pause: Duration) -> io::Result<()> {
+    let mut buffer = vec![0; READ_BYTES];
     let mut head = Vec::new();
-    let end = loop {
+    let head_end = loop {
         let read = read_some(&mut stream, &mut buffer).await?;
         head.extend_from_slice(&buffer[..read]);
-        if let Some(end) = head.windows(4).position(|part| part == b"\r\n\r\n") {
-            break end + 4;
+        if let Some(head_end) = head.windows(4).position(|part| part == b"\r\n\r\n") {
+            break head_end + 4;
         }
     };
-    let text = String::from_utf8_lossy(&head[..end]).to_ascii_lowercase();
+    let text = String::from_utf8_lossy(&head[..head_end]).to_ascii_lowercase();
     let length = text
         .lines()
         .find_map(|l| l.strip_prefix("content-length: "));
     let length: usize = length.and_then(|l| l.parse().ok()).unwrap_or(0);
-    let mut received = head.len() - end;
+    let mut received = head.len() - head_end;
     while received < length {
-        let before = received / PAUSE_EVERY;
+        let before = received / PAUSE_INTERVAL_BYTES;
         received += read_some(&mut stream, &mut buffer).await?;
-        if received / PAUSE_EVERY > before {
+        if received / PAUSE_INTERVAL_BYTES > before {
             sleep(pause).await;
         }
     }
     let body = format!("received {received}");
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(answer.as_bytes()).await
+    stream.write_all(response.as_bytes()).await
 }
 
 async fn read_some(stream: &mut TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
--- a/crates/fakes/tests/link.rs
+++ b/crates/fakes/tests/link.rs
@@ -19,25 +19,25 @@
 
 const CONNECTIONS: u32 = 4_000;
 /// Far more than the connections take.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-async fn connect_and_heal() {
+async fn connect_during_changes() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let link = Link::start(listener.local_addr().unwrap()).await.unwrap();
     tokio::spawn(async move { while listener.accept().await.is_ok() {} });
-    let changed = link.clone();
-    let over = Arc::new(AtomicBool::new(false));
-    let ends = Arc::clone(&over);
-    let changes = thread::spawn(move || {
-        while !ends.load(Ordering::Relaxed) {
-            changed.heal();
+    let changed_link = link.clone();
+    let is_done = Arc::new(AtomicBool::new(false));
+    let stop = Arc::clone(&is_done);
+    let changer = thread::spawn(move || {
+        while !stop.load(Ordering::Relaxed) {
+            changed_link.heal();
         }
     });
     for _ in 0..CONNECTIONS {
         drop(TcpStream::connect(link.address).await.unwrap());
     }
-    over.store(true, Ordering::Relaxed);
-    changes.join().unwrap();
+    is_done.store(true, Ordering::Relaxed);
+    changer.join().unwrap();
 }
 
 /// Guards against a link that stands still for good when it is changed as a connection opens.
@@ -45,8 +45,8 @@
 fn a_link_is_changed_while_connections_open() {
     let (done, ended) = mpsc::channel();
     thread::spawn(move || {
-        Runtime::new().unwrap().block_on(connect_and_heal());
+        Runtime::new().unwrap().block_on(connect_during_changes());
         done.send(()).unwrap();
     });
-    ended.recv_timeout(PATIENCE).expect("the link hangs");
+    ended.recv_timeout(TEST_TIMEOUT).expect("the link hangs");
 }
--- a/crates/ports/tests/grants.rs
+++ b/crates/ports/tests/grants.rs
@@ -19,7 +19,7 @@
         name: "server-1".to_string(),
         slots: 4,
         work: Duration::ZERO,
-        fenced: true,
+        checks_grants: true,
     };
     BackendServer::start("127.0.0.1:0".parse().unwrap(), config)
         .await
@@ -156,9 +156,9 @@
 async fn a_lost_answer_is_an_error_and_the_next_order_goes_through() {
     type Fault = fn(&Link);
     let cases: [(&str, Fault, Fault); 3] = [
-        ("torn", |link| link.tear(1, 20), |_| {}),
+        ("torn", |link| link.truncate_replies(1, 20), |_| {}),
         ("cut", Link::cut, Link::heal),
-        ("silent connection", Link::silence_open, |_| {}),
+        ("silent connection", Link::stall_connections, |_| {}),
     ];
     for (name, fault, mend) in cases {
         let server = server().await;
@@ -196,5 +196,5 @@
     assert_eq!(client.probe(server.address).await.unwrap(), Probe::Draining);
     server.crash();
     assert!(client.probe(server.address).await.is_err(), "crashed");
-    assert!(server.runs.all().is_empty(), "a probe runs nothing");
+    assert!(server.executions.all().is_empty(), "a probe runs nothing");
 }
--- a/crates/ports/tests/objects.rs
+++ b/crates/ports/tests/objects.rs
@@ -56,11 +56,13 @@
 async fn an_outage_is_an_error_and_not_an_empty_answer() {
     type Fault = fn(&PlatformServer, &Link);
     let cases: [(&str, Fault); 4] = [
-        ("down", |server, _| server.faults.set(|t| t.down = true)),
+        ("down", |server, _| {
+            server.faults.update(|t| t.is_down = true)
+        }),
         ("too slow", |server, _| {
-            server.faults.set(|t| t.slow = Duration::from_secs(9))
+            server.faults.update(|t| t.delay = Duration::from_secs(9))
         }),
-        ("torn in the body", |_, link| link.tear(3, 70)),
+        ("torn in the body", |_, link| link.truncate_replies(3, 70)),
         ("cut silently", |_, link| link.cut()),
     ];
     for (name, fault) in cases {
--- a/crates/ports/tests/table.rs
+++ b/crates/ports/tests/table.rs
@@ -127,37 +127,41 @@
     },
     Case {
         name: "answer lost after effect",
-        fault: |server, _| server.faults.set(|t| t.lost = 1),
+        fault: |server, _| server.faults.update(|t| t.lost_replies = 1),
         effect: true,
     },
     Case {
         name: "three answers lost, the first after effect",
-        fault: |server, _| server.faults.set(|t| t.lost = 3),
+        fault: |server, _| server.faults.update(|t| t.lost_replies = 3),
         effect: true,
     },
     Case {
         name: "cut off before effect",
-        fault: |server, _| server.faults.set(|t| t.dropped = 2),
+        fault: |server, _| server.faults.update(|t| t.dropped_commits = 2),
         effect: true,
     },
     Case {
         name: "answer torn in its head",
-        fault: |_, link| link.tear(1, 9),
+        fault: |_, link| link.truncate_replies(1, 9),
         effect: true,
     },
     Case {
         name: "answer torn in its body",
-        fault: |_, link| link.tear(2, 90),
+        fault: |_, link| link.truncate_replies(2, 90),
         effect: true,
     },
     Case {
         name: "slow, but in time",
-        fault: |server, _| server.faults.set(|t| t.slow = Duration::from_millis(300)),
+        fault: |server, _| {
+            server
+                .faults
+                .update(|t| t.delay = Duration::from_millis(300))
+        },
         effect: true,
     },
     Case {
         name: "down throughout",
-        fault: |server, _| server.faults.set(|t| t.down = true),
+        fault: |server, _| server.faults.update(|t| t.is_down = true),
         effect: false,
     },
 ];
@@ -175,7 +179,9 @@
         let made = done(store.commit(write(domain("a", ""), Revision(0))).await);
         (case.fault)(&server, &link);
         let answer = store.commit(write(domain("a", "op"), made)).await;
-        server.faults.set(|trouble| *trouble = Default::default());
+        server
+            .faults
+            .update(|settings| *settings = Default::default());
         let row = server.memory.row("domain/a").await.unwrap().unwrap();
         let changes = server.memory.changes(0).await.unwrap();
         let told = told(answer);
@@ -208,7 +214,7 @@
     };
     let (winner, loser) = (store("writer-1"), store("writer-2"));
     let made = done(winner.commit(write(domain("a", ""), Revision(0))).await);
-    server.faults.set(|trouble| trouble.lost = 1);
+    server.faults.update(|settings| settings.lost_replies = 1);
     let won = done(winner.commit(write(domain("a", "one"), made)).await);
     let lost = loser.commit(write(domain("a", "two"), made)).await;
     assert_eq!(told(lost), format!("lost, domain/a is at {won}"));
