--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -3,32 +3,32 @@
 
 mod adapter;
 mod error;
+mod fetch_table;
 mod grants;
 mod http;
-mod kept;
-mod lane;
-mod listed;
+mod http_client;
+mod idempotent;
+mod machines;
 mod memory;
 mod objects;
-mod raw;
 mod rows;
 mod servers;
-mod store;
-mod tables;
+mod table_service;
+mod table_store;
 
 pub use {
     adapter::{Adapter, DecodeError, HeaderNames},
     error::PlatformError,
+    fetch_table::{TableAnswer, fetch_table},
     grants::Grants,
     http::HttpPlatform,
-    kept::{CallError, IdleTimeout, KeptClient, ReadTimeout},
-    lane::LaneStore,
-    listed::{InstanceList, Listed, ListedState},
+    http_client::{CallError, IdleTimeout, KeptClient, ReadTimeout},
+    idempotent::LaneStore,
+    machines::{InstanceList, Listed, ListedState},
     memory::Memory,
     objects::ObjectStore,
-    raw::TableService,
     rows::{Row, RowCommit, RowSet, RowStore, RowTable, StoreError},
     servers::{HttpServers, Probe, Probes},
-    store::{HistoryEntry, TableStore},
-    tables::{TableAnswer, fetch_table},
+    table_service::TableService,
+    table_store::{HistoryEntry, TableStore},
 };
--- a/crates/wire/src/admin/mod.rs
+++ b/crates/wire/src/admin/mod.rs
@@ -1,14 +1,14 @@
 //! The admin API as JSON; `docs/ADMIN-API.md` lists the calls.
 
-mod answers;
 mod edits;
 mod refused;
+mod responses;
 mod status;
 
 pub use {
-    answers::{ErrorWire, HistoryEntryWire, HistoryPageWire, RevisionWire, VersionedRowWire},
     edits::{EditWire, MoveWire, RowEditWire},
     refused::{CrashEntryWire, LiftWire, RefusedWire},
+    responses::{ErrorWire, HistoryEntryWire, HistoryPageWire, RevisionWire, VersionedRowWire},
     status::{OwnerWire, RowsWire, StatusWire},
 };
 
--- a/crates/wire/src/heartbeat/crashes.rs
+++ b/crates/wire/src/heartbeat/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests that crash servers.
 
 use {
-    super::room::Room,
+    super::byte_budget::Room,
     citron_core::crash::{CrashCount, CrashReport, Fingerprint, Lift},
     serde::{Deserialize, Serialize},
     std::{cmp::Reverse, time::Duration},
--- a/crates/wire/src/heartbeat/message.rs
+++ b/crates/wire/src/heartbeat/message.rs
@@ -1,7 +1,7 @@
 //! A heartbeat.
 
 use {
-    super::{CrashesWire, DATAGRAM_MAX, Datagram, LoadWire, room::Room},
+    super::{CrashesWire, DATAGRAM_MAX, Datagram, LoadWire, byte_budget::Room},
     crate::relay::AgeWire,
     serde::{Deserialize, Serialize},
 };
--- a/crates/wire/src/heartbeat/mod.rs
+++ b/crates/wire/src/heartbeat/mod.rs
@@ -1,11 +1,11 @@
 //! What instances tell each other several times a second.
 
+mod byte_budget;
 mod crashes;
 mod datagram;
 mod load;
 mod message;
 mod moves;
-mod room;
 
 pub use {
     crashes::CrashesWire,
--- a/crates/wire/src/peer/changes.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -1,7 +1,7 @@
 //! Changed rows as a message.
 
 use {
-    super::ask::text,
+    super::requests::text,
     crate::{
         WireError,
         error::value_error,
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -1,14 +1,14 @@
 //! Calls between instances: `schema/peer.capnp`, whose generated code is
 //! [`crate::peer_capnp`].
 
-mod ask;
 mod changes;
 mod report;
+mod requests;
 mod status;
 
 pub use {
-    ask::{AckAnswer, AckAsk, Asker},
     changes::{read_changes, write_changes},
     report::{read_report, write_report},
+    requests::{AckAnswer, AckAsk, Asker},
     status::{read_status, write_status},
 };
--- a/crates/wire/src/peer/report.rs
+++ b/crates/wire/src/peer/report.rs
@@ -1,7 +1,7 @@
 //! Demand and crashes of an instance as a message.
 
 use {
-    super::ask::{Asker, text},
+    super::requests::{Asker, text},
     crate::{
         WireError,
         error::{parse, value_error},
--- a/crates/wire/src/peer/status.rs
+++ b/crates/wire/src/peer/status.rs
@@ -1,7 +1,7 @@
 //! The status of an instance as a message.
 
 use {
-    super::ask::text,
+    super::requests::text,
     crate::{WireError, error::parse, peer_capnp::status},
     citron_core::{
         id::{Incarnation, Revision},
--- a/crates/wire/src/relay/mod.rs
+++ b/crates/wire/src/relay/mod.rs
@@ -1,21 +1,21 @@
 //! Tables that one instance hands to another.
 
 mod age;
-mod answer;
 mod body;
+mod body_cache;
 mod digest;
 mod error;
-mod packer;
-mod question;
+mod query;
 mod rows;
+mod table;
 
 pub use {
     age::AgeWire,
-    answer::{HeadWire, TableWire},
     body::PACK_FROM,
+    body_cache::Packer,
     digest::Digest,
     error::RelayError,
-    packer::Packer,
-    question::{Format, TableQuestion},
+    query::{Format, TableQuestion},
     rows::{Part, TableRowWire},
+    table::{HeadWire, TableWire},
 };
