--- a/crates/citronctl/tests/report.rs
+++ b/crates/citronctl/tests/report.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use {
-    citron_ports::{Memory, ObjectStore},
+    citron_ports::{MemoryPlatform, ObjectStore},
     citron_wire::slo::{PageWire, RecordWire, TallyWire, page_name},
     std::{collections::BTreeMap, time::SystemTime},
     support::Shell,
@@ -17,8 +17,8 @@
 
 /// Six hours and more of two instances, the same in every minute, so that the figures
 /// do not depend on when the test runs.
-fn recorded_pages() -> Memory {
-    let memory = Memory::default();
+fn recorded_pages() -> MemoryPlatform {
+    let memory = MemoryPlatform::default();
     let now = SystemTime::UNIX_EPOCH.elapsed().unwrap().as_secs() / 60;
     let runtime = Builder::new_current_thread().build().unwrap();
     for instance in ["entry-1", "entry-2"] {
--- a/crates/citronctl/tests/support/mod.rs
+++ b/crates/citronctl/tests/support/mod.rs
@@ -8,7 +8,7 @@
         table::Table,
         time::Time,
     },
-    citron_ports::{LaneStore, Memory, PlatformError, TableStore},
+    citron_ports::{IdempotentStore, MemoryPlatform, PlatformError, TableStore},
     citronproxy::admin::{AdminApi, AdminListener, ControlView, serve},
     std::{
         cell::RefCell,
@@ -47,11 +47,11 @@
 impl Shell {
     /// Serves an empty table; ends with the test's process.
     pub fn start() -> Self {
-        Self::start_with(Memory::default())
+        Self::start_with(MemoryPlatform::default())
     }
 
     /// As [`Self::start`], with what the platform holds.
-    pub fn start_with(memory: Memory) -> Self {
+    pub fn start_with(memory: MemoryPlatform) -> Self {
         let (sender, address) = mpsc::channel();
         thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -84,11 +84,11 @@
     }
 }
 
-async fn run(server: AdminListener, memory: Memory) {
+async fn run(server: AdminListener, memory: MemoryPlatform) {
     let domain = "kingston-1".parse().unwrap();
-    let store = LaneStore::new(memory.clone(), "admin".to_string());
+    let store = IdempotentStore::new(memory.clone(), "admin".to_string());
     let control = TableView {
-        store: Rc::new(LaneStore::new(memory, "control".to_string())),
+        store: Rc::new(IdempotentStore::new(memory, "control".to_string())),
         table: Rc::default(),
         crashes: Rc::new(RefCell::new(crashes())),
     };
@@ -126,7 +126,7 @@
 /// Follows the table, and has each revision in force as soon as it is read.
 #[derive(Clone)]
 struct TableView {
-    store: Rc<LaneStore<Memory>>,
+    store: Rc<IdempotentStore<MemoryPlatform>>,
     table: Rc<RefCell<Table>>,
     crashes: Rc<RefCell<CrashTracker>>,
 }
--- a/crates/citronproxy/examples/control_slopes.rs
+++ b/crates/citronproxy/examples/control_slopes.rs
@@ -17,8 +17,8 @@
         },
     },
     citron_ports::{
-        Grants, HistoryEntry, InstanceList, LaneStore, Listed, Memory, PlatformError, Probe,
-        Probes, TableStore,
+        GrantClient, HistoryEntry, IdempotentStore, Machine, MachineList, MemoryPlatform,
+        PlatformError, ProbeResult, Prober, TableStore,
     },
     citronproxy::{
         clock::Clock,
@@ -61,7 +61,7 @@
 
 /// The platform, counted.
 struct Store {
-    inner: LaneStore<Memory>,
+    inner: IdempotentStore<MemoryPlatform>,
     calls: Rc<Calls>,
 }
 
@@ -94,10 +94,10 @@
     }
 }
 
-impl InstanceList for Store {
-    async fn list(&self) -> Result<Vec<Listed>, PlatformError> {
+impl MachineList for Store {
+    async fn list(&self) -> Result<Vec<Machine>, PlatformError> {
         count(&self.calls.lists);
-        InstanceList::list(&self.inner).await
+        MachineList::list(&self.inner).await
     }
 }
 
@@ -107,8 +107,8 @@
     clock: Instant,
 }
 
-impl Grants for Servers {
-    async fn order(
+impl GrantClient for Servers {
+    async fn send_order(
         &self,
         _: &ServerRow,
         _: Option<BootId>,
@@ -124,10 +124,10 @@
     }
 }
 
-impl Probes for Servers {
-    async fn probe(&self, _: SocketAddr) -> Result<Probe, PlatformError> {
+impl Prober for Servers {
+    async fn probe(&self, _: SocketAddr) -> Result<ProbeResult, PlatformError> {
         count(&self.calls.probes);
-        Ok(Probe::Up)
+        Ok(ProbeResult::Up)
     }
 }
 
@@ -146,9 +146,9 @@
 }
 
 async fn measure(instances: usize, servers: usize, seconds: usize) -> Result<(), Box<dyn Error>> {
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let calls = Rc::new(Calls::default());
-    let first = LaneStore::new(memory.clone(), "setup".to_string());
+    let first = IdempotentStore::new(memory.clone(), "setup".to_string());
     first.commit(rows(servers)?).await?;
     let before = resident();
     let mut controls = Vec::new();
@@ -193,7 +193,7 @@
 
 async fn start(
     number: usize,
-    memory: &Memory,
+    memory: &MemoryPlatform,
     calls: &Rc<Calls>,
 ) -> Result<Control<Store>, Box<dyn Error>> {
     let member = Member {
@@ -211,7 +211,7 @@
         seeds: Vec::new(),
     };
     let store = Store {
-        inner: LaneStore::new(memory.clone(), format!("entry-{number}")),
+        inner: IdempotentStore::new(memory.clone(), format!("entry-{number}")),
         calls: Rc::clone(calls),
     };
     let servers = Servers {
--- a/crates/citronproxy/examples/table_sizes.rs
+++ b/crates/citronproxy/examples/table_sizes.rs
@@ -6,7 +6,7 @@
 
 use {
     citron_core::freshness::Age,
-    citron_wire::relay::{Format, HeadWire, Packer, Part, TableRowWire, TableWire},
+    citron_wire::relay::{BodyCache, Format, HeadWire, RowSelection, TableRowWire, TableWire},
     rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom},
     serde_json::{Value, json},
     std::{
@@ -101,12 +101,13 @@
     };
     let rows = vec![row];
     let write = || {
-        let body = Packer::<1>::default().body(0, 1, Part::Whole, || rows.clone());
-        head.with(&body?)
+        let body =
+            BodyCache::<1>::default().get_or_encode(0, 1, RowSelection::All, || rows.clone());
+        head.encode_packed(&body?)
     };
     let (packed, to_pack) = least(write)?;
-    let (wire, to_read) = least(|| TableWire::read(Format::Packed, &packed, MOST))?;
-    let plain = wire.to_plain()?.len();
+    let (wire, to_read) = least(|| TableWire::decode(Format::Packed, &packed, MOST))?;
+    let plain = wire.encode_plain()?.len();
     println!(
         "{name}: {plain} bytes, packed {}; {} us to write and pack, {} us to unpack and read",
         packed.len(),
--- a/crates/citronproxy/src/control/granting.rs
+++ b/crates/citronproxy/src/control/granting.rs
@@ -7,7 +7,7 @@
         ownership::{GrantOrder, Granter},
         table::{Fencing, ServerRow, ServerState},
     },
-    citron_ports::{Grants, TableStore},
+    citron_ports::{GrantClient, TableStore},
     std::{rc::Rc, time::Duration},
     tokio::time::{sleep, timeout},
 };
@@ -22,7 +22,7 @@
 pub async fn grant_servers<S, B>(node: Node<S>, servers: Rc<B>)
 where
     S: TableStore + 'static,
-    B: Grants + 'static,
+    B: GrantClient + 'static,
 {
     let mut tasks = ServerTasks::default();
     let mut revisions = node.revisions();
@@ -49,14 +49,14 @@
 async fn renew_grants<S, B>(node: Node<S>, servers: Rc<B>, name: ServerName)
 where
     S: TableStore + 'static,
-    B: Grants + 'static,
+    B: GrantClient + 'static,
 {
     let mut granter: Granter = Granter::new(Node::<S>::lease_durations());
     let mut revisions = node.revisions();
     while let Some(row) = node.server_row(&name) {
         revisions.mark_unchanged();
         let order = next_order(&node, &granter, &row);
-        let answer = servers.order(&row, order.boot, &order.grants, order.lease);
+        let answer = servers.send_order(&row, order.boot, &order.grants, order.lease);
         let answer = answer.await;
         ControlMetrics::count_result(&node.metrics().orders, answer.is_ok());
         if let Ok(reply) = &answer {
--- a/crates/citronproxy/src/control/move_driver.rs
+++ b/crates/citronproxy/src/control/move_driver.rs
@@ -10,8 +10,8 @@
         ownership::{Ack, Grant, GrantResult, MoveAction, MoveEvent},
         table::Commit,
     },
-    citron_ports::{Grants, TableStore},
-    citron_wire::peer::AckAsk,
+    citron_ports::{GrantClient, TableStore},
+    citron_wire::peer::AcknowledgeRequest,
     std::{
         collections::{BTreeMap, BTreeSet},
         rc::Rc,
@@ -52,7 +52,7 @@
 impl<S, B> MoveDriver<S, B>
 where
     S: TableStore + 'static,
-    B: Grants + 'static,
+    B: GrantClient + 'static,
 {
     /// No moves yet.
     pub fn new(node: Node<S>, servers: Rc<B>) -> Self {
@@ -242,7 +242,7 @@
         }
         let (node, sender) = (self.node.clone(), self.result_sender.clone());
         spawn_local(async move {
-            let ack = fetch_ack(&node, &member, AckAsk { server, revision }).await;
+            let ack = fetch_ack(&node, &member, AcknowledgeRequest { server, revision }).await;
             if ack.is_none() {
                 sleep(RETRY_DELAY).await;
             }
@@ -272,7 +272,7 @@
             self.revoking.insert(server.clone());
             let (servers, sender) = (Rc::clone(&self.servers), self.result_sender.clone());
             spawn_local(async move {
-                let answer = servers.order(&row, None, &grants, None).await;
+                let answer = servers.send_order(&row, None, &grants, None).await;
                 if answer.is_err() {
                     sleep(RETRY_DELAY).await;
                 }
@@ -355,7 +355,7 @@
 async fn fetch_ack<S: TableStore + 'static>(
     node: &Node<S>,
     member: &Member,
-    ask: AckAsk,
+    ask: AcknowledgeRequest,
 ) -> Option<Ack> {
     let revision = ask.revision;
     let answer = if *member == node.config().member {
--- a/crates/citronproxy/src/control/node.rs
+++ b/crates/citronproxy/src/control/node.rs
@@ -19,7 +19,7 @@
         time::Time,
     },
     citron_ports::{PlatformError, TableStore},
-    citron_wire::peer::{AckAnswer, AckAsk, Asker},
+    citron_wire::peer::{AcknowledgeRequest, AcknowledgeResponse, Asker},
     std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
         sync::{Notify, watch},
@@ -290,7 +290,7 @@
 
     /// Whether this instance routes nothing to a server under a revision before
     /// `revision`, and nobody does on leave from here.
-    async fn wait_settled(&self, ask: &AckAsk) {
+    async fn wait_settled(&self, ask: &AcknowledgeRequest) {
         let mut revisions = self.revisions();
         while self.with_table(Table::revision) < ask.revision {
             self.request_refresh();
@@ -315,7 +315,7 @@
 }
 
 fn invalid_answer(error: TableError) -> PlatformError {
-    PlatformError::Answer(error.to_string())
+    PlatformError::InvalidResponse(error.to_string())
 }
 
 impl<S: TableStore + 'static> PeerHandler for Node<S> {
@@ -323,11 +323,11 @@
         self.with_replica(|replica| replica.status(self.now()))
     }
 
-    async fn acknowledge(&self, ask: AckAsk) -> AckAnswer {
+    async fn acknowledge(&self, ask: AcknowledgeRequest) -> AcknowledgeResponse {
         let settled = timeout(SETTLE_TIMEOUT, self.wait_settled(&ask))
             .await
             .is_ok();
-        AckAnswer {
+        AcknowledgeResponse {
             incarnation: self.inner.config.member.incarnation,
             settled,
         }
--- a/crates/citronproxy/src/control/probing.rs
+++ b/crates/citronproxy/src/control/probing.rs
@@ -8,7 +8,7 @@
         table::{ServerRow, ServerState},
         time::Time,
     },
-    citron_ports::{InstanceList, ListedState, PlatformError, Probe, Probes, TableStore},
+    citron_ports::{MachineList, MachineState, PlatformError, ProbeResult, Prober, TableStore},
     std::{
         cell::RefCell,
         collections::{BTreeMap, BTreeSet},
@@ -90,7 +90,12 @@
             .count()
     }
 
-    fn record_probe(&self, name: &ServerName, probe: Result<Probe, PlatformError>, now: Time) {
+    fn record_probe(
+        &self,
+        name: &ServerName,
+        probe: Result<ProbeResult, PlatformError>,
+        now: Time,
+    ) {
         let mut state = self.state.borrow_mut();
         let record = state.probes.entry(name.clone()).or_insert(ProbeRecord {
             answered_at: now,
@@ -101,7 +106,7 @@
         let was_lost = is_lost(record, now);
         match &probe {
             Ok(found) => {
-                let is_draining = *found == Probe::Draining;
+                let is_draining = *found == ProbeResult::Draining;
                 if is_draining && !record.is_draining {
                     log::info!("{} {name}", events::SERVER_LEAVING);
                 }
@@ -133,7 +138,7 @@
 pub async fn probe_servers<S, B>(node: Node<S>, servers: Rc<B>, health: Health)
 where
     S: TableStore + 'static,
-    B: Probes + 'static,
+    B: Prober + 'static,
 {
     let mut tasks = ServerTasks::default();
     let mut revisions = node.revisions();
@@ -166,7 +171,7 @@
 async fn probe_server<S, B>(node: Node<S>, servers: Rc<B>, health: Health, name: ServerName)
 where
     S: TableStore + 'static,
-    B: Probes + 'static,
+    B: Prober + 'static,
 {
     while let Some(row) = node.server_row(&name) {
         let probe = servers.probe(row.address).await;
@@ -179,13 +184,13 @@
 /// it says is never waited for; while it cannot be read, the last one counts.
 pub async fn follow_list<S>(node: Node<S>, health: Health)
 where
-    S: TableStore + InstanceList + 'static,
+    S: TableStore + MachineList + 'static,
 {
     loop {
         if let Ok(listed) = node.store().list().await {
             let leaving = listed
                 .iter()
-                .filter(|machine| machine.state == ListedState::Leaving);
+                .filter(|machine| machine.state == MachineState::Leaving);
             let names = leaving.filter_map(|machine| machine.name.parse().ok());
             health.state.borrow_mut().leaving = names.collect();
         }
--- a/crates/citronproxy/src/control/thread.rs
+++ b/crates/citronproxy/src/control/thread.rs
@@ -6,7 +6,7 @@
         membership, planning, probing, reporting,
     },
     crate::{clock::Clock, peer, traffic::TrafficHandle},
-    citron_ports::{Grants, InstanceList, Probes, TableStore},
+    citron_ports::{GrantClient, MachineList, Prober, TableStore},
     std::{future::Future, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{
         net::TcpListener,
@@ -33,7 +33,7 @@
 
 impl<S> Control<S>
 where
-    S: TableStore + InstanceList + 'static,
+    S: TableStore + MachineList + 'static,
 {
     /// Binds the address for other instances, lists this start if the platform
     /// answers, and starts all tasks.
@@ -49,7 +49,7 @@
         metrics: ControlMetrics,
     ) -> Result<Self, ControlError>
     where
-        B: Grants + Probes + 'static,
+        B: GrantClient + Prober + 'static,
     {
         let listener = bind(config.peer).await?;
         config.peer = listener.local_addr().unwrap_or(config.peer);
--- a/crates/citronproxy/src/dev/sample.rs
+++ b/crates/citronproxy/src/dev/sample.rs
@@ -15,7 +15,7 @@
             Objectives, Row, ServerRow, ServerState, ServiceRow, Write,
         },
     },
-    citron_ports::{HttpServers, LaneStore, Memory, PlatformError, TableStore},
+    citron_ports::{IdempotentStore, MemoryPlatform, PlatformError, ServerClient, TableStore},
     std::{error::Error, net::SocketAddr, time::Duration},
     tokio::{
         io::{AsyncReadExt, AsyncWriteExt},
@@ -44,7 +44,7 @@
     let backend = TcpListener::bind(ANY_PORT).await?;
     let address = backend.local_addr()?;
     spawn_local(serve_sample(backend));
-    let store = LaneStore::new(Memory::default(), "dev".to_string());
+    let store = IdempotentStore::new(MemoryPlatform::default(), "dev".to_string());
     commit_rows(&store, sample_rows(address)?).await?;
     let handle = traffic::TrafficHandle::default();
     let clock = Clock::start();
@@ -62,7 +62,7 @@
         seeds: Vec::new(),
     };
     let metrics = ControlMetrics::new(handle.registry())?;
-    let ports = (store, HttpServers::default());
+    let ports = (store, ServerClient::default());
     let mut control = Control::start(config, ports, handle, clock, metrics).await?;
     println!("try: curl -i http://{}/kegs/bar-7", workers.address);
     Err(control.wait_failed().await.into())
--- a/crates/citronproxy/src/edge/control/apply.rs
+++ b/crates/citronproxy/src/edge/control/apply.rs
@@ -97,12 +97,12 @@
     /// highest configuration version wins, in whatever order rows arrive; an unreadable
     /// row leaves the last valid configuration in force.
     fn apply_config(&self, state: &mut ControlState, row: &Row) {
-        match self.adapter.evacuation(row) {
+        match self.adapter.decode_evacuation(row) {
             Ok(None) => {}
             Ok(Some(evacuation)) => return self.apply_evacuation(state, evacuation, row.version),
             Err(error) => return log::error!("{} {error}", events::EVACUATION_REFUSED),
         }
-        let config = match self.adapter.config(row) {
+        let config = match self.adapter.decode_config(row) {
             Ok(Some(config)) => config,
             Ok(None) => return,
             Err(error) => {
@@ -157,7 +157,7 @@
             }
             return;
         }
-        match self.adapter.server(row) {
+        match self.adapter.decode_server(row) {
             Ok(entry) => {
                 let known = state.registry.get(&entry.name);
                 if is_logged && known.is_none_or(|known| known.entry.state != entry.state) {
--- a/crates/citronproxy/src/edge/control/controller.rs
+++ b/crates/citronproxy/src/edge/control/controller.rs
@@ -297,7 +297,7 @@
         is_snapshot: bool,
         call_started: Time,
     ) {
-        self.on_store_success(call_started, row_set.now);
+        self.on_store_success(call_started, row_set.store_time);
         if table == RANGES {
             self.confirm_ranges(call_started);
         }
--- a/crates/citronproxy/src/edge/control/heartbeat.rs
+++ b/crates/citronproxy/src/edge/control/heartbeat.rs
@@ -9,7 +9,7 @@
         time::Time,
     },
     citron_ports::Adapter,
-    citron_wire::heartbeat::{DATAGRAM_MAX, Datagram, Heartbeat},
+    citron_wire::heartbeat::{Datagram, Heartbeat, MAX_DATAGRAM_BYTES},
     std::{io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{net::UdpSocket, time::timeout},
 };
@@ -96,9 +96,10 @@
         loads: Vec::new(),
         ..heartbeat.clone()
     };
-    let (Some(without_loads), Some(full)) =
-        (without_loads.encode_fitting(), heartbeat.encode_fitting())
-    else {
+    let (Some(without_loads), Some(full)) = (
+        without_loads.encode_truncated(),
+        heartbeat.encode_truncated(),
+    ) else {
         return log::error!(
             "{} a heartbeat does not fit into a datagram",
             events::MESSAGE_REFUSED
@@ -142,7 +143,7 @@
     socket: &UdpSocket,
     drained_at: Time,
 ) -> Time {
-    let mut buffer = [0; DATAGRAM_MAX + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     for _ in 0..RECEIVE_BATCH_MAX {
         let now = controller.clock.now();
         match socket.try_recv_from(&mut buffer) {
@@ -171,7 +172,7 @@
         loads: Vec::new(),
         ..controller.heartbeat()
     };
-    let Some(bytes) = heartbeat.encode_fitting() else {
+    let Some(bytes) = heartbeat.encode_truncated() else {
         return log::error!(
             "{} a heartbeat does not fit into a datagram",
             events::MESSAGE_REFUSED
--- a/crates/citronproxy/src/edge/control/members.rs
+++ b/crates/citronproxy/src/edge/control/members.rs
@@ -75,7 +75,7 @@
             .rows(RowTable::Members, &mut idle);
         match read.await {
             Ok(row_set) => {
-                controller.on_store_success(call_started, row_set.now);
+                controller.on_store_success(call_started, row_set.store_time);
                 add_peers(controller, &row_set.rows);
                 return row_set.version;
             }
@@ -94,10 +94,10 @@
         let read = store.changes(RowTable::Members, version, Duration::ZERO, &mut idle);
         match read.await {
             Ok(row_set) => {
-                controller.on_store_success(call_started, row_set.now);
+                controller.on_store_success(call_started, row_set.store_time);
                 return add_peers(controller, &row_set.rows);
             }
-            Err(StoreError::Forgotten) => {
+            Err(StoreError::Compacted) => {
                 read_members(controller).await;
                 return;
             }
--- a/crates/citronproxy/src/edge/control/planner/commit.rs
+++ b/crates/citronproxy/src/edge/control/planner/commit.rs
@@ -188,7 +188,7 @@
 ) -> Result<u64, StoreError> {
     let result = timeout(COMMIT_TIMEOUT, controller.adapter.store().commit(commit)).await;
     result.unwrap_or_else(|_| {
-        Err(StoreError::Unknown(format!(
+        Err(StoreError::OutcomeUnknown(format!(
             "no response within {COMMIT_TIMEOUT:?}"
         )))
     })
--- a/crates/citronproxy/src/edge/control/planner/orders.rs
+++ b/crates/citronproxy/src/edge/control/planner/orders.rs
@@ -7,7 +7,7 @@
         id::ServerName,
         ranges::{LeaseTimes, Order, OrderOutcome, Slice},
     },
-    citron_ports::{Adapter, CallError, KeptClient},
+    citron_ports::{Adapter, CallError, HttpClient},
     http::{HeaderValue, Request, Response, StatusCode},
     std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
     tokio::sync::Semaphore,
@@ -36,7 +36,7 @@
 /// Connection to one server, and its limit of concurrent releases.
 #[derive(Debug, Clone)]
 struct Connection {
-    client: KeptClient,
+    client: HttpClient,
     releases: Rc<Semaphore>,
 }
 
@@ -56,7 +56,7 @@
                 range,
                 epoch,
             } => {
-                let request = controller.adapter.release(*range, *epoch);
+                let request = controller.adapter.release_request(*range, *epoch);
                 let connection = self.connection_to(controller, server);
                 // The semaphore is never closed.
                 let _permit = match &connection {
@@ -103,14 +103,14 @@
         let Ok(response) = response else { return false };
         let responder = response
             .headers()
-            .get(&controller.adapter.headers().answering);
+            .get(&controller.adapter.headers().server_start);
         responder.is_some_and(|id| id.as_bytes() != server.id().as_bytes())
     }
 
     fn connection_at(&self, address: SocketAddr) -> Connection {
         let mut connections = self.connections.borrow_mut();
         let connection = connections.entry(address).or_insert_with(|| Connection {
-            client: KeptClient::new(address, RESPONSE_BYTES_MAX),
+            client: HttpClient::new(address, RESPONSE_BYTES_MAX),
             releases: Rc::new(Semaphore::new(RELEASES_PER_SERVER_MAX)),
         });
         connection.clone()
@@ -135,7 +135,7 @@
         let Some(owner) = &slice.owner else {
             return OrderOutcome::Unknown;
         };
-        let request = controller.adapter.grant(slice, lease_times.lease);
+        let request = controller.adapter.grant_request(slice, lease_times.lease);
         let response = self
             .call(controller, owner, request, lease_times.order_timeout)
             .await;
@@ -162,7 +162,7 @@
                 log::debug!("grant of {} to {owner} failed: {error}", slice.range);
                 match error {
                     CallError::NotSent(_) => OrderOutcome::NotSent,
-                    CallError::Unknown(_) => OrderOutcome::Unknown,
+                    CallError::OutcomeUnknown(_) => OrderOutcome::Unknown,
                 }
             }
         }
@@ -181,7 +181,7 @@
             ));
         };
         if let Ok(name) = HeaderValue::from_str(server.id()) {
-            let header = controller.adapter.headers().instance.clone();
+            let header = controller.adapter.headers().expected_start.clone();
             request.headers_mut().insert(header, name);
         }
         connection.client.call(request, timeout).await
@@ -219,7 +219,7 @@
 ) -> OrderOutcome {
     match response {
         Ok(response) if response.status() == StatusCode::OK => OrderOutcome::Done {
-            handover: controller.adapter.handover(response.headers()),
+            handover: controller.adapter.decode_handover(response.headers()),
         },
         // The order names the incarnation it is meant for, and another one has answered
         // at that address. The released process has therefore ended and holds no keys.
--- a/crates/citronproxy/src/edge/control/refresh.rs
+++ b/crates/citronproxy/src/edge/control/refresh.rs
@@ -188,7 +188,7 @@
     let mut transfer = TableTransfer::from_store(controller, table, RESPONSE_TIMEOUT);
     let changes = store.changes(WATCHED[table], after, Duration::ZERO, &mut transfer);
     match changes.await {
-        Err(StoreError::Forgotten) => {
+        Err(StoreError::Compacted) => {
             let mut transfer = TableTransfer::from_store(controller, table, RESPONSE_TIMEOUT);
             Ok((store.rows(WATCHED[table], &mut transfer).await?, true))
         }
--- a/crates/citronproxy/src/edge/control/relay.rs
+++ b/crates/citronproxy/src/edge/control/relay.rs
@@ -15,9 +15,11 @@
     },
     bytes::Bytes,
     citron_core::freshness::{Fetch, LagTimer, PropagationTimes},
-    citron_ports::{Adapter, KeptClient, fetch_table},
+    citron_ports::{Adapter, HttpClient, fetch_table},
     citron_wire::heartbeat::Heartbeat,
-    citron_wire::relay::{Format, HeadWire, Packer, Part, RelayError, TableQuestion, TableWire},
+    citron_wire::relay::{
+        BodyCache, Format, HeadWire, RelayError, RowSelection, TableQuery, TableWire,
+    },
     http::StatusCode,
     std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration},
     tokio::{task::spawn_local, time::sleep},
@@ -32,8 +34,8 @@
 #[derive(Debug)]
 pub struct Relay {
     lag_timer: RefCell<LagTimer<{ WATCHED.len() }>>,
-    clients: RefCell<BTreeMap<SocketAddr, KeptClient>>,
-    packer: RefCell<Packer<{ WATCHED.len() }>>,
+    clients: RefCell<BTreeMap<SocketAddr, HttpClient>>,
+    packer: RefCell<BodyCache<{ WATCHED.len() }>>,
 }
 
 impl Default for Relay {
@@ -55,7 +57,7 @@
 
 /// Serves a table, or its changes, to another instance.
 pub fn serve_table<A: Adapter>(controller: &Controller<A>, path: &str) -> HttpResponse {
-    let query = path.parse::<TableQuestion>().ok();
+    let query = path.parse::<TableQuery>().ok();
     let query = query.filter(|query| query.table < WATCHED.len());
     match query.and_then(|query| encode_table(controller, query).ok()) {
         Some(bytes) => response(StatusCode::OK, bytes),
@@ -65,14 +67,14 @@
 
 fn encode_table<A: Adapter>(
     controller: &Controller<A>,
-    query: TableQuestion,
+    query: TableQuery,
 ) -> Result<Bytes, RelayError> {
     let state = controller.state.borrow();
     let replica = &state.replicas[query.table];
     let part = replica.part_since(query.after, query.digest);
     let head = HeadWire {
         version: replica.version,
-        whole: part == Part::Whole,
+        whole: part == RowSelection::All,
         changed: replica.newest_change,
         age: state
             .freshness
@@ -83,9 +85,14 @@
     match query.format {
         Format::Packed => {
             let mut packer = controller.relay.packer.borrow_mut();
-            head.with(&packer.body(query.table, replica.edit_count, part, rows)?)
+            head.encode_packed(&packer.get_or_encode(
+                query.table,
+                replica.edit_count,
+                part,
+                rows,
+            )?)
         }
-        Format::Plain => TableWire { head, rows: rows() }.to_plain(),
+        Format::Plain => TableWire { head, rows: rows() }.encode_plain(),
     }
 }
 
@@ -141,13 +148,13 @@
     let call_started = controller.clock.now();
     let query = {
         let replica = &controller.state.borrow().replicas[table];
-        TableQuestion::new(table, replica.newest_change).having(replica.digest())
+        TableQuery::new(table, replica.newest_change).with_digest(replica.digest())
     };
     let client = {
         let mut clients = controller.relay.clients.borrow_mut();
         let client = clients.entry(from);
         client
-            .or_insert_with(|| KeptClient::new(from, TABLE_BYTES_MAX))
+            .or_insert_with(|| HttpClient::new(from, TABLE_BYTES_MAX))
             .clone()
     };
     let result = fetch_table(&client, query, &mut transfer).await;
@@ -164,7 +171,7 @@
             return;
         }
     };
-    match response.read(TABLE_BYTES_MAX) {
+    match response.decode(TABLE_BYTES_MAX) {
         Ok(wire) => {
             controller.relay.caught_up(table);
             controller.apply_peer_table(table, wire, call_started);
--- a/crates/citronproxy/src/edge/control/replica.rs
+++ b/crates/citronproxy/src/edge/control/replica.rs
@@ -2,7 +2,7 @@
 
 use {
     citron_ports::{Row, RowSet},
-    citron_wire::relay::{Digest, Part, TableRowWire},
+    citron_wire::relay::{Digest, RowSelection, TableRowWire},
     std::{
         cell::Cell,
         collections::{BTreeMap, BTreeSet},
@@ -77,10 +77,12 @@
     /// read stands for that of the newest change. Instances that have read the table at
     /// different versions therefore ask each other, although most of them have the same
     /// rows; the digest reveals that.
-    pub fn part_since(&self, after: u64, digest: Option<Digest>) -> Part {
+    pub fn part_since(&self, after: u64, digest: Option<Digest>) -> RowSelection {
         let versions = self.rows.values().map(|row| row.version);
-        match Part::since(after, self.snapshot_version, versions) {
-            Part::Whole if digest == Some(self.digest()) => Part::After(self.newest_change),
+        match RowSelection::since(after, self.snapshot_version, versions) {
+            RowSelection::All if digest == Some(self.digest()) => {
+                RowSelection::After(self.newest_change)
+            }
             part => part,
         }
     }
@@ -93,16 +95,16 @@
             return digest;
         }
         let live = self.rows.values().filter(|row| row.value.is_some());
-        let digest = Digest::of(live.map(|row| (row.key.as_str(), row.version)));
+        let digest = Digest::from_rows(live.map(|row| (row.key.as_str(), row.version)));
         self.cached_digest.set(Some((self.edit_count, digest)));
         digest
     }
 
     /// Rows of a part, in the order of their keys.
-    pub fn rows_in(&self, part: Part) -> Vec<TableRowWire> {
+    pub fn rows_in(&self, part: RowSelection) -> Vec<TableRowWire> {
         let is_in = |row: &&Row| match part {
-            Part::Whole => row.value.is_some(),
-            Part::After(version) => row.version > version,
+            RowSelection::All => row.value.is_some(),
+            RowSelection::After(version) => row.version > version,
         };
         let rows = self.rows.values().filter(is_in);
         rows.map(TableRowWire::from).collect()
--- a/crates/citronproxy/src/edge/control/watch.rs
+++ b/crates/citronproxy/src/edge/control/watch.rs
@@ -115,7 +115,7 @@
                 is_snapshot = false;
                 sleep(controller.poll_interval()).await;
             }
-            Err(StoreError::Forgotten) => is_snapshot = true,
+            Err(StoreError::Compacted) => is_snapshot = true,
             Err(error) => {
                 controller.on_store_failure(&format!("{row_table:?}"), &error);
                 wait_for_store(&controller).await;
--- a/crates/citronproxy/src/edge/traffic/attempt.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -337,7 +337,7 @@
         HeaderValue::from(remaining as u64),
     );
     if let Ok(name) = HeaderValue::from_str(server.entry.name.id()) {
-        headers.insert(state.headers.instance.clone(), name);
+        headers.insert(state.headers.expected_start.clone(), name);
     }
     request
 }
@@ -399,7 +399,7 @@
 
 /// Whether the server says that it has not run the request.
 fn is_refusal(state: &TrafficState, head: &http::response::Parts) -> bool {
-    let is_not_run = head.headers.contains_key(&state.headers.not_run);
+    let is_not_run = head.headers.contains_key(&state.headers.not_executed);
     is_not_run || head.status == StatusCode::MISDIRECTED_REQUEST
 }
 
--- a/crates/citronproxy/src/instance.rs
+++ b/crates/citronproxy/src/instance.rs
@@ -2,7 +2,7 @@
 
 use {
     citron_core::{id::Incarnation, membership::Member},
-    citron_ports::{HttpPlatform, HttpServers, LaneStore},
+    citron_ports::{HttpPlatform, IdempotentStore, ServerClient},
     citronproxy::{
         admin::{self, AdminApi, AdminListener},
         clock::Clock,
@@ -65,7 +65,7 @@
     let admin_store = admin_store(&settings, &member);
     // New at each start: the numbers of a writer's commits begin anew.
     let writer = format!("{}/{}", member.instance, member.incarnation);
-    let store = LaneStore::new(HttpPlatform::new(settings.platform), writer);
+    let store = IdempotentStore::new(HttpPlatform::new(settings.platform), writer);
     let config = ControlConfig {
         member,
         domain: settings.domain.clone(),
@@ -76,7 +76,7 @@
         seeds: settings.seeds,
     };
     let metrics = ControlMetrics::new(handle.registry())?;
-    let ports = (store, HttpServers::default());
+    let ports = (store, ServerClient::default());
     let start = Control::start(config, ports, handle.clone(), clock, metrics);
     let mut control = start.await?;
     print_address("peer", control.address);
@@ -107,7 +107,7 @@
 
 /// The table as operators' edits are written to it: with a writer of their own,
 /// so that an edit being settled holds up no commit of control.
-fn admin_store(settings: &Settings, member: &Member) -> LaneStore<HttpPlatform> {
+fn admin_store(settings: &Settings, member: &Member) -> IdempotentStore<HttpPlatform> {
     let writer = format!("{}/{}/admin", member.instance, member.incarnation);
-    LaneStore::new(HttpPlatform::new(settings.platform), writer)
+    IdempotentStore::new(HttpPlatform::new(settings.platform), writer)
 }
--- a/crates/citronproxy/src/peer/client.rs
+++ b/crates/citronproxy/src/peer/client.rs
@@ -9,7 +9,9 @@
         table::Changes,
     },
     citron_wire::{
-        peer::{AckAnswer, AckAsk, Asker, read_changes, read_status, write_report},
+        peer::{
+            AcknowledgeRequest, AcknowledgeResponse, Asker, read_changes, read_status, write_report,
+        },
         peer_capnp::peer,
     },
     futures::io::{BufReader, BufWriter},
@@ -77,13 +79,13 @@
     pub async fn acknowledge(
         &self,
         address: SocketAddr,
-        ask: &AckAsk,
-    ) -> Result<AckAnswer, PeerError> {
+        ask: &AcknowledgeRequest,
+    ) -> Result<AcknowledgeResponse, PeerError> {
         let ask = async |client: peer::Client| {
             let mut request = client.acknowledge_request();
             ask.write(request.get());
             let response = request.send().promise.await?;
-            Ok(AckAnswer::from(response.get()?))
+            Ok(AcknowledgeResponse::from(response.get()?))
         };
         self.call(address, ACK_TIMEOUT, ask).await
     }
--- a/crates/citronproxy/src/peer/handler.rs
+++ b/crates/citronproxy/src/peer/handler.rs
@@ -6,7 +6,7 @@
         membership::{InstanceReport, InstanceStatus},
         table::Changes,
     },
-    citron_wire::peer::{AckAnswer, AckAsk, Asker},
+    citron_wire::peer::{AcknowledgeRequest, AcknowledgeResponse, Asker},
     std::future::Future,
 };
 
@@ -16,7 +16,7 @@
     fn status(&self) -> InstanceStatus;
 
     /// Answers once the revision is settled here, or says that it is not.
-    fn acknowledge(&self, ask: AckAsk) -> impl Future<Output = AckAnswer>;
+    fn acknowledge(&self, ask: AcknowledgeRequest) -> impl Future<Output = AcknowledgeResponse>;
 
     /// Rows after `since`, and the status that goes with exactly those rows.
     fn changes(&self, asker: Asker, since: Revision) -> (InstanceStatus, Changes);
--- a/crates/citronproxy/src/peer/server.rs
+++ b/crates/citronproxy/src/peer/server.rs
@@ -6,7 +6,7 @@
     capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork},
     citron_core::id::Revision,
     citron_wire::{
-        peer::{AckAsk, Asker, read_report, write_changes, write_status},
+        peer::{AcknowledgeRequest, Asker, read_report, write_changes, write_status},
         peer_capnp::peer,
     },
     futures::io::{BufReader, BufWriter},
@@ -78,7 +78,7 @@
         params: peer::AcknowledgeParams,
         mut results: peer::AcknowledgeResults,
     ) -> Result<(), capnp::Error> {
-        let ask = AckAsk::try_from(params.get()?).map_err(to_capnp_error)?;
+        let ask = AcknowledgeRequest::try_from(params.get()?).map_err(to_capnp_error)?;
         let answer = self.handler.acknowledge(ask).await;
         answer.write(results.get());
         Ok(())
--- a/crates/citronproxy/src/slo/page.rs
+++ b/crates/citronproxy/src/slo/page.rs
@@ -59,7 +59,7 @@
             record: RecordWire::from(&self.record),
         };
         let bytes = serde_json::to_vec(&page);
-        let bytes = bytes.map_err(|error| PlatformError::Answer(error.to_string()))?;
+        let bytes = bytes.map_err(|error| PlatformError::InvalidResponse(error.to_string()))?;
         store.put(&name, bytes).await?;
         self.is_dirty = false;
         Ok(())
--- a/crates/citronproxy/tests/admin.rs
+++ b/crates/citronproxy/tests/admin.rs
@@ -10,7 +10,7 @@
         table::Table,
     },
     citron_fakes::platform::PlatformServer,
-    citron_ports::{LaneStore, Memory, PlatformError},
+    citron_ports::{IdempotentStore, MemoryPlatform, PlatformError},
     citronproxy::admin::{AdminApi, AdminListener, ControlView, serve},
     http::{Method, Request},
     http_body_util::Full,
@@ -166,7 +166,7 @@
             .await
             .unwrap();
         let address = server.address;
-        let store = LaneStore::new(Memory::default(), "test".to_string());
+        let store = IdempotentStore::new(MemoryPlatform::default(), "test".to_string());
         let name = "entry-1".parse().unwrap();
         let domain = "harbour".parse().unwrap();
         let admin = AdminApi {
--- a/crates/citronproxy/tests/leaving.rs
+++ b/crates/citronproxy/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use {
     citron_core::table::Fencing,
-    citron_ports::ListedState,
+    citron_ports::MachineState,
     std::time::{Duration, Instant},
     support::{Callers, Deployment, check_owners, check_told},
     tokio::time::sleep,
@@ -38,7 +38,7 @@
         Word::Row => deployment.drain("server-1").await,
         Word::List => {
             let memory = &deployment.platform.memory;
-            memory.set_listed("server-1", Some(ListedState::Leaving));
+            memory.set_machine("server-1", Some(MachineState::Leaving));
         }
         Word::Own => deployment.servers[0].drain(),
     }
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -9,7 +9,7 @@
         table::{Changes, DomainRow, DomainState, Row},
     },
     citron_fakes::link::Link,
-    citron_wire::peer::{AckAnswer, AckAsk, Asker},
+    citron_wire::peer::{AcknowledgeRequest, AcknowledgeResponse, Asker},
     citronproxy::peer::{PeerClient, PeerError, PeerHandler, serve},
     std::{
         cell::{Cell, RefCell},
@@ -99,9 +99,9 @@
         status()
     }
 
-    async fn acknowledge(&self, ask: AckAsk) -> AckAnswer {
+    async fn acknowledge(&self, ask: AcknowledgeRequest) -> AcknowledgeResponse {
         sleep(Duration::from_millis(ask.revision.0)).await;
-        AckAnswer {
+        AcknowledgeResponse {
             incarnation: Incarnation(ask.revision.0),
             settled: ask.revision.0.is_multiple_of(2),
         }
@@ -129,8 +129,8 @@
     (address, host)
 }
 
-fn ask(revision: u64) -> AckAsk {
-    AckAsk {
+fn ask(revision: u64) -> AcknowledgeRequest {
+    AcknowledgeRequest {
         server: "server-1".parse().unwrap(),
         revision: Revision(revision),
     }
--- a/crates/citronproxy/tests/slo.rs
+++ b/crates/citronproxy/tests/slo.rs
@@ -15,7 +15,7 @@
         backend::{BackendConfig, BackendServer},
         platform::PlatformServer,
     },
-    citron_ports::{HttpPlatform, LaneStore, Memory, ObjectStore, TableStore},
+    citron_ports::{HttpPlatform, IdempotentStore, MemoryPlatform, ObjectStore, TableStore},
     citron_wire::slo::PAGE_PREFIX,
     citronproxy::{
         clock::Clock,
@@ -44,7 +44,7 @@
 }
 
 /// Traffic threads over one backend server; requests to `/kegs`.
-async fn traffic(memory: &Memory) -> (SocketAddr, TrafficHandle) {
+async fn traffic(memory: &MemoryPlatform) -> (SocketAddr, TrafficHandle) {
     let config = BackendConfig {
         name: "server-1".to_string(),
         slots: 4,
@@ -72,8 +72,8 @@
     (workers.address, handle)
 }
 
-async fn publish(memory: &Memory, handle: &TrafficHandle, until: Time) {
-    let store = LaneStore::new(memory.clone(), "control".to_string());
+async fn publish(memory: &MemoryPlatform, handle: &TrafficHandle, until: Time) {
+    let store = IdempotentStore::new(memory.clone(), "control".to_string());
     let mut table = Table::default();
     table
         .apply(store.changes(Revision(0)).await.unwrap())
@@ -106,7 +106,7 @@
 #[tokio::test]
 async fn answers_and_slot_time_are_counted_by_service() {
     let run = async {
-        let memory = Memory::default();
+        let memory = MemoryPlatform::default();
         let (address, handle) = traffic(&memory).await;
         let mut recorder = recorder(&handle);
         recorder.sample(Time::from_micros(0), minute()).await;
@@ -164,7 +164,7 @@
 /// with the time that an instance runs.
 #[tokio::test]
 async fn an_instance_keeps_eight_pages() {
-    let memory = Memory::default();
+    let memory = MemoryPlatform::default();
     let run = async {
         let (_, handle) = traffic(&memory).await;
         let mut recorder = recorder(&handle);
--- a/crates/citronproxy/tests/support/deployment.rs
+++ b/crates/citronproxy/tests/support/deployment.rs
@@ -11,7 +11,7 @@
         backend::{BackendConfig, BackendServer, Execution},
         platform::PlatformServer,
     },
-    citron_ports::{LaneStore, TableService, TableStore},
+    citron_ports::{IdempotentStore, TableService, TableStore},
     std::{
         net::SocketAddr,
         time::{Duration, Instant},
@@ -177,7 +177,7 @@
 
     /// Changes the row that `change` takes.
     async fn edit(&self, writer: &str, change: impl Fn(&mut Row) -> bool) {
-        let store = LaneStore::new(self.platform.memory.clone(), writer.to_string());
+        let store = IdempotentStore::new(self.platform.memory.clone(), writer.to_string());
         let rows = self.changes().await.rows;
         let found = rows.into_iter().find_map(|(key, expect, row)| {
             let mut row = row?;
--- a/crates/citronproxy/tests/support/inside.rs
+++ b/crates/citronproxy/tests/support/inside.rs
@@ -3,7 +3,7 @@
 use {
     super::any,
     citron_core::{id::Incarnation, membership::Member},
-    citron_ports::{HttpServers, LaneStore, Memory},
+    citron_ports::{IdempotentStore, MemoryPlatform, ServerClient},
     citronproxy::{
         clock::Clock,
         control::{Control, ControlConfig, ControlMetrics},
@@ -14,13 +14,13 @@
 
 /// One traffic thread and control, which runs in the test's `LocalSet`.
 pub struct Inside {
-    pub control: Control<LaneStore<Memory>>,
+    pub control: Control<IdempotentStore<MemoryPlatform>>,
     pub workers: Workers,
 }
 
 impl Inside {
     /// Starts it over the platform's memory.
-    pub async fn start(name: &str, domain: &str, memory: &Memory) -> Self {
+    pub async fn start(name: &str, domain: &str, memory: &MemoryPlatform) -> Self {
         let (handle, clock) = (TrafficHandle::default(), Clock::start());
         let workers = traffic::start(any(), 1, &handle, clock).expect("threads start");
         let instance = name.parse().expect("a name");
@@ -38,8 +38,8 @@
             seeds: Vec::new(),
         };
         let metrics = ControlMetrics::new(&Registry::new()).expect("valid names");
-        let store = LaneStore::new(memory.clone(), name.to_string());
-        let outside = (store, HttpServers::default());
+        let store = IdempotentStore::new(memory.clone(), name.to_string());
+        let outside = (store, ServerClient::default());
         let control = Control::start(config, outside, handle, clock, metrics).await;
         Self {
             control: control.expect("a port"),
--- a/crates/citronproxy/tests/support/rows.rs
+++ b/crates/citronproxy/tests/support/rows.rs
@@ -9,7 +9,7 @@
             MoveBudget, Objectives, Row, ServerRow, ServerState, ServiceRow, Write,
         },
     },
-    citron_ports::{LaneStore, Memory, TableStore},
+    citron_ports::{IdempotentStore, MemoryPlatform, TableStore},
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -86,8 +86,8 @@
 }
 
 /// Writes rows that are not there yet.
-pub async fn commit(memory: &Memory, writer: &str, rows: Vec<Row>) {
-    let store = LaneStore::new(memory.clone(), writer.to_string());
+pub async fn commit(memory: &MemoryPlatform, writer: &str, rows: Vec<Row>) {
+    let store = IdempotentStore::new(memory.clone(), writer.to_string());
     let writes = rows.into_iter().map(|row| Write {
         key: row.key(),
         expect: Revision(0),
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -4,7 +4,7 @@
     super::Faults,
     crate::http::{HttpResponse, byte_response, json_response, query_param},
     bytes::Bytes,
-    citron_ports::{InstanceList, ListedState, Memory, ObjectStore, TableService},
+    citron_ports::{MachineList, MachineState, MemoryPlatform, ObjectStore, TableService},
     http::{Method, Request, StatusCode},
     http_body_util::BodyExt,
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
@@ -26,7 +26,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What it holds.
-    pub memory: Memory,
+    pub memory: MemoryPlatform,
     /// What goes wrong with it.
     pub faults: Faults,
 }
@@ -40,7 +40,7 @@
         let listener = TcpListener::bind(address).await?;
         let server = Self {
             address: listener.local_addr()?,
-            memory: Memory::default(),
+            memory: MemoryPlatform::default(),
             faults: Faults::default(),
         };
         tokio::spawn(server.clone().accept(listener));
@@ -136,9 +136,9 @@
     }
 
     async fn instances(&self) -> HttpResponse {
-        let listed = InstanceList::list(&self.memory).await.unwrap_or_default();
+        let listed = MachineList::list(&self.memory).await.unwrap_or_default();
         let wires = listed.iter().map(|entry| {
-            let is_leaving = entry.state == ListedState::Leaving;
+            let is_leaving = entry.state == MachineState::Leaving;
             json_value!({ "name": entry.name, "leaving": is_leaving })
         });
         json_response(StatusCode::OK, &wires.collect::<Vec<_>>())
--- a/crates/ports/src/adapter.rs
+++ b/crates/ports/src/adapter.rs
@@ -22,11 +22,11 @@
     /// Milliseconds that the caller goes on waiting.
     pub deadline: HeaderName,
     /// The start of a server that alone may run the request.
-    pub instance: HeaderName,
+    pub expected_start: HeaderName,
     /// The start of a server that answers a question after its health.
-    pub answering: HeaderName,
+    pub server_start: HeaderName,
     /// A server's promise that it has not run the request.
-    pub not_run: HeaderName,
+    pub not_executed: HeaderName,
     /// The key, as a number.
     pub key: HeaderName,
     /// A server's load at the moment of its answer, as [`ReportedLoad`] is written.
@@ -63,27 +63,27 @@
     ///
     /// # Errors
     /// If the row cannot be read.
-    fn config(&self, row: &Row) -> Result<Option<RouteConfig>, DecodeError>;
+    fn decode_config(&self, row: &Row) -> Result<Option<RouteConfig>, DecodeError>;
 
     /// The evacuation that a row begins or, if it was removed, ends; `None` if the row
     /// is not about one.
     ///
     /// # Errors
     /// If the row cannot be read.
-    fn evacuation(&self, row: &Row) -> Result<Option<Evacuation>, DecodeError>;
+    fn decode_evacuation(&self, row: &Row) -> Result<Option<Evacuation>, DecodeError>;
 
     /// The server in a row.
     ///
     /// # Errors
     /// If the row cannot be read.
-    fn server(&self, row: &Row) -> Result<ServerEntry, DecodeError>;
+    fn decode_server(&self, row: &Row) -> Result<ServerEntry, DecodeError>;
 
     /// The order to hold the keys of a slice for a time.
-    fn grant(&self, slice: &Slice, hold: Duration) -> Request<Bytes>;
+    fn grant_request(&self, slice: &Slice, hold: Duration) -> Request<Bytes>;
 
     /// The order to give keys up under a higher epoch.
-    fn release(&self, range: KeyRange, epoch: Epoch) -> Request<Bytes>;
+    fn release_request(&self, range: KeyRange, epoch: Epoch) -> Request<Bytes>;
 
     /// What a server hands over with its answer to a release.
-    fn handover(&self, headers: &HeaderMap) -> Option<String>;
+    fn decode_handover(&self, headers: &HeaderMap) -> Option<String>;
 }
--- a/crates/ports/src/error.rs
+++ b/crates/ports/src/error.rs
@@ -10,10 +10,10 @@
     Unreachable(String),
     /// A write may or may not have taken effect, and reading back failed too.
     #[error("outcome unknown: {0}")]
-    Unsettled(String),
+    OutcomeUnknown(String),
     /// An answer that makes no sense.
     #[error("bad answer: {0}")]
-    Answer(String),
+    InvalidResponse(String),
     /// A row that breaks a rule.
     #[error(transparent)]
     Wire(#[from] WireError),
--- a/crates/ports/src/fetch_table.rs
+++ b/crates/ports/src/fetch_table.rs
@@ -1,26 +1,26 @@
 //! Tables that other instances hand out.
 
 use {
-    crate::{CallError, KeptClient, ReadTimeout},
+    crate::{CallError, HttpClient, ReadTimeout},
     bytes::Bytes,
-    citron_wire::relay::{Format, RelayError, TableQuestion, TableWire},
+    citron_wire::relay::{Format, RelayError, TableQuery, TableWire},
     http::{Request, StatusCode},
 };
 
 /// An answer that was not read yet.
 #[derive(Debug)]
-pub struct TableAnswer {
+pub struct TableResponse {
     format: Format,
     bytes: Bytes,
 }
 
-impl TableAnswer {
+impl TableResponse {
     /// Reads an answer whose rows take `most` bytes at most.
     ///
     /// # Errors
     /// If it is of another version, too long or damaged.
-    pub fn read(&self, most: usize) -> Result<TableWire, RelayError> {
-        TableWire::read(self.format, &self.bytes, most)
+    pub fn decode(&self, max_bytes: usize) -> Result<TableWire, RelayError> {
+        TableWire::decode(self.format, &self.bytes, max_bytes)
     }
 }
 
@@ -28,22 +28,22 @@
 /// format, once more in the format before.
 ///
 /// # Errors
-/// As [`KeptClient::fetch`].
+/// As [`HttpClient::fetch`].
 pub async fn fetch_table(
-    client: &KeptClient,
-    mut question: TableQuestion,
+    client: &HttpClient,
+    mut query: TableQuery,
     limit: &mut impl ReadTimeout,
-) -> Result<TableAnswer, CallError> {
+) -> Result<TableResponse, CallError> {
     loop {
         let mut request = Request::new(Bytes::new());
-        *request.uri_mut() = question.to_string().parse().unwrap_or_default();
-        let answer = client.fetch(request, limit).await?;
-        match question.older() {
-            Some(older) if answer.status() == StatusCode::NOT_FOUND => question = older,
+        *request.uri_mut() = query.to_string().parse().unwrap_or_default();
+        let response = client.fetch(request, limit).await?;
+        match query.older() {
+            Some(older) if response.status() == StatusCode::NOT_FOUND => query = older,
             _ => {
-                return Ok(TableAnswer {
-                    format: question.format,
-                    bytes: answer.into_body(),
+                return Ok(TableResponse {
+                    format: query.format,
+                    bytes: response.into_body(),
                 });
             }
         }
--- a/crates/ports/src/grants.rs
+++ b/crates/ports/src/grants.rs
@@ -10,11 +10,11 @@
 };
 
 /// Gives grants and leases to backend servers that check them.
-pub trait Grants {
+pub trait GrantClient {
     /// Sends grants and a lease in one order; with neither it only asks for the
     /// server's clock. An order that names another start than the server's is
     /// refused whole.
-    fn order(
+    fn send_order(
         &self,
         server: &ServerRow,
         boot: Option<BootId>,
--- a/crates/ports/src/http.rs
+++ b/crates/ports/src/http.rs
@@ -2,20 +2,20 @@
 
 use {
     crate::{
-        CallError, IdleTimeout, InstanceList, KeptClient, Listed, ListedState, ObjectStore,
+        CallError, HttpClient, IdleTimeout, Machine, MachineList, MachineState, ObjectStore,
         PlatformError, TableService,
     },
     bytes::Bytes,
-    citron_wire::table::{ChangesWire, CommitAnswerWire, CommitWire, LogWire, StoredWire},
+    citron_wire::table::{ChangesWire, CommitResponseWire, CommitWire, LogWire, StoredRowWire},
     http::{Method, Request, StatusCode},
     serde::{Deserialize, de::DeserializeOwned},
     std::{net::SocketAddr, time::Duration},
 };
 
 /// How long the begin of an answer may take, and each further part of it.
-const CALL_TIME: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The largest answer that is read.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Client of the platform's services at one address.
 ///
@@ -40,29 +40,30 @@
         decode(status, &bytes).map(Some)
     }
 
-    async fn must_get<T: DeserializeOwned>(&self, path: &str) -> Result<T, PlatformError> {
+    async fn get_required<T: DeserializeOwned>(&self, path: &str) -> Result<T, PlatformError> {
         let found = self.get(path).await?;
-        found.ok_or_else(|| PlatformError::Answer(format!("{path} not found")))
+        found.ok_or_else(|| PlatformError::InvalidResponse(format!("{path} not found")))
     }
 }
 
 impl TableService for HttpPlatform {
     async fn changes(&self, since: u64) -> Result<ChangesWire, PlatformError> {
-        self.must_get(&format!("/v1/changes?since={since}")).await
+        self.get_required(&format!("/v1/changes?since={since}"))
+            .await
     }
 
-    async fn commit(&self, commit: &CommitWire) -> Result<CommitAnswerWire, PlatformError> {
+    async fn commit(&self, commit: &CommitWire) -> Result<CommitResponseWire, PlatformError> {
         let body = encode(commit)?;
         let (status, bytes) = call(self.address, Method::POST, "/v1/commit", body).await?;
         decode(status, &bytes)
     }
 
-    async fn row(&self, key: &str) -> Result<Option<StoredWire>, PlatformError> {
+    async fn row(&self, key: &str) -> Result<Option<StoredRowWire>, PlatformError> {
         self.get(&format!("/v1/row?key={key}")).await
     }
 
     async fn log(&self, after: u64, limit: usize) -> Result<LogWire, PlatformError> {
-        self.must_get(&format!("/v1/log?after={after}&limit={limit}"))
+        self.get_required(&format!("/v1/log?after={after}&limit={limit}"))
             .await
     }
 }
@@ -71,7 +72,7 @@
     async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), PlatformError> {
         let path = format!("/v1/objects/{name}");
         let (status, _) = call(self.address, Method::PUT, &path, bytes.into()).await?;
-        check(status)
+        check_status(status)
     }
 
     async fn get(&self, name: &str) -> Result<Option<Vec<u8>>, PlatformError> {
@@ -80,51 +81,52 @@
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        check(status)?;
+        check_status(status)?;
         Ok(Some(bytes.to_vec()))
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<String>, PlatformError> {
-        self.must_get(&format!("/v1/objects?prefix={prefix}")).await
+        self.get_required(&format!("/v1/objects?prefix={prefix}"))
+            .await
     }
 }
 
 #[derive(Deserialize)]
-struct ListedWire {
+struct MachineWire {
     name: String,
     leaving: bool,
 }
 
-impl InstanceList for HttpPlatform {
-    async fn list(&self) -> Result<Vec<Listed>, PlatformError> {
-        let wires: Vec<ListedWire> = self.must_get("/v1/instances").await?;
-        let listed = wires.into_iter().map(|wire| Listed {
+impl MachineList for HttpPlatform {
+    async fn list(&self) -> Result<Vec<Machine>, PlatformError> {
+        let wires: Vec<MachineWire> = self.get_required("/v1/instances").await?;
+        let machines = wires.into_iter().map(|wire| Machine {
             name: wire.name,
             state: match wire.leaving {
-                true => ListedState::Leaving,
-                false => ListedState::Live,
+                true => MachineState::Leaving,
+                false => MachineState::Live,
             },
         });
-        Ok(listed.collect())
+        Ok(machines.collect())
     }
 }
 
 fn encode(wire: &impl serde::Serialize) -> Result<Bytes, PlatformError> {
     let json = serde_json::to_vec(wire);
     json.map(Bytes::from)
-        .map_err(|error| PlatformError::Answer(error.to_string()))
+        .map_err(|error| PlatformError::InvalidResponse(error.to_string()))
 }
 
-fn check(status: StatusCode) -> Result<(), PlatformError> {
+fn check_status(status: StatusCode) -> Result<(), PlatformError> {
     match status.is_success() {
         true => Ok(()),
-        false => Err(PlatformError::Answer(format!("status {status}"))),
+        false => Err(PlatformError::InvalidResponse(format!("status {status}"))),
     }
 }
 
 fn decode<T: DeserializeOwned>(status: StatusCode, bytes: &[u8]) -> Result<T, PlatformError> {
-    check(status)?;
-    serde_json::from_slice(bytes).map_err(|error| PlatformError::Answer(error.to_string()))
+    check_status(status)?;
+    serde_json::from_slice(bytes).map_err(|error| PlatformError::InvalidResponse(error.to_string()))
 }
 
 /// Each call has a client, and so a connection, of its own.
@@ -136,16 +138,16 @@
 ) -> Result<(StatusCode, Bytes), PlatformError> {
     let request = Request::builder().method(method).uri(path).body(body);
     let request = request.map_err(|error| PlatformError::Unreachable(error.to_string()))?;
-    let mut idle = IdleTimeout::new(CALL_TIME, CALL_TIME);
-    let client = KeptClient::new(address, MAX_ANSWER);
-    let answer = client.fetch(request, &mut idle).await;
-    let (head, bytes) = answer.map_err(failed)?.into_parts();
+    let mut idle = IdleTimeout::new(CALL_TIMEOUT, CALL_TIMEOUT);
+    let client = HttpClient::new(address, MAX_RESPONSE_BYTES);
+    let response = client.fetch(request, &mut idle).await;
+    let (head, bytes) = response.map_err(platform_error)?.into_parts();
     Ok((head.status, bytes))
 }
 
-fn failed(error: CallError) -> PlatformError {
+fn platform_error(error: CallError) -> PlatformError {
     match error {
         CallError::NotSent(reason) => PlatformError::Unreachable(reason),
-        CallError::Unknown(reason) => PlatformError::Unsettled(reason),
+        CallError::OutcomeUnknown(reason) => PlatformError::OutcomeUnknown(reason),
     }
 }
--- a/crates/ports/src/http_client.rs
+++ b/crates/ports/src/http_client.rs
@@ -22,16 +22,16 @@
 
 /// How long a connection may take. Instances and what they call are milliseconds
 /// apart; a lost opening packet is sent again after a second.
-const CONNECT_TIME: Duration = Duration::from_millis(1_200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// How often the kernel asks whether the other side of a quiet connection is
 /// still there, and how often in vain before it is reset. Something between may
 /// forget a connection without a word: a call that waits on one would hear of
 /// no change until its own time is over.
-const PROBE: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
 /// Idle connections kept to one address: as many orders as go to one backend server
 /// at a time when many of its keys move.
-const KEPT: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Why a call has no answer.
 #[derive(Debug, Error)]
@@ -41,7 +41,7 @@
     NotSent(String),
     /// It was sent, and may have been carried out.
     #[error("no answer: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
 }
 
 /// Limits how long an answer may take.
@@ -56,27 +56,27 @@
 /// Limits the time to the begin of an answer, and the time without a further part.
 #[derive(Debug)]
 pub struct IdleTimeout {
-    until: Instant,
-    part: Duration,
+    deadline: Instant,
+    idle_limit: Duration,
 }
 
 impl IdleTimeout {
     /// Both count from now on.
-    pub fn new(answer: Duration, part: Duration) -> Self {
+    pub fn new(first_byte_limit: Duration, idle_limit: Duration) -> Self {
         Self {
-            until: Instant::now() + answer,
-            part,
+            deadline: Instant::now() + first_byte_limit,
+            idle_limit,
         }
     }
 }
 
 impl ReadTimeout for IdleTimeout {
     fn remaining(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     fn progressed(&mut self) {
-        self.until = Instant::now() + self.part;
+        self.deadline = Instant::now() + self.idle_limit;
     }
 }
 
@@ -92,12 +92,12 @@
 }
 
 #[derive(Debug)]
-struct Line {
+struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for Line {
+impl Drop for Connection {
     /// Ends the socket at once. It is set to reset, so that a call which is
     /// still held up on its way arrives no more.
     fn drop(&mut self) {
@@ -107,19 +107,19 @@
 
 /// A client of one address.
 #[derive(Debug, Clone)]
-pub struct KeptClient {
+pub struct HttpClient {
     address: SocketAddr,
-    most: usize,
-    kept: Arc<Mutex<Vec<Line>>>,
+    max_bytes: usize,
+    idle: Arc<Mutex<Vec<Connection>>>,
 }
 
-impl KeptClient {
+impl HttpClient {
     /// A client that reads answers of at most `most` bytes; nothing is sent yet.
-    pub fn new(address: SocketAddr, most: usize) -> Self {
+    pub fn new(address: SocketAddr, max_bytes: usize) -> Self {
         Self {
             address,
-            most,
-            kept: Arc::default(),
+            max_bytes,
+            idle: Arc::default(),
         }
     }
 
@@ -131,10 +131,10 @@
     pub async fn call(
         &self,
         request: Request<Bytes>,
-        span: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, CallError> {
-        let end = Instant::now() + span;
-        self.fetch(request, &mut Deadline(end)).await
+        let deadline = Instant::now() + time_limit;
+        self.fetch(request, &mut Deadline(deadline)).await
     }
 
     /// Sends a request and reads its whole answer, until `limit` is over;
@@ -149,22 +149,22 @@
     ) -> Result<Response<Bytes>, CallError> {
         let host = HeaderValue::from_str(&self.address.to_string()).map_err(not_sent)?;
         request.headers_mut().insert(header::HOST, host);
-        let line = timeout(limit.remaining(), self.line()).await;
-        let mut line = line.map_err(not_sent)??;
-        let sent = line.sender.send_request(request.map(Full::new));
+        let connection = timeout(limit.remaining(), self.connection()).await;
+        let mut connection = connection.map_err(not_sent)??;
+        let sent = connection.sender.send_request(request.map(Full::new));
         let sent = timeout(limit.remaining(), sent)
             .await
-            .map_err(|_| late(0))?;
-        let (head, body) = sent.map_err(unknown)?.into_parts();
-        let bytes = self.read(body, limit).await?;
-        let mut kept = self.kept();
-        if kept.len() < KEPT && !line.sender.is_closed() {
-            kept.push(line);
+            .map_err(|_| timed_out(0))?;
+        let (head, body) = sent.map_err(outcome_unknown)?.into_parts();
+        let bytes = self.read_body(body, limit).await?;
+        let mut idle = self.idle();
+        if idle.len() < MAX_IDLE_CONNECTIONS && !connection.sender.is_closed() {
+            idle.push(connection);
         }
         Ok(Response::from_parts(head, bytes))
     }
 
-    async fn read(
+    async fn read_body(
         &self,
         mut body: Incoming,
         limit: &mut impl ReadTimeout,
@@ -172,25 +172,31 @@
         let mut bytes = BytesMut::new();
         loop {
             let frame = timeout(limit.remaining(), body.frame()).await;
-            let Some(frame) = frame.map_err(|_| late(bytes.len()))? else {
+            let Some(frame) = frame.map_err(|_| timed_out(bytes.len()))? else {
                 return Ok(bytes.freeze());
             };
-            let data = frame.map_err(unknown)?.into_data().unwrap_or_default();
-            if bytes.len() + data.len() > self.most {
-                return Err(unknown(format!("it is longer than {} bytes", self.most)));
+            let data = frame
+                .map_err(outcome_unknown)?
+                .into_data()
+                .unwrap_or_default();
+            if bytes.len() + data.len() > self.max_bytes {
+                return Err(outcome_unknown(format!(
+                    "it is longer than {} bytes",
+                    self.max_bytes
+                )));
             }
             bytes.extend_from_slice(&data);
             limit.progressed();
         }
     }
 
-    async fn line(&self) -> Result<Line, CallError> {
-        if let Some(line) = self.take() {
-            return Ok(line);
+    async fn connection(&self) -> Result<Connection, CallError> {
+        if let Some(connection) = self.take_idle() {
+            return Ok(connection);
         }
-        let connected = timeout(CONNECT_TIME, TcpStream::connect(self.address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let stream = connected.map_err(not_sent)?.map_err(not_sent)?;
-        guard(&stream).map_err(not_sent)?;
+        configure_socket(&stream).map_err(not_sent)?;
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(not_sent)?;
         let address = self.address;
         let driver = tokio::spawn(async move {
@@ -199,38 +205,42 @@
             }
         });
         let driver = driver.abort_handle();
-        Ok(Line { sender, driver })
+        Ok(Connection { sender, driver })
     }
 
-    fn take(&self) -> Option<Line> {
-        let mut kept = self.kept();
-        kept.retain(|line| !line.sender.is_closed());
-        let at = kept.iter().rposition(|line| line.sender.is_ready())?;
-        Some(kept.remove(at))
+    fn take_idle(&self) -> Option<Connection> {
+        let mut idle = self.idle();
+        idle.retain(|connection| !connection.sender.is_closed());
+        let index = idle
+            .iter()
+            .rposition(|connection| connection.sender.is_ready())?;
+        Some(idle.remove(index))
     }
 
-    fn kept(&self) -> MutexGuard<'_, Vec<Line>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle(&self) -> MutexGuard<'_, Vec<Connection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Makes a connection end with a reset, and a silent one end at all.
-fn guard(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO))?;
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE);
-    socket.set_tcp_keepalive(&probes.with_retries(PROBES))
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive.with_retries(KEEPALIVE_RETRIES))
 }
 
-fn late(bytes: usize) -> CallError {
-    unknown(format!("not in time, {bytes} bytes of it came"))
+fn timed_out(bytes: usize) -> CallError {
+    outcome_unknown(format!("not in time, {bytes} bytes of it came"))
 }
 
 fn not_sent(error: impl Display) -> CallError {
     CallError::NotSent(error.to_string())
 }
 
-fn unknown(error: impl Display) -> CallError {
-    CallError::Unknown(error.to_string())
+fn outcome_unknown(error: impl Display) -> CallError {
+    CallError::OutcomeUnknown(error.to_string())
 }
--- a/crates/ports/src/idempotent.rs
+++ b/crates/ports/src/idempotent.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        HistoryEntry, InstanceList, Listed, ObjectStore, PlatformError, TableService, TableStore,
+        HistoryEntry, Machine, MachineList, ObjectStore, PlatformError, TableService, TableStore,
     },
     citron_core::{
         id::Revision,
@@ -11,7 +11,7 @@
     citron_wire::{
         row::{RowWire, parse_row_key},
         table::{
-            CheckWire, CommitWire, HistoryWire, LANE_PREFIX, LOG_PREFIX, StoredWire, WriteWire,
+            CheckWire, CommitWire, HistoryWire, LOG_PREFIX, StoredRowWire, WRITER_PREFIX, WriteWire,
         },
     },
     serde_json::{Value, json},
@@ -20,17 +20,17 @@
 };
 
 /// How often a commit without an answer is sent again before it is given up.
-const SENDS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 /// The pause before the first resend; it doubles each time.
-const PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// The last commit of one writer, as far as the writer knows.
 #[derive(Debug, Default)]
-struct Lane {
+struct WriterState {
     /// Version of the lane's row; 0 while there is none.
     version: u64,
     /// Number of the last commit begun.
-    last: u64,
+    sequence: u64,
 }
 
 /// A [`TableStore`] over a [`TableService`] that may lose answers.
@@ -43,28 +43,28 @@
 /// first, and the number found there says that the commit took effect. It can
 /// never take effect twice, as its condition holds only once.
 #[derive(Debug)]
-pub struct LaneStore<S> {
+pub struct IdempotentStore<S> {
     service: S,
     writer: String,
-    lane: Mutex<Lane>,
+    state: Mutex<WriterState>,
 }
 
-enum Sent {
-    Done(Revision),
-    Lost(StoredWire),
+enum Attempt {
+    Committed(Revision),
+    Conflict(StoredRowWire),
     /// The lane was behind; it is up to date now.
-    Again,
+    Retry,
 }
 
-impl<S: TableService> LaneStore<S> {
+impl<S: TableService> IdempotentStore<S> {
     /// A store for one writer. The name must be new at each process start: the
     /// numbers of commits begin anew.
     pub fn new(service: S, writer: String) -> Self {
-        let lane = Mutex::new(Lane::default());
+        let state = Mutex::new(WriterState::default());
         Self {
             service,
             writer,
-            lane,
+            state,
         }
     }
 
@@ -73,20 +73,20 @@
         &self.service
     }
 
-    fn lane_key(&self) -> String {
-        format!("{LANE_PREFIX}{}", self.writer)
+    fn writer_key(&self) -> String {
+        format!("{WRITER_PREFIX}{}", self.writer)
     }
 
-    fn wire(&self, commit: &Commit, checks: &[Check], lane: &Lane) -> CommitWire {
+    fn commit_wire(&self, commit: &Commit, checks: &[Check], state: &WriterState) -> CommitWire {
         // The lane goes first: the service names the first row that fails.
         let mut writes = vec![WriteWire {
-            key: self.lane_key(),
-            expect: lane.version,
-            value: Some(json!({ "last": lane.last })),
+            key: self.writer_key(),
+            expect: state.version,
+            value: Some(json!({ "last": state.sequence })),
         }];
         writes.extend(commit.writes.iter().map(write_wire));
         if let Some(history) = &commit.history {
-            writes.push(self.history_write(history, lane.last));
+            writes.push(self.history_write(history, state.sequence));
         }
         let checks = checks.iter().map(check_wire).collect();
         CommitWire { writes, checks }
@@ -104,28 +104,29 @@
         &self,
         commit: &Commit,
         checks: &[Check],
-        lane: &mut Lane,
-    ) -> Result<Sent, PlatformError> {
-        let wire = self.wire(commit, checks, lane);
+        state: &mut WriterState,
+    ) -> Result<Attempt, PlatformError> {
+        let wire = self.commit_wire(commit, checks, state);
         let answer = self.service.commit(&wire).await?;
         if let Some(revision) = answer.revision {
-            lane.version = revision;
-            return Ok(Sent::Done(Revision(revision)));
+            state.version = revision;
+            return Ok(Attempt::Committed(Revision(revision)));
         }
-        let no_answer = || PlatformError::Answer("neither revision nor lost row".to_string());
-        let lost = answer.lost.ok_or_else(no_answer)?;
-        if lost.key != self.lane_key() {
-            return Ok(Sent::Lost(lost));
+        let missing =
+            || PlatformError::InvalidResponse("neither revision nor lost row".to_string());
+        let conflict = answer.lost.ok_or_else(missing)?;
+        if conflict.key != self.writer_key() {
+            return Ok(Attempt::Conflict(conflict));
         }
-        lane.version = lost.version;
-        if last_of(&lost) == Some(lane.last) {
-            return Ok(Sent::Done(Revision(lost.version)));
+        state.version = conflict.version;
+        if stored_sequence(&conflict) == Some(state.sequence) {
+            return Ok(Attempt::Committed(Revision(conflict.version)));
         }
-        Ok(Sent::Again)
+        Ok(Attempt::Retry)
     }
 }
 
-impl<S: TableService> TableStore for LaneStore<S> {
+impl<S: TableService> TableStore for IdempotentStore<S> {
     async fn changes(&self, since: Revision) -> Result<Changes, PlatformError> {
         let wire = self.service.changes(since.0).await?;
         Ok(Changes::try_from(wire)?)
@@ -136,21 +137,21 @@
         commit: Commit,
         checks: &[Check],
     ) -> Result<CommitOutcome, PlatformError> {
-        let mut lane = self.lane.lock().await;
-        lane.last += 1;
-        let mut pause = PAUSE;
+        let mut state = self.state.lock().await;
+        state.sequence += 1;
+        let mut backoff = INITIAL_BACKOFF;
         let mut last_error = String::new();
-        for _ in 0..SENDS {
-            match self.send(&commit, checks, &mut lane).await {
-                Ok(Sent::Done(revision)) => return Ok(CommitOutcome::Committed(revision)),
-                Ok(Sent::Lost(lost)) => return lost_answer(lost),
-                Ok(Sent::Again) => continue,
+        for _ in 0..MAX_ATTEMPTS {
+            match self.send(&commit, checks, &mut state).await {
+                Ok(Attempt::Committed(revision)) => return Ok(CommitOutcome::Committed(revision)),
+                Ok(Attempt::Conflict(conflict)) => return conflict_outcome(conflict),
+                Ok(Attempt::Retry) => continue,
                 Err(error) => last_error = error.to_string(),
             }
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
         }
-        Err(PlatformError::Unsettled(last_error))
+        Err(PlatformError::OutcomeUnknown(last_error))
     }
 
     async fn history(
@@ -163,7 +164,7 @@
     }
 }
 
-impl<S: ObjectStore> ObjectStore for LaneStore<S> {
+impl<S: ObjectStore> ObjectStore for IdempotentStore<S> {
     async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), PlatformError> {
         self.service.put(name, bytes).await
     }
@@ -177,8 +178,8 @@
     }
 }
 
-impl<S: InstanceList> InstanceList for LaneStore<S> {
-    async fn list(&self) -> Result<Vec<Listed>, PlatformError> {
+impl<S: MachineList> MachineList for IdempotentStore<S> {
+    async fn list(&self) -> Result<Vec<Machine>, PlatformError> {
         self.service.list().await
     }
 }
@@ -202,18 +203,18 @@
     }
 }
 
-fn last_of(lane: &StoredWire) -> Option<u64> {
-    lane.value.as_ref()?.get("last")?.as_u64()
+fn stored_sequence(state: &StoredRowWire) -> Option<u64> {
+    state.value.as_ref()?.get("last")?.as_u64()
 }
 
-fn lost_answer(lost: StoredWire) -> Result<CommitOutcome, PlatformError> {
-    let key = parse_row_key(&lost.key)?;
-    let Some(value) = lost.value else {
+fn conflict_outcome(conflict: StoredRowWire) -> Result<CommitOutcome, PlatformError> {
+    let key = parse_row_key(&conflict.key)?;
+    let Some(value) = conflict.value else {
         return Ok(CommitOutcome::Conflict { key, current: None });
     };
-    let wire: RowWire = read(value)?;
+    let wire: RowWire = decode(value)?;
     let current = Versioned {
-        version: Revision(lost.version),
+        version: Revision(conflict.version),
         value: Row::try_from(wire)?,
     };
     Ok(CommitOutcome::Conflict {
@@ -222,14 +223,14 @@
     })
 }
 
-fn history_entry(stored: StoredWire) -> Result<HistoryEntry, PlatformError> {
-    let wire: HistoryWire = read(stored.value.unwrap_or(Value::Null))?;
+fn history_entry(stored: StoredRowWire) -> Result<HistoryEntry, PlatformError> {
+    let wire: HistoryWire = decode(stored.value.unwrap_or(Value::Null))?;
     Ok(Versioned {
         version: Revision(stored.version),
         value: HistoryRow::try_from(wire)?,
     })
 }
 
-fn read<T: serde::de::DeserializeOwned>(value: Value) -> Result<T, PlatformError> {
-    serde_json::from_value(value).map_err(|error| PlatformError::Answer(error.to_string()))
+fn decode<T: serde::de::DeserializeOwned>(value: Value) -> Result<T, PlatformError> {
+    serde_json::from_value(value).map_err(|error| PlatformError::InvalidResponse(error.to_string()))
 }
--- a/crates/ports/src/machines.rs
+++ b/crates/ports/src/machines.rs
@@ -4,7 +4,7 @@
 
 /// What the list says of a machine; it lags.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListedState {
+pub enum MachineState {
     /// In use.
     Live,
     /// About to be taken away.
@@ -13,15 +13,15 @@
 
 /// One machine of the list: an instance or a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct Machine {
     /// Its name, that of an instance or a backend server.
     pub name: String,
     /// Its state.
-    pub state: ListedState,
+    pub state: MachineState,
 }
 
 /// The list.
-pub trait InstanceList {
+pub trait MachineList {
     /// All machines the platform lists now.
-    fn list(&self) -> impl Future<Output = Result<Vec<Listed>, PlatformError>>;
+    fn list(&self) -> impl Future<Output = Result<Vec<Machine>, PlatformError>>;
 }
--- a/crates/ports/src/memory.rs
+++ b/crates/ports/src/memory.rs
@@ -1,10 +1,10 @@
 //! A platform within the process, for `citronproxy dev` and the stand-ins.
 
 use {
-    crate::{InstanceList, Listed, ListedState, ObjectStore, PlatformError, TableService},
+    crate::{Machine, MachineList, MachineState, ObjectStore, PlatformError, TableService},
     citron_wire::table::{
-        ChangesWire, CommitAnswerWire, CommitWire, LANE_PREFIX, LOG_PREFIX, LogWire, StoredWire,
-        WriteWire,
+        ChangesWire, CommitResponseWire, CommitWire, LOG_PREFIX, LogWire, StoredRowWire,
+        WRITER_PREFIX, WriteWire,
     },
     std::{
         collections::BTreeMap,
@@ -15,32 +15,32 @@
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
-    rows: BTreeMap<String, StoredWire>,
+    rows: BTreeMap<String, StoredRowWire>,
     objects: BTreeMap<String, Vec<u8>>,
-    listed: BTreeMap<String, ListedState>,
+    machines: BTreeMap<String, MachineState>,
 }
 
 /// Table, object store and instance list in memory; clones share their state.
 ///
 /// ```
-/// use citron_ports::{Memory, TableService};
+/// use citron_ports::{MemoryPlatform, TableService};
 /// # tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(async {
-/// let memory = Memory::default();
+/// let memory = MemoryPlatform::default();
 /// assert_eq!(memory.changes(0).await.unwrap().revision, 0);
 /// # });
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Memory {
+pub struct MemoryPlatform {
     state: Arc<Mutex<State>>,
 }
 
-impl Memory {
+impl MemoryPlatform {
     /// Sets what the instance list says of a machine; `None` takes it off.
-    pub fn set_listed(&self, name: &str, state: Option<ListedState>) {
+    pub fn set_machine(&self, name: &str, state: Option<MachineState>) {
         let mut guard = self.lock();
         match state {
-            Some(state) => guard.listed.insert(name.to_string(), state),
-            None => guard.listed.remove(name),
+            Some(state) => guard.machines.insert(name.to_string(), state),
+            None => guard.machines.remove(name),
         };
     }
 
@@ -50,33 +50,33 @@
 }
 
 impl State {
-    fn commit(&mut self, commit: &CommitWire) -> CommitAnswerWire {
+    fn commit(&mut self, commit: &CommitWire) -> CommitResponseWire {
         let writes = commit.writes.iter().map(|write| (&write.key, write.expect));
         let checks = commit.checks.iter().map(|check| (&check.key, check.expect));
         let mut conditions = writes.chain(checks);
-        let lost = conditions.find_map(|(key, expect)| self.lost(key, expect));
+        let lost = conditions.find_map(|(key, expect)| self.find_conflict(key, expect));
         if lost.is_some() {
             let revision = None;
-            return CommitAnswerWire { revision, lost };
+            return CommitResponseWire { revision, lost };
         }
         self.revision += 1;
         for write in &commit.writes {
             self.write(write);
         }
-        CommitAnswerWire {
+        CommitResponseWire {
             revision: Some(self.revision),
             lost: None,
         }
     }
 
     /// The row, if it has another version than expected.
-    fn lost(&self, key: &str, expect: u64) -> Option<StoredWire> {
+    fn find_conflict(&self, key: &str, expect: u64) -> Option<StoredRowWire> {
         let current = self.rows.get(key).filter(|row| row.value.is_some());
         let version = current.map_or(0, |row| row.version);
         if version == expect {
             return None;
         }
-        Some(StoredWire {
+        Some(StoredRowWire {
             key: key.to_string(),
             version,
             value: current.and_then(|row| row.value.clone()),
@@ -84,7 +84,7 @@
     }
 
     fn write(&mut self, write: &WriteWire) {
-        let row = StoredWire {
+        let row = StoredRowWire {
             key: write.key.clone(),
             version: self.revision,
             value: write.value.clone(),
@@ -93,26 +93,26 @@
     }
 }
 
-fn is_config(row: &StoredWire) -> bool {
-    !row.key.starts_with(LOG_PREFIX) && !row.key.starts_with(LANE_PREFIX)
+fn is_table_row(row: &StoredRowWire) -> bool {
+    !row.key.starts_with(LOG_PREFIX) && !row.key.starts_with(WRITER_PREFIX)
 }
 
-impl TableService for Memory {
+impl TableService for MemoryPlatform {
     async fn changes(&self, since: u64) -> Result<ChangesWire, PlatformError> {
         let state = self.lock();
         let changed = state.rows.values().filter(|row| row.version > since);
         Ok(ChangesWire {
             since,
             revision: state.revision,
-            rows: changed.filter(|row| is_config(row)).cloned().collect(),
+            rows: changed.filter(|row| is_table_row(row)).cloned().collect(),
         })
     }
 
-    async fn commit(&self, commit: &CommitWire) -> Result<CommitAnswerWire, PlatformError> {
+    async fn commit(&self, commit: &CommitWire) -> Result<CommitResponseWire, PlatformError> {
         Ok(self.lock().commit(commit))
     }
 
-    async fn row(&self, key: &str) -> Result<Option<StoredWire>, PlatformError> {
+    async fn row(&self, key: &str) -> Result<Option<StoredRowWire>, PlatformError> {
         let state = self.lock();
         let row = state.rows.get(key).filter(|row| row.value.is_some());
         Ok(row.cloned())
@@ -124,14 +124,14 @@
             .rows
             .values()
             .filter(|row| row.key.starts_with(LOG_PREFIX));
-        let mut rows: Vec<StoredWire> = log.filter(|row| row.version > after).cloned().collect();
+        let mut rows: Vec<StoredRowWire> = log.filter(|row| row.version > after).cloned().collect();
         rows.sort_by_key(|row| row.version);
         rows.truncate(limit);
         Ok(LogWire { rows })
     }
 }
 
-impl ObjectStore for Memory {
+impl ObjectStore for MemoryPlatform {
     async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), PlatformError> {
         self.lock().objects.insert(name.to_string(), bytes);
         Ok(())
@@ -148,13 +148,13 @@
     }
 }
 
-impl InstanceList for Memory {
-    async fn list(&self) -> Result<Vec<Listed>, PlatformError> {
+impl MachineList for MemoryPlatform {
+    async fn list(&self) -> Result<Vec<Machine>, PlatformError> {
         let state = self.lock();
-        let listed = state.listed.iter().map(|(name, state)| Listed {
+        let machines = state.machines.iter().map(|(name, state)| Machine {
             name: name.clone(),
             state: *state,
         });
-        Ok(listed.collect())
+        Ok(machines.collect())
     }
 }
--- a/crates/ports/src/rows.rs
+++ b/crates/ports/src/rows.rs
@@ -41,7 +41,7 @@
     /// The store's version then.
     pub version: u64,
     /// The store's clock then; `None` if another instance handed the rows on.
-    pub now: Option<StoreTime>,
+    pub store_time: Option<StoreTime>,
 }
 
 impl From<&Row> for TableRowWire {
@@ -64,7 +64,7 @@
         Self {
             rows: rows.collect(),
             version: wire.head.version,
-            now: None,
+            store_time: None,
         }
     }
 }
@@ -94,16 +94,16 @@
     Invalid(String),
     /// It may have been done, or may be done later.
     #[error("no answer from the store: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The history since the asked version is gone; all rows must be read.
     #[error("the store has forgotten what has changed since")]
-    Forgotten,
+    Compacted,
     /// A row has another version than expected, and nothing was done.
     #[error("a row has changed meanwhile")]
     Conflict,
     /// The answer could not be read.
     #[error("the store's answer cannot be read: {0}")]
-    Answer(String),
+    InvalidResponse(String),
 }
 
 /// The store.
@@ -122,7 +122,7 @@
     /// when `wait` is over, until `limit` is over.
     ///
     /// # Errors
-    /// [`StoreError::Forgotten`] if the store no longer knows.
+    /// [`StoreError::Compacted`] if the store no longer knows.
     fn changes(
         &self,
         table: RowTable,
@@ -135,6 +135,6 @@
     ///
     /// # Errors
     /// [`StoreError::Conflict`] if a row is not as expected;
-    /// [`StoreError::Unknown`] if it may have been done.
+    /// [`StoreError::OutcomeUnknown`] if it may have been done.
     fn commit(&self, commit: &RowCommit) -> impl Future<Output = Result<u64, StoreError>>;
 }
--- a/crates/ports/src/servers.rs
+++ b/crates/ports/src/servers.rs
@@ -1,7 +1,7 @@
 //! Calls of control to backend servers.
 
 use {
-    crate::{Grants, PlatformError},
+    crate::{GrantClient, PlatformError},
     bytes::Bytes,
     citron_core::{
         ownership::{BootId, Grant, GrantReply, ServerLease},
@@ -26,11 +26,11 @@
 
 /// How long an order may take; well below a lease, so that a lost order does
 /// not let the lease run out.
-const ORDER_TIME: Duration = Duration::from_millis(600);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a probe may take.
-const PROBE_TIME: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The largest answer that is read.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// What a server that is leaving says in [`HEADER_REFUSED`].
 const DRAINING: &str = "draining";
 
@@ -38,7 +38,7 @@
 
 /// What a probe found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeResult {
     /// The server answers.
     Up,
     /// It answers, and says that it is leaving.
@@ -46,9 +46,12 @@
 }
 
 /// Whether backend servers answer at all.
-pub trait Probes {
+pub trait Prober {
     /// Asks for any answer; it takes no slot of the server.
-    fn probe(&self, address: SocketAddr) -> impl Future<Output = Result<Probe, PlatformError>>;
+    fn probe(
+        &self,
+        address: SocketAddr,
+    ) -> impl Future<Output = Result<ProbeResult, PlatformError>>;
 }
 
 /// Client of backend servers, with one kept connection each, as a new one
@@ -57,15 +60,15 @@
 /// A connection whose call failed is dropped, so that the next call shows
 /// whether the server or only the connection went silent.
 #[derive(Debug, Default)]
-pub struct HttpServers {
-    kept: Mutex<BTreeMap<(SocketAddr, &'static str), Connection>>,
+pub struct ServerClient {
+    idle: Mutex<BTreeMap<(SocketAddr, &'static str), Connection>>,
 }
 
-impl HttpServers {
+impl ServerClient {
     async fn call(
         &self,
         address: SocketAddr,
-        time: Duration,
+        time_limit: Duration,
         (method, path): (Method, &'static str),
         body: Bytes,
     ) -> Result<(StatusCode, HeaderMap, Bytes), PlatformError> {
@@ -78,14 +81,14 @@
                 .body(Full::new(body))
                 .map_err(|error| PlatformError::Unreachable(error.to_string()))?;
             let sent = connection.send_request(request).await;
-            let (head, body) = sent.map_err(unsettled)?.into_parts();
-            let body = Limited::new(body, MAX_ANSWER).collect().await;
-            let body = body.map_err(|error| PlatformError::Unsettled(error.to_string()))?;
-            self.keep(address, path, connection);
+            let (head, body) = sent.map_err(outcome_unknown)?.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|error| PlatformError::OutcomeUnknown(error.to_string()))?;
+            self.return_idle(address, path, connection);
             Ok((head.status, head.headers, body.to_bytes()))
         };
-        let late = |_| PlatformError::Unsettled(format!("no answer in {time:?}"));
-        timeout(time, call).await.map_err(late)?
+        let timed_out = |_| PlatformError::OutcomeUnknown(format!("no answer in {time_limit:?}"));
+        timeout(time_limit, call).await.map_err(timed_out)?
     }
 
     async fn connection(
@@ -93,31 +96,33 @@
         address: SocketAddr,
         path: &'static str,
     ) -> Result<Connection, PlatformError> {
-        if let Some(kept) = self.take(address, path) {
-            return Ok(kept);
+        if let Some(idle) = self.take_idle(address, path) {
+            return Ok(idle);
         }
         let connected = TcpStream::connect(address).await;
         let stream = connected.map_err(|error| PlatformError::Unreachable(error.to_string()))?;
         let _ = stream.set_nodelay(true);
-        let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(unsettled)?;
+        let (sender, driver) = handshake(TokioIo::new(stream))
+            .await
+            .map_err(outcome_unknown)?;
         tokio::spawn(driver);
         Ok(sender)
     }
 
-    fn take(&self, address: SocketAddr, path: &'static str) -> Option<Connection> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let connection = kept.remove(&(address, path))?;
+    fn take_idle(&self, address: SocketAddr, path: &'static str) -> Option<Connection> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let connection = idle.remove(&(address, path))?;
         connection.is_ready().then_some(connection)
     }
 
-    fn keep(&self, address: SocketAddr, path: &'static str, connection: Connection) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.insert((address, path), connection);
+    fn return_idle(&self, address: SocketAddr, path: &'static str, connection: Connection) {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.insert((address, path), connection);
     }
 }
 
-impl Grants for HttpServers {
-    async fn order(
+impl GrantClient for ServerClient {
+    async fn send_order(
         &self,
         server: &ServerRow,
         boot: Option<BootId>,
@@ -129,39 +134,43 @@
             grants: grants.iter().map(GrantWire::from).collect(),
             lease: lease.as_ref().map(LeaseWire::from),
         };
-        let body = serde_json::to_vec(&order).map_err(bad_answer)?;
+        let body = serde_json::to_vec(&order).map_err(invalid_response)?;
         let call = (Method::POST, GRANTS_PATH);
-        let answer = self.call(server.address, ORDER_TIME, call, body.into());
-        let (status, _, bytes) = answer.await?;
+        let response = self.call(server.address, ORDER_TIMEOUT, call, body.into());
+        let (status, _, bytes) = response.await?;
         if !status.is_success() {
-            return Err(PlatformError::Answer(format!("status {status}")));
+            return Err(PlatformError::InvalidResponse(format!("status {status}")));
         }
-        let reply: GrantReplyWire = serde_json::from_slice(&bytes).map_err(bad_answer)?;
+        let reply: GrantReplyWire = serde_json::from_slice(&bytes).map_err(invalid_response)?;
         if reply.results.len() != grants.len() {
-            return Err(PlatformError::Answer("not one result a grant".to_string()));
+            return Err(PlatformError::InvalidResponse(
+                "not one result a grant".to_string(),
+            ));
         }
         Ok(reply.into())
     }
 }
 
-impl Probes for HttpServers {
+impl Prober for ServerClient {
     /// `OPTIONS *`, which concerns the server itself and no resource (RFC 9110,
     /// 9.3.7); any answer will do.
-    async fn probe(&self, address: SocketAddr) -> Result<Probe, PlatformError> {
+    async fn probe(&self, address: SocketAddr) -> Result<ProbeResult, PlatformError> {
         let call = (Method::OPTIONS, "*");
-        let answer = self.call(address, PROBE_TIME, call, Bytes::new()).await?;
-        let refused = answer.1.get(HEADER_REFUSED);
+        let response = self
+            .call(address, PROBE_TIMEOUT, call, Bytes::new())
+            .await?;
+        let refused = response.1.get(HEADER_REFUSED);
         Ok(match refused.is_some_and(|value| value == DRAINING) {
-            true => Probe::Draining,
-            false => Probe::Up,
+            true => ProbeResult::Draining,
+            false => ProbeResult::Up,
         })
     }
 }
 
-fn bad_answer(error: serde_json::Error) -> PlatformError {
-    PlatformError::Answer(error.to_string())
+fn invalid_response(error: serde_json::Error) -> PlatformError {
+    PlatformError::InvalidResponse(error.to_string())
 }
 
-fn unsettled(error: hyper::Error) -> PlatformError {
-    PlatformError::Unsettled(error.to_string())
+fn outcome_unknown(error: hyper::Error) -> PlatformError {
+    PlatformError::OutcomeUnknown(error.to_string())
 }
--- a/crates/ports/src/table_service.rs
+++ b/crates/ports/src/table_service.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::PlatformError,
-    citron_wire::table::{ChangesWire, CommitAnswerWire, CommitWire, LogWire, StoredWire},
+    citron_wire::table::{ChangesWire, CommitResponseWire, CommitWire, LogWire, StoredRowWire},
     std::future::Future,
 };
 
@@ -15,10 +15,10 @@
     fn commit(
         &self,
         commit: &CommitWire,
-    ) -> impl Future<Output = Result<CommitAnswerWire, PlatformError>>;
+    ) -> impl Future<Output = Result<CommitResponseWire, PlatformError>>;
 
     /// One row; `None` if it is not there.
-    fn row(&self, key: &str) -> impl Future<Output = Result<Option<StoredWire>, PlatformError>>;
+    fn row(&self, key: &str) -> impl Future<Output = Result<Option<StoredRowWire>, PlatformError>>;
 
     /// History rows after a revision, oldest first.
     fn log(&self, after: u64, limit: usize)
--- a/crates/ports/tests/checks.rs
+++ b/crates/ports/tests/checks.rs
@@ -5,7 +5,7 @@
         id::Revision,
         table::{Check, Commit, CommitOutcome, DomainRow, DomainState, Row, Write},
     },
-    citron_ports::{LaneStore, Memory, TableStore},
+    citron_ports::{IdempotentStore, MemoryPlatform, TableStore},
 };
 
 fn write(name: &str, expect: u64) -> Commit {
@@ -29,8 +29,9 @@
 /// commits taken effect, each would rest on a row that is no longer so.
 #[tokio::test]
 async fn a_commit_is_lost_if_a_row_that_it_rests_on_has_changed() {
-    let memory = Memory::default();
-    let [one, two] = ["one", "two"].map(|name| LaneStore::new(memory.clone(), name.to_string()));
+    let memory = MemoryPlatform::default();
+    let [one, two] =
+        ["one", "two"].map(|name| IdempotentStore::new(memory.clone(), name.to_string()));
     one.commit(write("harbour", 0)).await.unwrap();
     one.commit(write("hills", 0)).await.unwrap();
     let check = |name: &str, expect: u64| Check {
--- a/crates/ports/tests/grants.rs
+++ b/crates/ports/tests/grants.rs
@@ -10,7 +10,7 @@
         backend::{BackendConfig, BackendServer},
         link::Link,
     },
-    citron_ports::{Grants, HttpServers, PlatformError, Probe, Probes},
+    citron_ports::{GrantClient, PlatformError, ProbeResult, Prober, ServerClient},
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -54,7 +54,7 @@
 const OWN: GrantKind = GrantKind::Own;
 const REVOKE: GrantKind = GrantKind::Revoke;
 
-fn told(reply: &GrantReply) -> String {
+fn format_reply(reply: &GrantReply) -> String {
     let results = reply.results.iter().map(|result| match result {
         GrantResult::Accepted => "accepted".to_string(),
         GrantResult::Stale { seen } => format!("stale, seen {seen}"),
@@ -112,14 +112,14 @@
     let mut lines = Vec::new();
     for case in CASES {
         let server = server().await;
-        let client = HttpServers::default();
+        let client = ServerClient::default();
         let mut results = Vec::new();
         for (kind, epoch) in case.orders {
             let grants = [grant(*kind, *epoch)];
             let reply = client
-                .order(&row(server.address), None, &grants, None)
+                .send_order(&row(server.address), None, &grants, None)
                 .await;
-            results.push(told(&reply.unwrap()));
+            results.push(format_reply(&reply.unwrap()));
         }
         lines.push(format!("{}: {}", case.name, results.join(" | ")));
     }
@@ -132,22 +132,24 @@
 #[tokio::test]
 async fn an_order_to_an_older_start_is_refused_whole() {
     let server = server().await;
-    let client = HttpServers::default();
+    let client = ServerClient::default();
     let row = row(server.address);
-    let asked = client.order(&row, None, &[], None).await.unwrap();
+    let asked = client.send_order(&row, None, &[], None).await.unwrap();
     let older = BootId(asked.boot.0 - 1);
     let lease = ServerLease {
         boot: older,
         until: asked.clock + Duration::from_secs(60),
     };
     let grants = [grant(OWN, 9)];
-    let late = client.order(&row, Some(older), &grants, Some(lease));
+    let late = client.send_order(&row, Some(older), &grants, Some(lease));
     let late = late.await.unwrap();
-    assert_eq!(told(&late), "stale, seen 0");
+    assert_eq!(format_reply(&late), "stale, seen 0");
     assert_eq!(late.boot, asked.boot);
     let grants = [grant(OWN, 1)];
-    let own = client.order(&row, Some(asked.boot), &grants, None).await;
-    assert_eq!(told(&own.unwrap()), "accepted");
+    let own = client
+        .send_order(&row, Some(asked.boot), &grants, None)
+        .await;
+    assert_eq!(format_reply(&own.unwrap()), "accepted");
 }
 
 /// The answer to an order is lost, or the server's connection goes silent. The
@@ -160,24 +162,24 @@
         ("cut", Link::cut, Link::heal),
         ("silent connection", Link::stall_connections, |_| {}),
     ];
-    for (name, fault, mend) in cases {
+    for (name, fault, repair) in cases {
         let server = server().await;
         let link = Link::start(server.address).await.unwrap();
-        let client = HttpServers::default();
+        let client = ServerClient::default();
         let row = row(link.address);
         // The connection of the first order is kept, but for the torn answer.
         if name != "torn" {
-            client.order(&row, None, &[], None).await.unwrap();
+            client.send_order(&row, None, &[], None).await.unwrap();
         }
         fault(&link);
-        let lost = client.order(&row, None, &[grant(OWN, 1)], None).await;
+        let lost = client.send_order(&row, None, &[grant(OWN, 1)], None).await;
         assert!(
-            matches!(lost, Err(PlatformError::Unsettled(_))),
+            matches!(lost, Err(PlatformError::OutcomeUnknown(_))),
             "{name}: {lost:?}"
         );
-        mend(&link);
-        let again = client.order(&row, None, &[grant(OWN, 1)], None).await;
-        assert_eq!(told(&again.unwrap()), "accepted", "{name}");
+        repair(&link);
+        let again = client.send_order(&row, None, &[grant(OWN, 1)], None).await;
+        assert_eq!(format_reply(&again.unwrap()), "accepted", "{name}");
     }
 }
 
@@ -186,14 +188,17 @@
 #[tokio::test]
 async fn probes_tell_up_draining_and_frozen() {
     let server = server().await;
-    let client = HttpServers::default();
-    assert_eq!(client.probe(server.address).await.unwrap(), Probe::Up);
+    let client = ServerClient::default();
+    assert_eq!(client.probe(server.address).await.unwrap(), ProbeResult::Up);
     server.freeze();
     assert!(client.probe(server.address).await.is_err(), "frozen");
     server.thaw();
-    assert_eq!(client.probe(server.address).await.unwrap(), Probe::Up);
+    assert_eq!(client.probe(server.address).await.unwrap(), ProbeResult::Up);
     server.drain();
-    assert_eq!(client.probe(server.address).await.unwrap(), Probe::Draining);
+    assert_eq!(
+        client.probe(server.address).await.unwrap(),
+        ProbeResult::Draining
+    );
     server.crash();
     assert!(client.probe(server.address).await.is_err(), "crashed");
     assert!(server.executions.all().is_empty(), "a probe runs nothing");
--- a/crates/ports/tests/http_client.rs
+++ b/crates/ports/tests/http_client.rs
@@ -2,7 +2,7 @@
 
 use {
     bytes::Bytes,
-    citron_ports::{CallError, IdleTimeout, KeptClient},
+    citron_ports::{CallError, HttpClient, IdleTimeout},
     http::Request,
     std::time::Duration,
     tokio::{
@@ -12,7 +12,7 @@
     },
 };
 
-const SPAN: Duration = Duration::from_millis(300);
+const TIMEOUT: Duration = Duration::from_millis(300);
 
 fn request() -> Request<Bytes> {
     Request::new(Bytes::new())
@@ -24,7 +24,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let ended = KeptClient::new(address, 1_024).call(request(), SPAN).await;
+    let ended = HttpClient::new(address, 1_024)
+        .call(request(), TIMEOUT)
+        .await;
     assert!(matches!(ended, Err(CallError::NotSent(_))), "{ended:?}");
 }
 
@@ -34,14 +36,17 @@
 #[tokio::test]
 async fn a_call_without_an_answer_is_reset_when_its_time_is_over() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = KeptClient::new(listener.local_addr().unwrap(), 1_024);
+    let client = HttpClient::new(listener.local_addr().unwrap(), 1_024);
     let silent = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = Vec::new();
         stream.read_to_end(&mut read).await
     });
-    let ended = client.call(request(), SPAN).await;
-    assert!(matches!(ended, Err(CallError::Unknown(_))), "{ended:?}");
+    let ended = client.call(request(), TIMEOUT).await;
+    assert!(
+        matches!(ended, Err(CallError::OutcomeUnknown(_))),
+        "{ended:?}"
+    );
     let seen = silent.await.unwrap();
     assert!(seen.is_err(), "the connection ended without a reset");
 }
@@ -50,7 +55,7 @@
 #[tokio::test]
 async fn a_connection_that_was_closed_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = KeptClient::new(listener.local_addr().unwrap(), 1_024);
+    let client = HttpClient::new(listener.local_addr().unwrap(), 1_024);
     let served = tokio::spawn(async move {
         for _ in 0..2 {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -81,19 +86,19 @@
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
     stream.write_all(head.as_bytes()).await.unwrap();
     for _ in 0..parts {
-        tokio::time::sleep(SPAN / 10).await;
+        tokio::time::sleep(TIMEOUT / 10).await;
         stream.write_all(b"part").await.unwrap();
     }
-    tokio::time::sleep(SPAN * 100).await;
+    tokio::time::sleep(TIMEOUT * 100).await;
 }
 
 /// Guards against a long answer that is cut off while it comes, and asked for anew.
 #[tokio::test]
 async fn an_answer_that_keeps_coming_is_read_to_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = KeptClient::new(listener.local_addr().unwrap(), 1_024);
+    let client = HttpClient::new(listener.local_addr().unwrap(), 1_024);
     tokio::spawn(send_parts(listener, 100, 25));
-    let mut idle = IdleTimeout::new(SPAN, SPAN);
+    let mut idle = IdleTimeout::new(TIMEOUT, TIMEOUT);
     let answer = client.fetch(request(), &mut idle).await.unwrap();
     assert_eq!(answer.body().len(), 100);
 }
@@ -102,19 +107,25 @@
 #[tokio::test]
 async fn an_answer_that_stops_coming_is_given_up() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = KeptClient::new(listener.local_addr().unwrap(), 1_024);
+    let client = HttpClient::new(listener.local_addr().unwrap(), 1_024);
     tokio::spawn(send_parts(listener, 100, 5));
-    let mut idle = IdleTimeout::new(SPAN, SPAN);
+    let mut idle = IdleTimeout::new(TIMEOUT, TIMEOUT);
     let ended = client.fetch(request(), &mut idle).await;
-    assert!(matches!(ended, Err(CallError::Unknown(_))), "{ended:?}");
+    assert!(
+        matches!(ended, Err(CallError::OutcomeUnknown(_))),
+        "{ended:?}"
+    );
 }
 
 /// Guards against an answer that uses up the memory of who reads it.
 #[tokio::test]
 async fn an_answer_that_is_too_long_is_given_up() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = KeptClient::new(listener.local_addr().unwrap(), 16);
+    let client = HttpClient::new(listener.local_addr().unwrap(), 16);
     tokio::spawn(send_parts(listener, 100, 25));
-    let ended = client.call(request(), SPAN * 10).await;
-    assert!(matches!(ended, Err(CallError::Unknown(_))), "{ended:?}");
+    let ended = client.call(request(), TIMEOUT * 10).await;
+    assert!(
+        matches!(ended, Err(CallError::OutcomeUnknown(_))),
+        "{ended:?}"
+    );
 }
--- a/crates/ports/tests/objects.rs
+++ b/crates/ports/tests/objects.rs
@@ -3,7 +3,9 @@
 
 use {
     citron_fakes::{link::Link, platform::PlatformServer},
-    citron_ports::{HttpPlatform, InstanceList, ListedState, Memory, ObjectStore, PlatformError},
+    citron_ports::{
+        HttpPlatform, MachineList, MachineState, MemoryPlatform, ObjectStore, PlatformError,
+    },
     std::time::Duration,
 };
 
@@ -13,7 +15,7 @@
         .unwrap()
 }
 
-async fn objects(store: impl ObjectStore) {
+async fn check_objects(store: impl ObjectStore) {
     assert_eq!(store.get("a/1").await.unwrap(), None);
     store.put("a/1", b"one".to_vec()).await.unwrap();
     store.put("a/2", Vec::new()).await.unwrap();
@@ -27,27 +29,27 @@
 
 #[tokio::test]
 async fn objects_in_memory_and_over_http() {
-    objects(Memory::default()).await;
-    objects(HttpPlatform::new(server().await.address)).await;
+    check_objects(MemoryPlatform::default()).await;
+    check_objects(HttpPlatform::new(server().await.address)).await;
 }
 
-async fn listed(memory: &Memory, list: impl InstanceList) {
-    memory.set_listed("server-1", Some(ListedState::Live));
-    memory.set_listed("entry-1", Some(ListedState::Leaving));
-    memory.set_listed("gone", Some(ListedState::Live));
-    memory.set_listed("gone", None);
+async fn check_machines(memory: &MemoryPlatform, list: impl MachineList) {
+    memory.set_machine("server-1", Some(MachineState::Live));
+    memory.set_machine("entry-1", Some(MachineState::Leaving));
+    memory.set_machine("gone", Some(MachineState::Live));
+    memory.set_machine("gone", None);
     let found = list.list().await.unwrap();
     let found: Vec<_> = found.iter().map(|l| (l.name.as_str(), l.state)).collect();
-    let leaving = ("entry-1", ListedState::Leaving);
-    assert_eq!(found, [leaving, ("server-1", ListedState::Live)]);
+    let leaving = ("entry-1", MachineState::Leaving);
+    assert_eq!(found, [leaving, ("server-1", MachineState::Live)]);
 }
 
 #[tokio::test]
 async fn instances_in_memory_and_over_http() {
-    let memory = Memory::default();
-    listed(&memory, memory.clone()).await;
+    let memory = MemoryPlatform::default();
+    check_machines(&memory, memory.clone()).await;
     let server = server().await;
-    listed(&server.memory, HttpPlatform::new(server.address)).await;
+    check_machines(&server.memory, HttpPlatform::new(server.address)).await;
 }
 
 /// A read during an outage fails; it never looks like an empty store, which
@@ -69,7 +71,7 @@
         let server = server().await;
         server
             .memory
-            .set_listed("server-1", Some(ListedState::Live));
+            .set_machine("server-1", Some(MachineState::Live));
         let link = Link::start(server.address).await.unwrap();
         let client = HttpPlatform::new(link.address);
         client
@@ -79,10 +81,10 @@
         fault(&server, &link);
         let read = ObjectStore::get(&client, "a").await;
         assert!(
-            matches!(read, Err(PlatformError::Unsettled(_))),
+            matches!(read, Err(PlatformError::OutcomeUnknown(_))),
             "{name}: {read:?}"
         );
-        assert!(InstanceList::list(&client).await.is_err(), "{name}");
+        assert!(MachineList::list(&client).await.is_err(), "{name}");
         assert!(ObjectStore::list(&client, "a").await.is_err(), "{name}");
     }
 }
--- a/crates/ports/tests/table.rs
+++ b/crates/ports/tests/table.rs
@@ -6,7 +6,9 @@
         table::{Commit, CommitOutcome, DomainRow, DomainState, Row, RowKey, Write},
     },
     citron_fakes::{link::Link, platform::PlatformServer},
-    citron_ports::{HttpPlatform, LaneStore, Memory, PlatformError, TableService, TableStore},
+    citron_ports::{
+        HttpPlatform, IdempotentStore, MemoryPlatform, PlatformError, TableService, TableStore,
+    },
     std::time::Duration,
     tokio::{
         io::{AsyncReadExt, AsyncWriteExt},
@@ -48,7 +50,7 @@
     }
 }
 
-fn done(answer: Result<CommitOutcome, PlatformError>) -> Revision {
+fn committed(answer: Result<CommitOutcome, PlatformError>) -> Revision {
     match answer {
         Ok(CommitOutcome::Committed(revision)) => revision,
         other => panic!("not done: {other:?}"),
@@ -63,20 +65,23 @@
 
 /// What every table service owes, whatever it runs on.
 async fn contract(service: impl TableService) -> String {
-    let store = LaneStore::new(service, "writer-1".to_string());
-    let first = done(store.commit(write(domain("a", ""), Revision(0))).await);
-    let second = done(store.commit(write(domain("b", ""), Revision(0))).await);
+    let store = IdempotentStore::new(service, "writer-1".to_string());
+    let first = committed(store.commit(write(domain("a", ""), Revision(0))).await);
+    let second = committed(store.commit(write(domain("b", ""), Revision(0))).await);
     let mut lines = Vec::new();
     let lost = store.commit(write(domain("a", "late"), Revision(0))).await;
-    lines.push(format!("create what is there: {}", told(lost)));
-    let third = done(store.commit(write(domain("a", "op"), first)).await);
+    lines.push(format!("create what is there: {}", format_outcome(lost)));
+    let third = committed(store.commit(write(domain("a", "op"), first)).await);
     let lost = store.commit(write(domain("a", "late"), first)).await;
-    lines.push(format!("edit an old version: {}", told(lost)));
+    lines.push(format!("edit an old version: {}", format_outcome(lost)));
     let mut pair = write(domain("c", ""), Revision(0));
     pair.writes.extend(write(domain("b", "late"), third).writes);
     let lost = store.commit(pair).await;
-    lines.push(format!("one of two writes too late: {}", told(lost)));
-    let fourth = done(store.commit(delete(domain("b", "").key(), second)).await);
+    lines.push(format!(
+        "one of two writes too late: {}",
+        format_outcome(lost)
+    ));
+    let fourth = committed(store.commit(delete(domain("b", "").key(), second)).await);
     for since in [Revision(0), first, third, fourth] {
         let changes = store.changes(since).await.unwrap();
         let rows = changes.rows.iter().map(|(key, version, row)| {
@@ -93,7 +98,7 @@
     lines.join("\n")
 }
 
-fn told(answer: Result<CommitOutcome, PlatformError>) -> String {
+fn format_outcome(answer: Result<CommitOutcome, PlatformError>) -> String {
     match answer {
         Ok(CommitOutcome::Committed(revision)) => format!("done {revision}"),
         Ok(CommitOutcome::Conflict { key, current }) => {
@@ -106,7 +111,7 @@
 
 #[tokio::test]
 async fn memory_and_http_keep_the_same_contract() {
-    let memory = contract(Memory::default()).await;
+    let memory = contract(MemoryPlatform::default()).await;
     let http = contract(HttpPlatform::new(server().await.address)).await;
     assert_eq!(memory, http);
     insta::assert_snapshot!(memory);
@@ -175,8 +180,8 @@
     for case in CASES {
         let server = server().await;
         let link = Link::start(server.address).await.unwrap();
-        let store = LaneStore::new(HttpPlatform::new(link.address), "writer-1".to_string());
-        let made = done(store.commit(write(domain("a", ""), Revision(0))).await);
+        let store = IdempotentStore::new(HttpPlatform::new(link.address), "writer-1".to_string());
+        let made = committed(store.commit(write(domain("a", ""), Revision(0))).await);
         (case.fault)(&server, &link);
         let answer = store.commit(write(domain("a", "op"), made)).await;
         server
@@ -184,14 +189,14 @@
             .update(|settings| *settings = Default::default());
         let row = server.memory.row("domain/a").await.unwrap().unwrap();
         let changes = server.memory.changes(0).await.unwrap();
-        let told = told(answer);
+        let outcome = format_outcome(answer);
         match case.effect {
             true => {
-                assert_eq!(told, format!("done {}", row.version), "{}", case.name);
+                assert_eq!(outcome, format!("done {}", row.version), "{}", case.name);
                 assert_eq!(row.version, made.0 + 1, "{}: applied once", case.name);
             }
             false => {
-                assert!(told.starts_with("error"), "{}: {told}", case.name);
+                assert!(outcome.starts_with("error"), "{}: {outcome}", case.name);
                 assert_eq!(row.version, made.0, "{}: not applied", case.name);
             }
         }
@@ -199,7 +204,7 @@
         // The lane goes on: the next commit is neither lost nor taken for done.
         let version = Revision(row.version);
         let next = store.commit(write(domain("a", "next"), version)).await;
-        assert_eq!(done(next), Revision(version.0 + 1), "{}", case.name);
+        assert_eq!(committed(next), Revision(version.0 + 1), "{}", case.name);
     }
 }
 
@@ -210,14 +215,14 @@
     let server = server().await;
     let store = |name: &str| {
         let service = HttpPlatform::new(server.address);
-        LaneStore::new(service, name.to_string())
+        IdempotentStore::new(service, name.to_string())
     };
     let (winner, loser) = (store("writer-1"), store("writer-2"));
-    let made = done(winner.commit(write(domain("a", ""), Revision(0))).await);
+    let made = committed(winner.commit(write(domain("a", ""), Revision(0))).await);
     server.faults.update(|settings| settings.lost_replies = 1);
-    let won = done(winner.commit(write(domain("a", "one"), made)).await);
+    let won = committed(winner.commit(write(domain("a", "one"), made)).await);
     let lost = loser.commit(write(domain("a", "two"), made)).await;
-    assert_eq!(told(lost), format!("lost, domain/a is at {won}"));
+    assert_eq!(format_outcome(lost), format!("lost, domain/a is at {won}"));
 }
 
 /// Sends a table in so many parts, the whole of which takes longer than a part may.
--- a/crates/ports/tests/tables.rs
+++ b/crates/ports/tests/tables.rs
@@ -2,9 +2,10 @@
 
 use {
     bytes::Bytes,
-    citron_ports::{KeptClient, ReadTimeout, TableAnswer, fetch_table},
+    citron_ports::{HttpClient, ReadTimeout, TableResponse, fetch_table},
     citron_wire::relay::{
-        AgeWire, Format, HeadWire, Packer, Part, RelayError, TableQuestion, TableRowWire, TableWire,
+        AgeWire, BodyCache, Format, HeadWire, RelayError, RowSelection, TableQuery, TableRowWire,
+        TableWire,
     },
     std::time::Duration,
     tokio::{
@@ -14,12 +15,12 @@
     },
 };
 
-const MOST: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 
 #[derive(Debug)]
-struct Patient;
+struct FixedTimeout;
 
-impl ReadTimeout for Patient {
+impl ReadTimeout for FixedTimeout {
     fn remaining(&self) -> Duration {
         Duration::from_secs(10)
     }
@@ -47,13 +48,14 @@
 /// What an instance answers.
 fn packed(path: &str) -> Option<Bytes> {
     let wire = wire();
-    let question: TableQuestion = path.parse().ok()?;
-    match question.format {
+    let query: TableQuery = path.parse().ok()?;
+    match query.format {
         Format::Packed => {
-            let body = Packer::<1>::default().body(0, 1, Part::Whole, || wire.rows);
-            wire.head.with(&body.ok()?).ok()
+            let body =
+                BodyCache::<1>::default().get_or_encode(0, 1, RowSelection::All, || wire.rows);
+            wire.head.encode_packed(&body.ok()?).ok()
         }
-        Format::Plain => wire.to_plain().ok(),
+        Format::Plain => wire.encode_plain().ok(),
     }
 }
 
@@ -63,9 +65,9 @@
 }
 
 /// Fetches a table; the answer, and the paths that were asked.
-async fn fetch(answer: fn(&str) -> Option<Bytes>) -> (TableAnswer, Vec<String>) {
+async fn fetch(answer: fn(&str) -> Option<Bytes>) -> (TableResponse, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let client = KeptClient::new(listener.local_addr().unwrap(), MOST);
+    let client = HttpClient::new(listener.local_addr().unwrap(), MAX_BYTES);
     let served: JoinHandle<Vec<String>> = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut paths = Vec::new();
@@ -87,7 +89,7 @@
         }
         paths
     });
-    let answer = fetch_table(&client, TableQuestion::new(0, 5), &mut Patient).await;
+    let answer = fetch_table(&client, TableQuery::new(0, 5), &mut FixedTimeout).await;
     drop(client);
     (answer.unwrap(), served.await.unwrap())
 }
@@ -95,7 +97,7 @@
 #[tokio::test]
 async fn a_table_arrives_packed() {
     let (answer, asked) = fetch(packed).await;
-    assert_eq!(answer.read(MOST), Ok(wire()));
+    assert_eq!(answer.decode(MAX_BYTES), Ok(wire()));
     assert_eq!(asked, ["/packed/0/5"]);
 }
 
@@ -103,7 +105,7 @@
 #[tokio::test]
 async fn an_older_instance_is_asked_in_its_format() {
     let (answer, asked) = fetch(plain).await;
-    assert_eq!(answer.read(MOST), Ok(wire()));
+    assert_eq!(answer.decode(MAX_BYTES), Ok(wire()));
     assert_eq!(asked, ["/packed/0/5", "/tables/0/5"]);
 }
 
@@ -111,6 +113,9 @@
 #[tokio::test]
 async fn a_table_that_is_not_there_is_asked_for_once_in_each_format() {
     let (answer, asked) = fetch(|_| None).await;
-    assert!(matches!(answer.read(MOST), Err(RelayError::Damaged(_))));
+    assert!(matches!(
+        answer.decode(MAX_BYTES),
+        Err(RelayError::Malformed(_))
+    ));
     assert_eq!(asked, ["/packed/0/5", "/tables/0/5"]);
 }
--- a/crates/wire/src/admin/edits.rs
+++ b/crates/wire/src/admin/edits.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         WireError,
-        error::value_error,
+        error::invalid_value,
         row::{RowWire, parse_row_key},
     },
     citron_core::{
@@ -64,7 +64,7 @@
 
     fn try_from(wire: RowEditWire) -> Result<Self, WireError> {
         if wire.row.is_none() && wire.version == 0 {
-            return Err(value_error(
+            return Err(invalid_value(
                 "version",
                 0,
                 "the version of the row to delete",
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -7,7 +7,7 @@
 pub enum WireError {
     /// A name or number that does not parse.
     #[error("{field}: {source}")]
-    Id {
+    InvalidId {
         /// The field at fault.
         field: String,
         /// What is wrong with it.
@@ -15,7 +15,7 @@
     },
     /// Any other value outside what is allowed.
     #[error("{field} is '{found}'; allowed: {allowed}")]
-    Value {
+    InvalidValue {
         /// The field at fault.
         field: String,
         /// What it holds.
@@ -25,23 +25,23 @@
     },
     /// A message between instances that is damaged.
     #[error("damaged message: {0}")]
-    Message(String),
+    MalformedMessage(String),
 }
 
 /// Parses one field, naming it in the error.
-pub(crate) fn parse<T>(field: &str, text: &str) -> Result<T, WireError>
+pub(crate) fn parse_field<T>(field: &str, text: &str) -> Result<T, WireError>
 where
     T: std::str::FromStr<Err = ParseIdError>,
 {
-    text.parse().map_err(|source| WireError::Id {
+    text.parse().map_err(|source| WireError::InvalidId {
         field: field.to_string(),
         source,
     })
 }
 
 /// An error that names a field, what it holds and what it may hold.
-pub(crate) fn value_error(field: &str, found: impl ToString, allowed: &str) -> WireError {
-    WireError::Value {
+pub(crate) fn invalid_value(field: &str, found: impl ToString, allowed: &str) -> WireError {
+    WireError::InvalidValue {
         field: field.to_string(),
         found: found.to_string(),
         allowed: allowed.to_string(),
--- a/crates/wire/src/grant/grant_wire.rs
+++ b/crates/wire/src/grant/grant_wire.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         WireError,
-        error::{parse, value_error},
+        error::{invalid_value, parse_field},
     },
     citron_core::{
         id::Epoch,
@@ -19,9 +19,9 @@
 /// [`WireError`] if it is neither `shard:NUMBER` nor `key:HASH`.
 pub fn parse_scope(text: &str) -> Result<Scope, WireError> {
     match text.split_once(':') {
-        Some(("shard", shard)) => Ok(Scope::Shard(parse("scope", shard)?)),
-        Some(("key", key)) => Ok(Scope::Key(parse("scope", key)?)),
-        _ => Err(value_error("scope", text, "shard:NUMBER or key:HASH")),
+        Some(("shard", shard)) => Ok(Scope::Shard(parse_field("scope", shard)?)),
+        Some(("key", key)) => Ok(Scope::Key(parse_field("scope", key)?)),
+        _ => Err(invalid_value("scope", text, "shard:NUMBER or key:HASH")),
     }
 }
 
@@ -60,7 +60,7 @@
             false => GrantKind::Own,
         };
         Ok(Self {
-            service: parse("service", &wire.service)?,
+            service: parse_field("service", &wire.service)?,
             scope: parse_scope(&wire.scope)?,
             epoch: Epoch(wire.epoch),
             kind,
--- a/crates/wire/src/heartbeat/crashes.rs
+++ b/crates/wire/src/heartbeat/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests that crash servers.
 
 use {
-    super::byte_budget::Room,
+    super::byte_budget::ByteBudget,
     citron_core::crash::{CrashCount, CrashReport, Fingerprint, Lift},
     serde::{Deserialize, Serialize},
     std::{cmp::Reverse, time::Duration},
@@ -17,22 +17,22 @@
 }
 
 /// The part of a heartbeat that either may take.
-const COUNTS_PART: f64 = 0.25;
-const LIFTS_PART: f64 = 0.25;
+const COUNTS_SHARE: f64 = 0.25;
+const LIFTS_SHARE: f64 = 0.25;
 
 impl CrashesWire {
     /// What fits of it: the counts that are nearest to a refusal, and the newest lifts,
     /// as others have heard of the older ones; nothing if there is nothing to say.
-    pub(super) fn cut(mut self, room: &mut Room) -> Option<Self> {
+    pub(super) fn truncate_to(mut self, budget: &mut ByteBudget) -> Option<Self> {
         self.counts
             .sort_by_key(|count| (Reverse(count.crashes), count.age));
         self.lifts.sort_by_key(|(_, age)| *age);
-        let mut part = room.split(COUNTS_PART);
-        self.counts = part.fill(self.counts);
-        room.give_back(part);
-        let mut part = room.split(LIFTS_PART);
-        self.lifts = part.fill(self.lifts);
-        room.give_back(part);
+        let mut share = budget.split_off(COUNTS_SHARE);
+        self.counts = share.take_fitting(self.counts);
+        budget.return_unused(share);
+        let mut share = budget.split_off(LIFTS_SHARE);
+        self.lifts = share.take_fitting(self.lifts);
+        budget.return_unused(share);
         (!self.counts.is_empty() || !self.lifts.is_empty()).then_some(self)
     }
 }
@@ -73,8 +73,8 @@
             crashes: count.crashes,
             age: Duration::from_millis(count.age),
         });
-        let lifts = wire.lifts.into_iter().map(|(print, age)| Lift {
-            fingerprint: Fingerprint(print),
+        let lifts = wire.lifts.into_iter().map(|(fingerprint, age)| Lift {
+            fingerprint: Fingerprint(fingerprint),
             age: Duration::from_millis(age),
         });
         Self {
--- a/crates/wire/src/heartbeat/datagram.rs
+++ b/crates/wire/src/heartbeat/datagram.rs
@@ -6,7 +6,7 @@
 };
 
 /// The largest datagram sent: below what a link carries in one piece.
-pub const DATAGRAM_MAX: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// A datagram between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     /// As bytes; `None` if it does not fit into one datagram.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(self).ok()?;
-        (bytes.len() <= DATAGRAM_MAX).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     /// From bytes; `None` if they are not understood.
--- a/crates/wire/src/heartbeat/message.rs
+++ b/crates/wire/src/heartbeat/message.rs
@@ -1,13 +1,13 @@
 //! A heartbeat.
 
 use {
-    super::{CrashesWire, DATAGRAM_MAX, Datagram, LoadWire, byte_budget::Room},
+    super::{CrashesWire, Datagram, LoadWire, MAX_DATAGRAM_BYTES, byte_budget::ByteBudget},
     crate::relay::AgeWire,
     serde::{Deserialize, Serialize},
 };
 
 /// The most bytes by which the number of loads is longer than that of none.
-const COUNT_MAX: usize = 4;
+const MAX_COUNT_BYTES: usize = 4;
 
 /// Sent at fixed times, with what others need to know.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -41,13 +41,14 @@
 impl Heartbeat {
     /// As a datagram, with as much as fits of what it says of crashes and loads, the
     /// first of each first. What it says of its sender always fits.
-    pub fn encode_fitting(mut self) -> Option<Vec<u8>> {
+    pub fn encode_truncated(mut self) -> Option<Vec<u8>> {
         let crashes = self.crashes.take();
         let loads = std::mem::take(&mut self.loads);
         let bare = Datagram::Heartbeat(self.clone()).encode()?;
-        let mut room = Room::of(DATAGRAM_MAX.saturating_sub(bare.len() + COUNT_MAX));
-        self.crashes = crashes.and_then(|crashes| crashes.cut(&mut room));
-        self.loads = room.fill(loads);
+        let mut budget =
+            ByteBudget::new(MAX_DATAGRAM_BYTES.saturating_sub(bare.len() + MAX_COUNT_BYTES));
+        self.crashes = crashes.and_then(|crashes| crashes.truncate_to(&mut budget));
+        self.loads = budget.take_fitting(loads);
         Datagram::Heartbeat(self).encode()
     }
 }
--- a/crates/wire/src/heartbeat/mod.rs
+++ b/crates/wire/src/heartbeat/mod.rs
@@ -9,7 +9,7 @@
 
 pub use {
     crashes::CrashesWire,
-    datagram::{DATAGRAM_MAX, Datagram, KeysWire},
+    datagram::{Datagram, KeysWire, MAX_DATAGRAM_BYTES},
     load::LoadWire,
     message::Heartbeat,
     moves::{MoveWire, MovesWire},
--- a/crates/wire/src/heartbeat/moves.rs
+++ b/crates/wire/src/heartbeat/moves.rs
@@ -22,13 +22,13 @@
 pub struct MoveWire(u16, u16, u64, Option<String>);
 
 impl From<MoveNotice> for MoveWire {
-    fn from(news: MoveNotice) -> Self {
-        let owner = match news.hint {
+    fn from(notice: MoveNotice) -> Self {
+        let owner = match notice.hint {
             OwnerHint::Released => None,
             OwnerHint::Owned(server) => Some(server.to_string()),
         };
-        let KeyRange { first, last } = news.range;
-        Self(first.0, last.0, news.epoch.0, owner)
+        let KeyRange { first, last } = notice.range;
+        Self(first.0, last.0, notice.epoch.0, owner)
     }
 }
 
--- a/crates/wire/src/peer/changes.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -1,10 +1,10 @@
 //! Changed rows as a message.
 
 use {
-    super::requests::text,
+    super::requests::read_text,
     crate::{
         WireError,
-        error::value_error,
+        error::invalid_value,
         peer_capnp::{change, changes},
         row::{RowWire, parse_row_key},
     },
@@ -25,8 +25,8 @@
     builder.set_since(core.since.0);
     builder.set_revision(core.revision.0);
     let mut rows = builder.init_rows(core.rows.len() as u32);
-    for (number, row) in core.rows.iter().enumerate() {
-        write_row(row, rows.reborrow().get(number as u32))?;
+    for (index, row) in core.rows.iter().enumerate() {
+        write_row(row, rows.reborrow().get(index as u32))?;
     }
     Ok(())
 }
@@ -41,7 +41,7 @@
         return Ok(());
     };
     let json = serde_json::to_string(&RowWire::from(row));
-    let json = json.map_err(|error| WireError::Message(error.to_string()))?;
+    let json = json.map_err(|error| WireError::MalformedMessage(error.to_string()))?;
     builder.set_value(json.as_str());
     Ok(())
 }
@@ -53,7 +53,7 @@
 pub fn read_changes(reader: changes::Reader<'_>) -> Result<Changes, WireError> {
     let rows = reader
         .get_rows()
-        .map_err(|error| WireError::Message(error.to_string()))?;
+        .map_err(|error| WireError::MalformedMessage(error.to_string()))?;
     Ok(Changes {
         since: Revision(reader.get_since()),
         revision: Revision(reader.get_revision()),
@@ -62,13 +62,13 @@
 }
 
 fn read_row(reader: change::Reader<'_>) -> Result<ChangedRow, WireError> {
-    let key = parse_row_key(text(reader.get_key())?)?;
+    let key = parse_row_key(read_text(reader.get_key())?)?;
     let version = Revision(reader.get_version());
-    let json = text(reader.get_value())?;
+    let json = read_text(reader.get_value())?;
     if json.is_empty() {
         return Ok((key, version, None));
     }
     let parsed: Result<RowWire, _> = serde_json::from_str(json);
-    let wire = parsed.map_err(|error| value_error("value", json, &error.to_string()))?;
+    let wire = parsed.map_err(|error| invalid_value("value", json, &error.to_string()))?;
     Ok((key, version, Some(Row::try_from(wire)?)))
 }
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -9,6 +9,6 @@
 pub use {
     changes::{read_changes, write_changes},
     report::{read_report, write_report},
-    requests::{AckAnswer, AckAsk, Asker},
+    requests::{AcknowledgeRequest, AcknowledgeResponse, Asker},
     status::{read_status, write_status},
 };
--- a/crates/wire/src/peer/report.rs
+++ b/crates/wire/src/peer/report.rs
@@ -1,10 +1,10 @@
 //! Demand and crashes of an instance as a message.
 
 use {
-    super::requests::{Asker, text},
+    super::requests::{Asker, read_text},
     crate::{
         WireError,
-        error::{parse, value_error},
+        error::{invalid_value, parse_field},
         peer_capnp::{crash_count, demand, lift, report},
     },
     citron_core::{
@@ -40,9 +40,9 @@
         builder.set_crashes(count.crashes);
         builder.set_age(micros(count.age));
     }
-    let mut ends = builder.init_lifts(lifts.len() as u32);
+    let mut lift_builders = builder.init_lifts(lifts.len() as u32);
     for (number, lift) in (0..).zip(lifts) {
-        let mut builder = ends.reborrow().get(number);
+        let mut builder = lift_builders.reborrow().get(number);
         builder.set_fingerprint(lift.fingerprint.0);
         builder.set_age(micros(lift.age));
     }
@@ -53,10 +53,10 @@
 /// # Errors
 /// [`WireError`] names the first value that is not valid; nothing is taken then.
 pub fn read_report(reader: report::Reader<'_>) -> Result<InstanceReport, WireError> {
-    let demands = reader.get_demands().map_err(damaged)?;
-    let counts = reader.get_crashes().map_err(damaged)?;
-    let lifts = reader.get_lifts().map_err(damaged)?;
-    let asker = Asker::try_from(reader.get_sender().map_err(damaged)?)?;
+    let demands = reader.get_demands().map_err(malformed)?;
+    let counts = reader.get_crashes().map_err(malformed)?;
+    let lifts = reader.get_lifts().map_err(malformed)?;
+    let asker = Asker::try_from(reader.get_sender().map_err(malformed)?)?;
     Ok(InstanceReport {
         sender: Member::from(asker),
         demands: demands.iter().map(read_demand).collect::<Result<_, _>>()?,
@@ -69,26 +69,26 @@
 }
 
 fn read_demand(reader: demand::Reader<'_>) -> Result<(ServerName, Demand), WireError> {
-    let server = parse("server", text(reader.get_server())?)?;
+    let server = parse_field("server", read_text(reader.get_server())?)?;
     let demand = Demand {
-        arrivals: rate("arrivals", reader.get_arrivals())?,
-        answers: rate("answers", reader.get_answers())?,
+        arrivals: read_rate("arrivals", reader.get_arrivals())?,
+        answers: read_rate("answers", reader.get_answers())?,
     };
     Ok((server, demand))
 }
 
 /// A rate that is not a number would make every part of a sum of them none.
-fn rate(field: &str, rate: f64) -> Result<Rate, WireError> {
+fn read_rate(field: &str, rate: f64) -> Result<Rate, WireError> {
     match rate.is_finite() && rate >= 0.0 {
         true => Ok(Rate(rate)),
-        false => Err(value_error(field, rate, "a number from 0")),
+        false => Err(invalid_value(field, rate, "a number from 0")),
     }
 }
 
 fn read_count(reader: crash_count::Reader<'_>) -> Result<CrashCount, WireError> {
     Ok(CrashCount {
         fingerprint: Fingerprint(reader.get_fingerprint()),
-        label: text(reader.get_label())?.to_string(),
+        label: read_text(reader.get_label())?.to_string(),
         crashes: reader.get_crashes(),
         age: Duration::from_micros(reader.get_age()),
     })
@@ -101,8 +101,8 @@
     }
 }
 
-fn damaged(error: capnp::Error) -> WireError {
-    WireError::Message(error.to_string())
+fn malformed(error: capnp::Error) -> WireError {
+    WireError::MalformedMessage(error.to_string())
 }
 
 fn micros(span: Duration) -> u64 {
--- a/crates/wire/src/peer/requests.rs
+++ b/crates/wire/src/peer/requests.rs
@@ -1,7 +1,7 @@
 //! Questions between instances, and the answer to an acknowledgement.
 
 use {
-    crate::{WireError, error::parse, peer_capnp},
+    crate::{WireError, error::parse_field, peer_capnp},
     citron_core::{
         id::{Incarnation, InstanceId, Revision, ServerName},
         membership::Member,
@@ -48,7 +48,7 @@
 
     fn try_from(reader: peer_capnp::asker::Reader<'_>) -> Result<Self, WireError> {
         Ok(Self {
-            instance: parse("instance", text(reader.get_instance())?)?,
+            instance: parse_field("instance", read_text(reader.get_instance())?)?,
             incarnation: Incarnation(reader.get_incarnation()),
         })
     }
@@ -56,14 +56,14 @@
 
 /// Asks whether a revision is settled for one backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AckAsk {
+pub struct AcknowledgeRequest {
     /// The server that scopes are moving away from.
     pub server: ServerName,
     /// The revision that stopped them.
     pub revision: Revision,
 }
 
-impl AckAsk {
+impl AcknowledgeRequest {
     /// Writes the question into a message.
     pub fn write(&self, mut builder: peer_capnp::peer::acknowledge_params::Builder<'_>) {
         builder.set_server(self.server.to_string());
@@ -71,14 +71,14 @@
     }
 }
 
-impl TryFrom<peer_capnp::peer::acknowledge_params::Reader<'_>> for AckAsk {
+impl TryFrom<peer_capnp::peer::acknowledge_params::Reader<'_>> for AcknowledgeRequest {
     type Error = WireError;
 
     fn try_from(
         reader: peer_capnp::peer::acknowledge_params::Reader<'_>,
     ) -> Result<Self, WireError> {
         Ok(Self {
-            server: parse("server", text(reader.get_server())?)?,
+            server: parse_field("server", read_text(reader.get_server())?)?,
             revision: Revision(reader.get_revision()),
         })
     }
@@ -86,14 +86,14 @@
 
 /// The answer; it counts only for the start of the instance that is listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AckAnswer {
+pub struct AcknowledgeResponse {
     /// Which start of the instance answers.
     pub incarnation: Incarnation,
     /// Whether the revision is in force and nothing older is in flight.
     pub settled: bool,
 }
 
-impl AckAnswer {
+impl AcknowledgeResponse {
     /// Writes the answer into a message.
     pub fn write(&self, mut builder: peer_capnp::peer::acknowledge_results::Builder<'_>) {
         builder.set_incarnation(self.incarnation.0);
@@ -101,7 +101,7 @@
     }
 }
 
-impl From<peer_capnp::peer::acknowledge_results::Reader<'_>> for AckAnswer {
+impl From<peer_capnp::peer::acknowledge_results::Reader<'_>> for AcknowledgeResponse {
     fn from(reader: peer_capnp::peer::acknowledge_results::Reader<'_>) -> Self {
         Self {
             incarnation: Incarnation(reader.get_incarnation()),
@@ -111,7 +111,7 @@
 }
 
 /// A text field of a message.
-pub(crate) fn text(field: capnp::Result<capnp::text::Reader<'_>>) -> Result<&str, WireError> {
+pub(crate) fn read_text(field: capnp::Result<capnp::text::Reader<'_>>) -> Result<&str, WireError> {
     let read = field.and_then(|text| text.to_str().map_err(capnp::Error::from));
-    read.map_err(|error| WireError::Message(error.to_string()))
+    read.map_err(|error| WireError::MalformedMessage(error.to_string()))
 }
--- a/crates/wire/src/peer/status.rs
+++ b/crates/wire/src/peer/status.rs
@@ -1,8 +1,8 @@
 //! The status of an instance as a message.
 
 use {
-    super::requests::text,
-    crate::{WireError, error::parse, peer_capnp::status},
+    super::requests::read_text,
+    crate::{WireError, error::parse_field, peer_capnp::status},
     citron_core::{
         id::{Incarnation, Revision},
         membership::{InstanceStatus, RemainingLease},
@@ -17,10 +17,10 @@
     builder.set_domain(core.domain.as_str());
     builder.set_revision(core.revision.0);
     builder.set_leaving(core.is_leaving);
-    if let Some(left) = &core.remaining {
+    if let Some(remaining) = &core.remaining {
         builder.set_confirmed(true);
-        builder.set_remaining(micros(left.any_domain));
-        builder.set_age(micros(left.age));
+        builder.set_remaining(micros(remaining.any_domain));
+        builder.set_age(micros(remaining.age));
     }
 }
 
@@ -29,16 +29,16 @@
 /// # Errors
 /// [`WireError`] if a name is not valid or the message is damaged.
 pub fn read_status(reader: status::Reader<'_>) -> Result<InstanceStatus, WireError> {
-    let left = RemainingLease {
+    let remaining = RemainingLease {
         any_domain: Duration::from_micros(reader.get_remaining()),
         age: Duration::from_micros(reader.get_age()),
     };
     Ok(InstanceStatus {
-        instance: parse("instance", text(reader.get_instance())?)?,
+        instance: parse_field("instance", read_text(reader.get_instance())?)?,
         incarnation: Incarnation(reader.get_incarnation()),
-        domain: parse("domain", text(reader.get_domain())?)?,
+        domain: parse_field("domain", read_text(reader.get_domain())?)?,
         revision: Revision(reader.get_revision()),
-        remaining: reader.get_confirmed().then_some(left),
+        remaining: reader.get_confirmed().then_some(remaining),
         is_leaving: reader.get_leaving(),
     })
 }
--- a/crates/wire/src/relay/body.rs
+++ b/crates/wire/src/relay/body.rs
@@ -8,9 +8,9 @@
 };
 
 /// Shorter bodies are sent as they are: one or two packets either way.
-pub const PACK_FROM: usize = 2 << 10;
+pub const COMPRESS_MIN_BYTES: usize = 2 << 10;
 /// How hard to pack, from 1 to 9.
-const LEVEL: u32 = 4;
+const COMPRESSION_LEVEL: u32 = 4;
 
 /// The first byte of a body that follows as it is.
 const PLAIN: u8 = 0;
@@ -18,39 +18,39 @@
 const DEFLATE: u8 = 1;
 
 /// Writes rows.
-pub(super) fn write(rows: &[TableRowWire]) -> Result<Bytes, RelayError> {
+pub(super) fn encode(rows: &[TableRowWire]) -> Result<Bytes, RelayError> {
     let plain = postcard::to_extend(rows, vec![PLAIN])?;
-    if plain.len() < PACK_FROM {
+    if plain.len() < COMPRESS_MIN_BYTES {
         return Ok(plain.into());
     }
-    let mut encoder = DeflateEncoder::new(vec![DEFLATE], Compression::new(LEVEL));
+    let mut encoder = DeflateEncoder::new(vec![DEFLATE], Compression::new(COMPRESSION_LEVEL));
     encoder.write_all(&plain[1..])?;
     Ok(encoder.finish()?.into())
 }
 
 /// Reads rows that take `most` bytes at most, as bytes and in memory.
-pub(super) fn read(body: &[u8], most: usize) -> Result<Vec<TableRowWire>, RelayError> {
+pub(super) fn decode(body: &[u8], max_bytes: usize) -> Result<Vec<TableRowWire>, RelayError> {
     match body.split_first() {
-        Some((&PLAIN, plain)) => parse(plain, most),
-        Some((&DEFLATE, packed)) => parse(&unpack(packed, most)?, most),
-        Some((other, _)) => Err(RelayError::Damaged(format!("packed by {other}"))),
-        None => Err(RelayError::Damaged("no rows".to_string())),
+        Some((&PLAIN, plain)) => decode_rows(plain, max_bytes),
+        Some((&DEFLATE, compressed)) => decode_rows(&decompress(compressed, max_bytes)?, max_bytes),
+        Some((other, _)) => Err(RelayError::Malformed(format!("packed by {other}"))),
+        None => Err(RelayError::Malformed("no rows".to_string())),
     }
 }
 
 /// Unpacks piece by piece: no length that the sender names is relied on.
-fn unpack(packed: &[u8], most: usize) -> Result<Vec<u8>, RelayError> {
+fn decompress(compressed: &[u8], max_bytes: usize) -> Result<Vec<u8>, RelayError> {
     let mut plain = Vec::new();
-    let mut decoder = DeflateDecoder::new(packed).take(most as u64 + 1);
+    let mut decoder = DeflateDecoder::new(compressed).take(max_bytes as u64 + 1);
     decoder.read_to_end(&mut plain)?;
     Ok(plain)
 }
 
-fn parse(plain: &[u8], most: usize) -> Result<Vec<TableRowWire>, RelayError> {
+fn decode_rows(plain: &[u8], max_bytes: usize) -> Result<Vec<TableRowWire>, RelayError> {
     // An empty row is three bytes, and many times that in memory.
     let (rows, _) = postcard::take_from_bytes::<usize>(plain)?;
-    if plain.len() > most || rows > most / size_of::<TableRowWire>() {
-        return Err(RelayError::TooLong(most));
+    if plain.len() > max_bytes || rows > max_bytes / size_of::<TableRowWire>() {
+        return Err(RelayError::TooLarge(max_bytes));
     }
     Ok(postcard::from_bytes(plain)?)
 }
--- a/crates/wire/src/relay/digest.rs
+++ b/crates/wire/src/relay/digest.rs
@@ -9,9 +9,9 @@
 ///
 /// ```
 /// use citron_wire::relay::Digest;
-/// let digest = Digest::of([("a", 4), ("b", 7)]);
-/// assert_eq!(digest, Digest::of([("a", 4), ("b", 7)]));
-/// assert_ne!(digest, Digest::of([("a", 4)]));
+/// let digest = Digest::from_rows([("a", 4), ("b", 7)]);
+/// assert_eq!(digest, Digest::from_rows([("a", 4), ("b", 7)]));
+/// assert_ne!(digest, Digest::from_rows([("a", 4)]));
 /// assert_eq!(digest.to_string().parse(), Ok(digest));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 impl Digest {
     /// The digest of rows in the order of their keys.
-    pub fn of<'a>(rows: impl IntoIterator<Item = (&'a str, u64)>) -> Self {
+    pub fn from_rows<'a>(rows: impl IntoIterator<Item = (&'a str, u64)>) -> Self {
         let mut hasher = Xxh3::new();
         for (key, version) in rows {
             hasher.update(&(key.len() as u64).to_le_bytes());
--- a/crates/wire/src/relay/error.rs
+++ b/crates/wire/src/relay/error.rs
@@ -7,23 +7,23 @@
 pub enum RelayError {
     /// It was written by an instance of another version.
     #[error("it is in format {0}, which is not known here")]
-    Format(u8),
+    UnsupportedFormat(u8),
     /// Unpacked it is longer than allowed.
     #[error("unpacked it is longer than {0} bytes")]
-    TooLong(usize),
+    TooLarge(usize),
     /// It is incomplete or damaged.
     #[error("it is damaged: {0}")]
-    Damaged(String),
+    Malformed(String),
 }
 
 impl From<postcard::Error> for RelayError {
     fn from(error: postcard::Error) -> Self {
-        Self::Damaged(error.to_string())
+        Self::Malformed(error.to_string())
     }
 }
 
 impl From<std::io::Error> for RelayError {
     fn from(error: std::io::Error) -> Self {
-        Self::Damaged(error.to_string())
+        Self::Malformed(error.to_string())
     }
 }
--- a/crates/wire/src/relay/mod.rs
+++ b/crates/wire/src/relay/mod.rs
@@ -11,11 +11,11 @@
 
 pub use {
     age::AgeWire,
-    body::PACK_FROM,
-    body_cache::Packer,
+    body::COMPRESS_MIN_BYTES,
+    body_cache::BodyCache,
     digest::Digest,
     error::RelayError,
-    query::{Format, TableQuestion},
-    rows::{Part, TableRowWire},
+    query::{Format, TableQuery},
+    rows::{RowSelection, TableRowWire},
     table::{HeadWire, TableWire},
 };
--- a/crates/wire/src/relay/query.rs
+++ b/crates/wire/src/relay/query.rs
@@ -35,7 +35,7 @@
 
 /// Asks for what has changed in a table. Written as the path of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TableQuestion {
+pub struct TableQuery {
     /// How the answer is to be written.
     pub format: Format,
     /// The place of the table among those that instances follow.
@@ -46,14 +46,14 @@
     pub digest: Option<Digest>,
 }
 
-impl TableQuestion {
+impl TableQuery {
     /// A question in the newest format.
     ///
     /// ```
-    /// use citron_wire::relay::TableQuestion;
-    /// let question = TableQuestion::new(0, 17);
-    /// assert_eq!(question.to_string(), "/packed/0/17");
-    /// assert_eq!("/packed/0/17".parse(), Ok(question));
+    /// use citron_wire::relay::TableQuery;
+    /// let query = TableQuery::new(0, 17);
+    /// assert_eq!(query.to_string(), "/packed/0/17");
+    /// assert_eq!("/packed/0/17".parse(), Ok(query));
     /// ```
     pub fn new(table: usize, after: u64) -> Self {
         Self {
@@ -65,7 +65,7 @@
     }
 
     /// The same of an instance that has rows of this digest.
-    pub fn having(self, digest: Digest) -> Self {
+    pub fn with_digest(self, digest: Digest) -> Self {
         let digest = Some(digest);
         Self { digest, ..self }
     }
@@ -82,7 +82,7 @@
     }
 }
 
-impl fmt::Display for TableQuestion {
+impl fmt::Display for TableQuery {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "/{}/{}/{}", self.format.name(), self.table, self.after)?;
         match self.digest {
@@ -92,7 +92,7 @@
     }
 }
 
-impl FromStr for TableQuestion {
+impl FromStr for TableQuery {
     type Err = ();
 
     fn from_str(path: &str) -> Result<Self, ()> {
@@ -108,13 +108,13 @@
                 (Some(digest), Format::Packed) => Some(digest.parse().ok()?),
                 (Some(_), Format::Plain) => return None,
             };
-            let question = Self {
+            let query = Self {
                 format,
                 table,
                 after,
                 digest,
             };
-            parts.next().is_none().then_some(question)
+            parts.next().is_none().then_some(query)
         };
         parse().ok_or(())
     }
--- a/crates/wire/src/relay/table.rs
+++ b/crates/wire/src/relay/table.rs
@@ -8,7 +8,7 @@
 
 /// The first byte of packed answers. It changes whenever they do, so that an instance
 /// refuses what it would misread; new fields need a new number, too.
-const NUMBER: u8 = 2;
+const PACKED_VERSION: u8 = 2;
 
 /// What changes with each answer; never packed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -28,12 +28,12 @@
 
 impl HeadWire {
     /// A packed answer: the format's number, this, and a body from
-    /// [`Packer`](super::Packer).
+    /// [`BodyCache`](super::BodyCache).
     ///
     /// # Errors
     /// If it could not be written.
-    pub fn with(&self, body: &[u8]) -> Result<Bytes, RelayError> {
-        let mut bytes = postcard::to_extend(self, vec![NUMBER])?;
+    pub fn encode_packed(&self, body: &[u8]) -> Result<Bytes, RelayError> {
+        let mut bytes = postcard::to_extend(self, vec![PACKED_VERSION])?;
         bytes.extend_from_slice(body);
         Ok(bytes.into())
     }
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// If it could not be written.
-    pub fn to_plain(&self) -> Result<Bytes, RelayError> {
+    pub fn encode_plain(&self) -> Result<Bytes, RelayError> {
         Ok(postcard::to_stdvec(self)?.into())
     }
 
@@ -62,21 +62,21 @@
     ///
     /// # Errors
     /// If it is of another version, too long or damaged.
-    pub fn read(format: Format, bytes: &[u8], most: usize) -> Result<Self, RelayError> {
+    pub fn decode(format: Format, bytes: &[u8], max_bytes: usize) -> Result<Self, RelayError> {
         match format {
             Format::Plain => Ok(postcard::from_bytes(bytes)?),
-            Format::Packed => read_packed(bytes, most),
+            Format::Packed => decode_packed(bytes, max_bytes),
         }
     }
 }
 
-fn read_packed(bytes: &[u8], most: usize) -> Result<TableWire, RelayError> {
-    let missing = || RelayError::Damaged("it is empty".to_string());
-    let (number, rest) = bytes.split_first().ok_or_else(missing)?;
-    if *number != NUMBER {
-        return Err(RelayError::Format(*number));
+fn decode_packed(bytes: &[u8], max_bytes: usize) -> Result<TableWire, RelayError> {
+    let empty = || RelayError::Malformed("it is empty".to_string());
+    let (version, rest) = bytes.split_first().ok_or_else(empty)?;
+    if *version != PACKED_VERSION {
+        return Err(RelayError::UnsupportedFormat(*version));
     }
     let (head, body) = postcard::take_from_bytes(rest)?;
-    let rows = body::read(body, most)?;
+    let rows = body::decode(body, max_bytes)?;
     Ok(TableWire { head, rows })
 }
--- a/crates/wire/src/row/block.rs
+++ b/crates/wire/src/row/block.rs
@@ -1,7 +1,7 @@
 //! Ownership rows as JSON.
 
 use {
-    crate::{WireError, error::parse},
+    crate::{WireError, error::parse_field},
     citron_core::{
         id::Epoch,
         ownership::{Assignment, Phase},
@@ -44,11 +44,11 @@
         let phase = match &wire.to {
             None => Phase::Owned,
             Some(to) => Phase::Releasing {
-                to: parse("to", to)?,
+                to: parse_field("to", to)?,
             },
         };
         Ok(Self {
-            owner: parse("owner", &wire.owner)?,
+            owner: parse_field("owner", &wire.owner)?,
             epoch: Epoch(wire.epoch),
             phase,
         })
@@ -83,7 +83,7 @@
     fn try_from(wire: BlockWire) -> Result<Self, WireError> {
         let shards = wire.shards.into_iter().map(Assignment::try_from);
         Ok(Self {
-            service: parse("service", &wire.service)?,
+            service: parse_field("service", &wire.service)?,
             block: BlockId(wire.block),
             shards: shards.collect::<Result<_, _>>()?,
         })
@@ -117,8 +117,8 @@
 
     fn try_from(wire: OverrideWire) -> Result<Self, WireError> {
         Ok(Self {
-            service: parse("service", &wire.service)?,
-            key: parse("key", &wire.key)?,
+            service: parse_field("service", &wire.service)?,
+            key: parse_field("key", &wire.key)?,
             owner: wire.owner.try_into()?,
         })
     }
--- a/crates/wire/src/row/domain.rs
+++ b/crates/wire/src/row/domain.rs
@@ -1,7 +1,7 @@
 //! Failure domain rows as JSON.
 
 use {
-    crate::{WireError, error::parse},
+    crate::{WireError, error::parse_field},
     citron_core::{
         id::Incarnation,
         table::{Confirmer, DomainRow, DomainState},
@@ -56,7 +56,7 @@
 
     fn try_from(wire: ConfirmerWire) -> Result<Self, WireError> {
         Ok(Self {
-            instance: parse("confirmers.instance", &wire.instance)?,
+            instance: parse_field("confirmers.instance", &wire.instance)?,
             incarnation: Incarnation(wire.incarnation),
         })
     }
@@ -72,7 +72,7 @@
         };
         let confirmers = wire.confirmers.into_iter().map(Confirmer::try_from);
         Ok(Self {
-            name: parse("name", &wire.name)?,
+            name: parse_field("name", &wire.name)?,
             state,
             confirmers: confirmers.collect::<Result<_, _>>()?,
         })
--- a/crates/wire/src/row/instance.rs
+++ b/crates/wire/src/row/instance.rs
@@ -1,7 +1,7 @@
 //! Instance rows as JSON.
 
 use {
-    crate::{WireError, error::parse},
+    crate::{WireError, error::parse_field},
     citron_core::{
         id::{Incarnation, Revision},
         table::{InstanceRow, InstanceState},
@@ -61,9 +61,9 @@
             (false, false) => InstanceState::Live,
         };
         Ok(Self {
-            id: parse("id", &wire.id)?,
+            id: parse_field("id", &wire.id)?,
             incarnation: Incarnation(wire.incarnation),
-            domain: parse("domain", &wire.domain)?,
+            domain: parse_field("domain", &wire.domain)?,
             traffic_address: wire.traffic,
             peer_address: wire.peer,
             admin_address: wire.admin,
--- a/crates/wire/src/row/key.rs
+++ b/crates/wire/src/row/key.rs
@@ -3,12 +3,12 @@
 use {
     crate::{
         WireError,
-        error::{parse, value_error},
+        error::{invalid_value, parse_field},
     },
     citron_core::table::{BlockId, RowKey},
 };
 
-const FORMS: &str = "service/NAME, server/NAME, domain/NAME, instance/ID, block/SERVICE/NUMBER, override/SERVICE/HASH";
+const KEY_FORMS: &str = "service/NAME, server/NAME, domain/NAME, instance/ID, block/SERVICE/NUMBER, override/SERVICE/HASH";
 
 /// Reads a key as [`RowKey`] displays it.
 ///
@@ -23,19 +23,23 @@
 pub fn parse_row_key(text: &str) -> Result<RowKey, WireError> {
     let parts: Vec<&str> = text.split('/').collect();
     Ok(match parts.as_slice() {
-        ["service", name] => RowKey::Service(parse("key", name)?),
-        ["server", name] => RowKey::Server(parse("key", name)?),
-        ["domain", name] => RowKey::Domain(parse("key", name)?),
-        ["instance", id] => RowKey::Instance(parse("key", id)?),
-        ["block", service, block] => RowKey::Block(parse("key", service)?, parse_block(block)?),
-        ["override", service, key] => RowKey::Override(parse("key", service)?, parse("key", key)?),
-        _ => return Err(value_error("key", text, FORMS)),
+        ["service", name] => RowKey::Service(parse_field("key", name)?),
+        ["server", name] => RowKey::Server(parse_field("key", name)?),
+        ["domain", name] => RowKey::Domain(parse_field("key", name)?),
+        ["instance", id] => RowKey::Instance(parse_field("key", id)?),
+        ["block", service, block] => {
+            RowKey::Block(parse_field("key", service)?, parse_block_id(block)?)
+        }
+        ["override", service, key] => {
+            RowKey::Override(parse_field("key", service)?, parse_field("key", key)?)
+        }
+        _ => return Err(invalid_value("key", text, KEY_FORMS)),
     })
 }
 
-fn parse_block(text: &str) -> Result<BlockId, WireError> {
+fn parse_block_id(text: &str) -> Result<BlockId, WireError> {
     let number = text
         .parse()
-        .map_err(|_| value_error("key", text, "a block number"))?;
+        .map_err(|_| invalid_value("key", text, "a block number"))?;
     Ok(BlockId(number))
 }
--- a/crates/wire/src/row/server.rs
+++ b/crates/wire/src/row/server.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         WireError,
-        error::{parse, value_error},
+        error::{invalid_value, parse_field},
     },
     citron_core::{
         id::{Slots, Weight},
@@ -70,18 +70,18 @@
             "active" => ServerState::Active,
             "draining" => ServerState::Draining,
             "retired" => ServerState::Retired,
-            other => return Err(value_error("state", other, "active, draining, retired")),
+            other => return Err(invalid_value("state", other, "active, draining, retired")),
         };
         let fencing = match wire.fenced {
             true => Fencing::Checked,
             false => Fencing::Unchecked,
         };
-        let weight: Weight = parse("weight", &wire.weight.to_string())?;
-        let slots: Slots = parse("slots", &wire.slots.to_string())?;
+        let weight: Weight = parse_field("weight", &wire.weight.to_string())?;
+        let slots: Slots = parse_field("slots", &wire.slots.to_string())?;
         Ok(Self {
-            name: parse("name", &wire.name)?,
-            service: parse("service", &wire.service)?,
-            domain: parse("domain", &wire.domain)?,
+            name: parse_field("name", &wire.name)?,
+            service: parse_field("service", &wire.service)?,
+            domain: parse_field("domain", &wire.domain)?,
             address: wire.address,
             weight,
             rate_cap: wire.cap,
--- a/crates/wire/src/row/service.rs
+++ b/crates/wire/src/row/service.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         WireError,
-        error::{parse, value_error},
+        error::{invalid_value, parse_field},
     },
     citron_core::{
         id::ShardBits,
@@ -79,13 +79,13 @@
     fn try_from(wire: ServiceWire) -> Result<Self, WireError> {
         let bits = ShardBits::new(wire.shard_bits);
         let shard_bits =
-            bits.ok_or_else(|| value_error("shard_bits", wire.shard_bits, "0 to 20"))?;
+            bits.ok_or_else(|| invalid_value("shard_bits", wire.shard_bits, "0 to 20"))?;
         Ok(Self {
-            name: parse("name", &wire.name)?,
-            operator: parse("operator", &wire.operator)?,
+            name: parse_field("name", &wire.name)?,
+            operator: parse_field("operator", &wire.operator)?,
             hosts: wire.hosts,
             prefix: wire.prefix,
-            key_source: key_rule(&wire.key)?,
+            key_source: parse_key_source(&wire.key)?,
             idempotent_methods: wire.idempotent,
             shard_bits,
             deadline: Duration::from_millis(wire.deadline_ms),
@@ -107,11 +107,14 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn key_rule(text: &str) -> Result<KeySource, WireError> {
-    let bad = || value_error("key", text, "header:NAME or segment:NUMBER");
+fn parse_key_source(text: &str) -> Result<KeySource, WireError> {
+    let invalid = || invalid_value("key", text, "header:NAME or segment:NUMBER");
     match text.split_once(':') {
         Some(("header", name)) if !name.is_empty() => Ok(KeySource::Header(name.to_lowercase())),
-        Some(("segment", number)) => number.parse().map(KeySource::Segment).map_err(|_| bad()),
-        _ => Err(bad()),
+        Some(("segment", number)) => number
+            .parse()
+            .map(KeySource::Segment)
+            .map_err(|_| invalid()),
+        _ => Err(invalid()),
     }
 }
--- a/crates/wire/src/slo/mod.rs
+++ b/crates/wire/src/slo/mod.rs
@@ -9,7 +9,7 @@
 pub const PAGE_PREFIX: &str = "slo/";
 /// Pages that an instance keeps: six hours, the current one, and one that is
 /// being begun. An older page is written over.
-const PAGES: u64 = 8;
+const PAGES_PER_INSTANCE: u64 = 8;
 
 /// The name of an instance's page of an hour.
 ///
@@ -17,5 +17,5 @@
 /// assert_eq!(citron_wire::slo::page_name("entry-1", 17), "slo/entry-1/1");
 /// ```
 pub fn page_name(instance: &str, hour: u64) -> String {
-    format!("{PAGE_PREFIX}{instance}/{}", hour % PAGES)
+    format!("{PAGE_PREFIX}{instance}/{}", hour % PAGES_PER_INSTANCE)
 }
--- a/crates/wire/src/slo/record_wire.rs
+++ b/crates/wire/src/slo/record_wire.rs
@@ -1,7 +1,7 @@
 //! Records and their conversions.
 
 use {
-    crate::{WireError, error::parse},
+    crate::{WireError, error::parse_field},
     citron_core::{
         id::ServerName,
         slo::{Minute, Tally, TallySeries},
@@ -93,7 +93,7 @@
         let mut record = Self::default();
         for entry in wire.entries {
             let minute = Minute(entry.minute);
-            let service = parse("service", &entry.service)?;
+            let service = parse_field("service", &entry.service)?;
             record.add(minute, &service, &entry.try_into()?);
         }
         Ok(record)
@@ -106,7 +106,10 @@
     fn try_from(wire: TallyWire) -> Result<Self, WireError> {
         let mut busy_time: BTreeMap<ServerName, Duration> = BTreeMap::new();
         for (server, time) in &wire.busy_ms {
-            busy_time.insert(parse("busy_ms", server)?, Duration::from_millis(*time));
+            busy_time.insert(
+                parse_field("busy_ms", server)?,
+                Duration::from_millis(*time),
+            );
         }
         Ok(Self {
             requests: wire.total,
--- a/crates/wire/src/table/table_wire.rs
+++ b/crates/wire/src/table/table_wire.rs
@@ -16,7 +16,7 @@
 
 /// A stored value; `value` is null for a deleted row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StoredWire {
+pub struct StoredRowWire {
     /// Its key.
     pub key: String,
     /// The revision of the commit that wrote it.
@@ -33,7 +33,7 @@
     /// The last commit.
     pub revision: u64,
     /// The rows changed in between.
-    pub rows: Vec<StoredWire>,
+    pub rows: Vec<StoredRowWire>,
 }
 
 /// One conditional write.
@@ -68,13 +68,13 @@
 
 /// What became of a commit: `revision` if it took effect, else `lost`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CommitAnswerWire {
+pub struct CommitResponseWire {
     /// The new revision.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
     /// The first row whose version was another; version 0 if it is not there.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lost: Option<StoredWire>,
+    pub lost: Option<StoredRowWire>,
 }
 
 /// A row before and after an edit.
@@ -103,12 +103,12 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogWire {
     /// The rows.
-    pub rows: Vec<StoredWire>,
+    pub rows: Vec<StoredRowWire>,
 }
 
-fn read_row(value: Value) -> Result<Row, WireError> {
+fn decode_row(value: Value) -> Result<Row, WireError> {
     let found = value.to_string();
-    let wire: RowWire = serde_json::from_value(value).map_err(|error| WireError::Value {
+    let wire: RowWire = serde_json::from_value(value).map_err(|error| WireError::InvalidValue {
         field: "value".to_string(),
         found,
         allowed: error.to_string(),
@@ -123,7 +123,7 @@
         let mut rows = Vec::with_capacity(wire.rows.len());
         for stored in wire.rows {
             let key = parse_row_key(&stored.key)?;
-            let row = stored.value.map(read_row).transpose()?;
+            let row = stored.value.map(decode_row).transpose()?;
             rows.push((key, Revision(stored.version), row));
         }
         Ok(Self {
--- a/crates/wire/tests/heartbeat.rs
+++ b/crates/wire/tests/heartbeat.rs
@@ -8,7 +8,7 @@
         time::Time,
     },
     citron_wire::{
-        heartbeat::{DATAGRAM_MAX, Datagram, Heartbeat},
+        heartbeat::{Datagram, Heartbeat, MAX_DATAGRAM_BYTES},
         relay::AgeWire,
     },
     std::time::Duration,
@@ -36,11 +36,11 @@
 /// What an instance says of servers of which it has lately used `used`, and has a request
 /// at every tenth.
 fn loads(used: usize) -> Vec<PeerLoad> {
-    let mut book = LoadTracker::default();
+    let mut tracker = LoadTracker::default();
     for number in 0..used {
         let server: ServerName = format!("i-{number:08x}").parse().unwrap();
-        book.begin(&server, NOW);
-        book.end(
+        tracker.begin(&server, NOW);
+        tracker.end(
             &server,
             AttemptOutcome::Ran,
             Duration::from_millis(200),
@@ -48,10 +48,10 @@
             NOW,
         );
         if number % 10 == 0 {
-            book.begin(&server, NOW);
+            tracker.begin(&server, NOW);
         }
     }
-    book.local_loads(NOW)
+    tracker.local_loads(NOW)
 }
 
 /// Guards against loads that nobody hears of: an instance that has lately used a hundred
@@ -59,16 +59,24 @@
 #[test]
 fn requests_under_way_are_told_whatever_else_there_is() {
     for used in [0, 10, 60, 100, 381, 1_000] {
-        let bytes = heartbeat(loads(used)).encode_fitting().unwrap();
-        assert!(bytes.len() <= DATAGRAM_MAX);
-        let Some(Datagram::Heartbeat(heard)) = Datagram::decode(&bytes) else {
+        let bytes = heartbeat(loads(used)).encode_truncated().unwrap();
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+        let Some(Datagram::Heartbeat(received)) = Datagram::decode(&bytes) else {
             panic!("no heartbeat");
         };
-        let told = heard.loads.into_iter().map(PeerLoad::try_from);
-        let told: Vec<PeerLoad> = told.map(Result::unwrap).collect();
-        let busy = told.iter().filter(|load| load.in_flight > 0).count();
-        assert_eq!(busy, used.div_ceil(10).min(told.len()), "{used} servers");
-        assert!(told.len() >= used.min(60), "{used} servers: {}", told.len());
+        let reported = received.loads.into_iter().map(PeerLoad::try_from);
+        let reported: Vec<PeerLoad> = reported.map(Result::unwrap).collect();
+        let busy = reported.iter().filter(|load| load.in_flight > 0).count();
+        assert_eq!(
+            busy,
+            used.div_ceil(10).min(reported.len()),
+            "{used} servers"
+        );
+        assert!(
+            reported.len() >= used.min(60),
+            "{used} servers: {}",
+            reported.len()
+        );
     }
 }
 
@@ -77,28 +85,28 @@
 /// of it was sent.
 #[test]
 fn an_instance_is_heard_whatever_it_knows_of_crashes() {
-    let mut log = CrashTracker::new(CrashConfig::PER_START);
+    let mut tracker = CrashTracker::new(CrashConfig::PER_START);
     let server: ServerName = "i-1".parse().unwrap();
     for number in 0..200_u32 {
-        let print = Fingerprint::from_parts(&[b"POST", &number.to_be_bytes()]);
-        log.record_crash(print, "POST /pickups/mi14/2f", &server, NOW);
+        let fingerprint = Fingerprint::from_parts(&[b"POST", &number.to_be_bytes()]);
+        tracker.record_crash(fingerprint, "POST /pickups/mi14/2f", &server, NOW);
         if number % 2 == 0 {
-            log.record_answer(print, NOW);
+            tracker.record_answer(fingerprint, NOW);
         }
     }
     let worst = Fingerprint::from_parts(&[b"POST", &199_u32.to_be_bytes()]);
-    log.record_crash(worst, "POST /pickups/mi14/2f", &"i-2".parse().unwrap(), NOW);
-    let told = Heartbeat {
-        crashes: Some(log.report(NOW).into()),
+    tracker.record_crash(worst, "POST /pickups/mi14/2f", &"i-2".parse().unwrap(), NOW);
+    let sent = Heartbeat {
+        crashes: Some(tracker.report(NOW).into()),
         ..heartbeat(loads(200))
     };
-    let bytes = told.encode_fitting().unwrap();
-    assert!(bytes.len() <= DATAGRAM_MAX);
-    let Some(Datagram::Heartbeat(heard)) = Datagram::decode(&bytes) else {
+    let bytes = sent.encode_truncated().unwrap();
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+    let Some(Datagram::Heartbeat(received)) = Datagram::decode(&bytes) else {
         panic!("no heartbeat");
     };
-    assert!(heard.loads.len() > 10);
-    let report = CrashReport::from(heard.crashes.unwrap());
+    assert!(received.loads.len() > 10);
+    let report = CrashReport::from(received.crashes.unwrap());
     assert!(report.lifts.len() > 10);
     assert!(report.counts.iter().any(|count| count.fingerprint == worst));
 }
--- a/crates/wire/tests/relay.rs
+++ b/crates/wire/tests/relay.rs
@@ -3,15 +3,15 @@
 use {
     bytes::Bytes,
     citron_wire::relay::{
-        AgeWire, Digest, Format, HeadWire, PACK_FROM, Packer, Part, RelayError, TableQuestion,
-        TableRowWire, TableWire,
+        AgeWire, BodyCache, COMPRESS_MIN_BYTES, Digest, Format, HeadWire, RelayError, RowSelection,
+        TableQuery, TableRowWire, TableWire,
     },
     proptest::{collection::vec, option, prelude::*},
     serde::Serialize,
     std::time::Duration,
 };
 
-const MOST: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 
 fn row(key: &str, value: Option<Vec<u8>>) -> TableRowWire {
     TableRowWire {
@@ -31,12 +31,12 @@
 }
 
 fn packed(rows: &[TableRowWire]) -> Bytes {
-    let body = Packer::<1>::default().body(0, 1, Part::Whole, || rows.to_vec());
-    head(20).with(&body.unwrap()).unwrap()
+    let body = BodyCache::<1>::default().get_or_encode(0, 1, RowSelection::All, || rows.to_vec());
+    head(20).encode_packed(&body.unwrap()).unwrap()
 }
 
 fn read(bytes: &[u8]) -> Result<TableWire, RelayError> {
-    TableWire::read(Format::Packed, bytes, MOST)
+    TableWire::decode(Format::Packed, bytes, MAX_BYTES)
 }
 
 fn any_rows() -> impl Strategy<Value = Vec<TableRowWire>> {
@@ -54,11 +54,11 @@
     #[test]
     fn rows_arrive_as_they_were(rows in any_rows(), version: u64, changed: u64, whole: bool) {
         let head = HeadWire { version, whole, changed, ..head(20) };
-        let body = Packer::<1>::default().body(0, 1, Part::Whole, || rows.clone()).unwrap();
+        let body = BodyCache::<1>::default().get_or_encode(0, 1, RowSelection::All, || rows.clone()).unwrap();
         let wire = TableWire { head, rows };
-        let packed = read(&wire.head.with(&body).unwrap()).unwrap();
+        let packed = read(&wire.head.encode_packed(&body).unwrap()).unwrap();
         prop_assert_eq!(&packed, &wire);
-        let plain = TableWire::read(Format::Plain, &wire.to_plain().unwrap(), MOST).unwrap();
+        let plain = TableWire::decode(Format::Plain, &wire.encode_plain().unwrap(), MAX_BYTES).unwrap();
         prop_assert_eq!(&plain, &wire);
     }
 
@@ -66,16 +66,16 @@
     #[test]
     fn any_bytes_are_read_or_refused(mut bytes in vec(any::<u8>(), 0..4_000), coding in 0..3u8) {
         let _ = read(&bytes);
-        let begin = head(20).with(&[coding]).unwrap();
+        let begin = head(20).encode_packed(&[coding]).unwrap();
         bytes.splice(0..0, begin);
         let _ = read(&bytes);
     }
 
     #[test]
     fn a_question_is_a_path(table: usize, after: u64) {
-        let question = TableQuestion::new(table, after);
-        let older = question.older().unwrap();
-        prop_assert_eq!(question.to_string().parse(), Ok(question));
+        let query = TableQuery::new(table, after);
+        let older = query.older().unwrap();
+        prop_assert_eq!(query.to_string().parse(), Ok(query));
         prop_assert_eq!(older.to_string().parse(), Ok(older));
         prop_assert_eq!(older.to_string(), format!("/tables/{table}/{after}"));
         prop_assert_eq!(older.older(), None);
@@ -85,12 +85,12 @@
 /// Guards against a table that is handed over whole to an instance that has it.
 #[test]
 fn a_question_tells_which_rows_the_asker_has() {
-    let rows = |version| Digest::of([("a", 4), ("b", version)]);
-    let question = TableQuestion::new(1, 5).having(rows(7));
-    assert_eq!(question.to_string().parse(), Ok(question));
+    let rows = |version| Digest::from_rows([("a", 4), ("b", version)]);
+    let query = TableQuery::new(1, 5).with_digest(rows(7));
+    assert_eq!(query.to_string().parse(), Ok(query));
     assert_ne!(rows(7), rows(8));
-    assert_ne!(Digest::of([("a", 4)]), Digest::of([("b", 4)]));
-    let older = question.older().unwrap();
+    assert_ne!(Digest::from_rows([("a", 4)]), Digest::from_rows([("b", 4)]));
+    let older = query.older().unwrap();
     assert_eq!(older.to_string(), "/tables/1/5");
 }
 
@@ -107,37 +107,37 @@
         "/packed/1/2/3/4",
         "/tables/1/2/3",
     ] {
-        assert_eq!(path.parse::<TableQuestion>(), Err(()), "{path}");
+        assert_eq!(path.parse::<TableQuery>(), Err(()), "{path}");
     }
 }
 
 /// Short tables gain nothing from packing, long ones most of their bytes.
 #[test]
 fn only_long_tables_are_packed() {
-    let short = [row("a", Some(vec![7; PACK_FROM / 2]))];
-    let long = [row("a", Some(vec![7; 20 * PACK_FROM]))];
-    assert!(packed(&short).len() > PACK_FROM / 2);
-    assert!(packed(&long).len() < PACK_FROM / 2);
+    let short = [row("a", Some(vec![7; COMPRESS_MIN_BYTES / 2]))];
+    let long = [row("a", Some(vec![7; 20 * COMPRESS_MIN_BYTES]))];
+    assert!(packed(&short).len() > COMPRESS_MIN_BYTES / 2);
+    assert!(packed(&long).len() < COMPRESS_MIN_BYTES / 2);
 }
 
 /// An answer of a few kilobytes that unpacks to gigabytes uses up the receiver's memory.
 #[test]
 fn an_answer_that_unpacks_beyond_the_limit_is_refused() {
-    let fits = packed(&[row("a", Some(vec![0; MOST - 100]))]);
+    let fits = packed(&[row("a", Some(vec![0; MAX_BYTES - 100]))]);
     assert!(read(&fits).is_ok());
-    let longer = packed(&[row("a", Some(vec![0; 16 * MOST]))]);
-    assert!(longer.len() < MOST / 4, "{} bytes", longer.len());
-    assert_eq!(read(&longer), Err(RelayError::TooLong(MOST)));
+    let longer = packed(&[row("a", Some(vec![0; 16 * MAX_BYTES]))]);
+    assert!(longer.len() < MAX_BYTES / 4, "{} bytes", longer.len());
+    assert_eq!(read(&longer), Err(RelayError::TooLarge(MAX_BYTES)));
     // Nothing beyond the limit is unpacked: it is not even known that the end is missing.
     let cut = &longer[..longer.len() / 2];
-    assert_eq!(read(cut), Err(RelayError::TooLong(MOST)));
+    assert_eq!(read(cut), Err(RelayError::TooLarge(MAX_BYTES)));
 }
 
 /// Empty rows take some twenty times as much memory as bytes.
 #[test]
 fn an_answer_of_too_many_empty_rows_is_refused() {
-    let many = packed(&vec![row("", None); MOST / 8]);
-    assert_eq!(read(&many), Err(RelayError::TooLong(MOST)));
+    let many = packed(&vec![row("", None); MAX_BYTES / 8]);
+    assert_eq!(read(&many), Err(RelayError::TooLarge(MAX_BYTES)));
 }
 
 /// An answer of another version that is read as if it were of this one: the table would
@@ -147,19 +147,19 @@
     let rows = [row("a", Some(vec![7; 9]))];
     let mut newer = packed(&rows).to_vec();
     newer[0] += 1;
-    assert_eq!(read(&newer), Err(RelayError::Format(newer[0])));
+    assert_eq!(read(&newer), Err(RelayError::UnsupportedFormat(newer[0])));
     let wire = TableWire {
         head: head(20),
         rows: rows.to_vec(),
     };
-    let older = wire.to_plain().unwrap();
-    assert_eq!(read(&older), Err(RelayError::Format(older[0])));
+    let older = wire.encode_plain().unwrap();
+    assert_eq!(read(&older), Err(RelayError::UnsupportedFormat(older[0])));
 }
 
 /// An answer whose end is missing must not pass for a shorter table.
 #[test]
 fn an_answer_that_was_cut_is_refused() {
-    for size in [9, 20 * PACK_FROM] {
+    for size in [9, 20 * COMPRESS_MIN_BYTES] {
         let whole = packed(&[row("a", Some(vec![7; size]))]);
         for end in 0..whole.len() {
             assert!(read(&whole[..end]).is_err(), "{end} of {}", whole.len());
@@ -192,7 +192,7 @@
         rows: vec![row("a", Some(vec![7; 9]))],
     };
     assert_eq!(
-        wire.to_plain().unwrap(),
+        wire.encode_plain().unwrap(),
         postcard::to_stdvec(&older).unwrap()
     );
 }
@@ -200,15 +200,17 @@
 /// Forty instances that fetch the same change cost the sender's processor forty packings.
 #[test]
 fn a_change_is_packed_once_for_all_who_ask() {
-    let mut packer = Packer::<2>::default();
-    let rows = || vec![row("a", Some(vec![7; 20 * PACK_FROM]))];
+    let mut cache = BodyCache::<2>::default();
+    let rows = || vec![row("a", Some(vec![7; 20 * COMPRESS_MIN_BYTES]))];
     let answers: Vec<Bytes> = (0..40)
         .map(|age| {
-            let body = packer.body(0, 3, Part::After(5), rows).unwrap();
-            head(age).with(&body).unwrap()
+            let body = cache
+                .get_or_encode(0, 3, RowSelection::After(5), rows)
+                .unwrap();
+            head(age).encode_packed(&body).unwrap()
         })
         .collect();
-    assert_eq!(packer.packings(), 1);
+    assert_eq!(cache.encode_count(), 1);
     // Each tells the age as it was then.
     for (age, answer) in (0..).zip(&answers) {
         assert_eq!(read(answer).unwrap().head, head(age));
@@ -219,44 +221,53 @@
 /// anew.
 #[test]
 fn instances_that_ask_in_turns_share_what_was_packed() {
-    let mut packer = Packer::<1>::default();
+    let mut cache = BodyCache::<1>::default();
     for _ in 0..10 {
-        for part in [Part::Whole, Part::After(5), Part::After(7)] {
-            packer.body(0, 3, part, Vec::new).unwrap();
+        for part in [
+            RowSelection::All,
+            RowSelection::After(5),
+            RowSelection::After(7),
+        ] {
+            cache.get_or_encode(0, 3, part, Vec::new).unwrap();
         }
     }
-    assert_eq!(packer.packings(), 3);
+    assert_eq!(cache.encode_count(), 3);
 }
 
 /// An instance gets the rows of another question, of another table or from before the last
 /// change, and takes them for what it asked for.
 #[test]
 fn each_question_gets_its_own_rows() {
-    let mut packer = Packer::<2>::default();
+    let mut cache = BodyCache::<2>::default();
     let mut seen = Vec::new();
     for _ in 0..2 {
         for table in 0..2 {
             for edits in 1..4 {
-                for part in [Part::Whole, Part::After(0), Part::After(5), Part::After(7)] {
+                for part in [
+                    RowSelection::All,
+                    RowSelection::After(0),
+                    RowSelection::After(5),
+                    RowSelection::After(7),
+                ] {
                     let rows = vec![row(&format!("{table} {edits} {part:?}"), None)];
-                    let body = packer.body(table, edits, part, || rows.clone());
-                    let wire = read(&head(20).with(&body.unwrap()).unwrap()).unwrap();
+                    let body = cache.get_or_encode(table, edits, part, || rows.clone());
+                    let wire = read(&head(20).encode_packed(&body.unwrap()).unwrap()).unwrap();
                     assert_eq!(wire.rows, rows);
                     seen.push(rows);
                 }
             }
         }
     }
-    assert_eq!(seen.len() as u64, packer.packings());
+    assert_eq!(seen.len() as u64, cache.encode_count());
 }
 
 proptest! {
     /// A version that is rounded down to a change must leave out no row and add none.
     #[test]
     fn a_part_holds_what_is_newer(versions in vec(0..50u64, 0..10), after in 0..50u64, base in 0..50u64) {
-        match Part::since(after, base, versions.iter().copied()) {
-            Part::Whole => prop_assert!(after < base),
-            Part::After(known) => {
+        match RowSelection::since(after, base, versions.iter().copied()) {
+            RowSelection::All => prop_assert!(after < base),
+            RowSelection::After(known) => {
                 prop_assert!(after >= base);
                 for version in versions {
                     prop_assert_eq!(version > known, version > after, "version {}", version);
