--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -3,32 +3,32 @@
 
 mod adapter;
 mod error;
+mod fetch_table;
 mod grants;
 mod http;
-mod kept;
-mod lane;
-mod listed;
+mod http_client;
+mod idempotent;
+mod machines;
 mod memory;
 mod objects;
-mod raw;
 mod rows;
 mod servers;
-mod store;
-mod tables;
+mod table_service;
+mod table_store;
 
 pub use {
     adapter::{Adapter, DecodeError, HeaderNames},
     error::PlatformError,
-    grants::Grants,
+    fetch_table::{TableResponse, fetch_table},
+    grants::GrantClient,
     http::HttpPlatform,
-    kept::{CallError, IdleTimeout, KeptClient, ReadTimeout},
-    lane::LaneStore,
-    listed::{InstanceList, Listed, ListedState},
-    memory::Memory,
+    http_client::{CallError, HttpClient, IdleTimeout, ReadTimeout},
+    idempotent::IdempotentStore,
+    machines::{Machine, MachineList, MachineState},
+    memory::MemoryPlatform,
     objects::ObjectStore,
-    raw::TableService,
     rows::{Row, RowCommit, RowSet, RowStore, RowTable, StoreError},
-    servers::{HttpServers, Probe, Probes},
-    store::{HistoryEntry, TableStore},
-    tables::{TableAnswer, fetch_table},
+    servers::{ProbeResult, Prober, ServerClient},
+    table_service::TableService,
+    table_store::{HistoryEntry, TableStore},
 };
--- a/crates/wire/src/heartbeat/mod.rs
+++ b/crates/wire/src/heartbeat/mod.rs
@@ -1,15 +1,15 @@
 //! What instances tell each other several times a second.
 
+mod byte_budget;
 mod crashes;
 mod datagram;
 mod load;
 mod message;
 mod moves;
-mod room;
 
 pub use {
     crashes::CrashesWire,
-    datagram::{DATAGRAM_MAX, Datagram, KeysWire},
+    datagram::{Datagram, KeysWire, MAX_DATAGRAM_BYTES},
     load::LoadWire,
     message::Heartbeat,
     moves::{MoveWire, MovesWire},
--- a/crates/wire/src/relay/mod.rs
+++ b/crates/wire/src/relay/mod.rs
@@ -1,21 +1,21 @@
 //! Tables that one instance hands to another.
 
 mod age;
-mod answer;
 mod body;
+mod body_cache;
 mod digest;
 mod error;
-mod packer;
-mod question;
+mod query;
 mod rows;
+mod table;
 
 pub use {
     age::AgeWire,
-    answer::{HeadWire, TableWire},
-    body::PACK_FROM,
+    body::COMPRESS_MIN_BYTES,
+    body_cache::BodyCache,
     digest::Digest,
     error::RelayError,
-    packer::Packer,
-    question::{Format, TableQuestion},
-    rows::{Part, TableRowWire},
+    query::{Format, TableQuery},
+    rows::{RowSelection, TableRowWire},
+    table::{HeadWire, TableWire},
 };
