--- a/crates/citronproxy/examples/control_slopes.rs
+++ b/crates/citronproxy/examples/control_cost.rs
@@ -1,5 +1,5 @@
 //! Measures what control costs an instance at rest, for docs/CAPACITY.md:
-//! `cargo run --release -p citronproxy --example control_slopes -- INSTANCES SERVERS SECONDS`.
+//! `cargo run --release -p citronproxy --example control_cost -- INSTANCES SERVERS SECONDS`.
 //!
 //! All instances run their real control tasks on this one thread, with the
 //! platform in memory and backend servers that accept every order; calls
@@ -137,7 +137,7 @@
         .filter_map(|text| text.parse().ok())
         .collect();
     let [instances, servers, seconds] = args[..] else {
-        return Err("usage: control_slopes INSTANCES SERVERS SECONDS".into());
+        return Err("usage: control_cost INSTANCES SERVERS SECONDS".into());
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/citronproxy/tests/support/mod.rs
+++ b/crates/citronproxy/tests/support/mod.rs
@@ -6,11 +6,11 @@
 mod call;
 mod callers;
 mod deployment;
-mod fragile;
-mod gate;
-mod inside;
+mod crashing_server;
+mod relay;
+mod embedded;
 mod instance;
-mod path;
+mod data_path;
 mod rows;
 
 pub use {
@@ -18,10 +18,10 @@
     call::{Reply, call, get, post},
     callers::{Callers, Told, check_owners, check_told, longest_gap},
     deployment::{Deployment, any, until_serving},
-    fragile::Fragile,
-    gate::Gate,
-    inside::Inside,
+    crashing_server::Fragile,
+    relay::Gate,
+    embedded::Inside,
     instance::{Instance, TOKEN},
-    path::{LONG, Path, read_all},
+    data_path::{LONG, Path, read_all},
     rows::{Sample, commit, domain_row, sample},
 };
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/shard_cost.rs
@@ -1,6 +1,6 @@
 //! Measures what state costs per shard, for docs/CAPACITY.md. One size a run, so
 //! that no run gets memory that an earlier one gave back:
-//! `cargo run --release -p citron-core --example slopes -- BITS`, with the
+//! `cargo run --release -p citron-core --example shard_cost -- BITS`, with the
 //! base-two logarithm of the shard count.
 
 use {
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -6,7 +6,7 @@
         router::Router,
         scenario::{FAULT, Net, Scenario},
         task::Task,
-        ways::Trial,
+        strategy::Trial,
     },
     citron_core::{
         id::{Revision, ServerName, ShardId},
--- a/crates/core/tests/alternatives/main.rs
+++ b/crates/core/tests/alternatives/main.rs
@@ -10,8 +10,8 @@
 mod scenario;
 mod stats;
 mod task;
-mod ways;
-mod world;
+mod strategy;
+mod simulation;
 
 use {
     citron_core::ownership::{ProductionRules, ProtocolRules},
@@ -19,8 +19,8 @@
     scenario::Scenario,
     stats::Stats,
     std::{thread, time::Duration},
-    ways::{Trial, Way},
-    world::World,
+    strategy::{Trial, Way},
+    simulation::World,
 };
 
 /// The page that reads the table.
@@ -74,7 +74,7 @@
 /// Every way in every scenario. No way that waits has a key with two owners
 /// that would run requests; the baseline has them whenever its servers change.
 #[test]
-fn ways_in_focused_scenarios() {
+fn strategies_in_focused_scenarios() {
     let trials = trials();
     let results: Vec<Stats> = thread::scope(|scope| {
         let spawn = |trial: &Trial| {
--- a/crates/core/tests/alternatives/router.rs
+++ b/crates/core/tests/alternatives/router.rs
@@ -4,7 +4,7 @@
     super::{
         cluster::{SERVERS, SHARDS, number, service},
         scenario::{DOMAINS, Net},
-        ways::{Trial, Way},
+        strategy::{Trial, Way},
     },
     citron_core::{
         id::{KeyHash, Revision, ShardId},
--- a/crates/core/tests/alternatives/world.rs
+++ b/crates/core/tests/alternatives/simulation.rs
@@ -7,7 +7,7 @@
         router::{READ_PAUSE, Router},
         scenario::{DOMAINS, FAULT, Net, Scenario},
         stats::{Routes, Stats},
-        ways::{Trial, Way},
+        strategy::{Trial, Way},
     },
     citron_core::{ownership::ProtocolRules, table::Table, time::Time},
     rand::{Rng, SeedableRng},
--- a/crates/core/tests/alternatives/stats.rs
+++ b/crates/core/tests/alternatives/stats.rs
@@ -4,7 +4,7 @@
     super::{
         cluster::{KEYS, Keys, SERVERS, SHARDS},
         scenario::{DOMAINS, Net},
-        ways::Way,
+        strategy::Way,
     },
     std::time::Duration,
 };
--- a/crates/core/tests/alternatives/task.rs
+++ b/crates/core/tests/alternatives/task.rs
@@ -5,7 +5,7 @@
         cluster::{DEADLINE, commit, number},
         router::Router,
         scenario::{DOMAINS, Net},
-        ways::{Trial, Way},
+        strategy::{Trial, Way},
     },
     citron_core::{
         id::Revision,
