--- a/crates/citronproxy/examples/bench.rs
+++ b/crates/citronproxy/examples/bench.rs
@@ -27,9 +27,9 @@
 /// The two ways alternate in slices of this length, so that whatever else the
 /// machine does meets both alike.
 const SLICE: Duration = Duration::from_millis(100);
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nhello, keg!\n";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nhello, keg!\n";
 
-type Nanos = Histogram<u64>;
+type LatencyNanos = Histogram<u64>;
 type CallError = Box<dyn Error + Send + Sync>;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -39,31 +39,37 @@
         true => b"POST /kegs/bar-7 HTTP/1.1\r\nhost: kegs\r\ncontent-length: 4\r\n\r\nkegs",
         false => b"GET /kegs/bar-7 HTTP/1.1\r\nhost: kegs\r\n\r\n",
     };
-    let server = stand_in()?;
-    let proxy = instance(server)?;
+    let server = start_server()?;
+    let proxy = start_proxy(server)?;
     println!("connections  way     requests/s  p50 us  p99 us  added p50  added p99  CPU us");
     for connections in [1, 4, 16] {
-        let ways = [server, proxy];
+        let targets = [server, proxy];
         let before = thread_time()?;
-        let [direct, proxied] = measure(ways, connections, request, seconds)?;
-        let spent = thread_time()? - before;
-        let each = spent.as_micros() as f64 / proxied.len() as f64;
+        let [direct, proxied] = measure(targets, connections, request, seconds)?;
+        let cpu_time = thread_time()? - before;
+        let cpu_micros = cpu_time.as_micros() as f64 / proxied.len() as f64;
         print_row(connections, "direct", &direct, &direct, seconds);
         println!();
         print_row(connections, "proxy", &proxied, &direct, seconds);
-        println!("  {each:>6.1}");
+        println!("  {cpu_micros:>6.1}");
     }
     Ok(())
 }
 
-fn print_row(connections: usize, way: &str, nanos: &Nanos, base: &Nanos, seconds: u64) {
-    let micros = |histogram: &Nanos, q| histogram.value_at_quantile(q) as f64 / 1_000.0;
+fn print_row(
+    connections: usize,
+    target: &str,
+    nanos: &LatencyNanos,
+    base: &LatencyNanos,
+    seconds: u64,
+) {
+    let micros = |histogram: &LatencyNanos, q| histogram.value_at_quantile(q) as f64 / 1_000.0;
     // Each way has half of the time.
     let rate = nanos.len() as f64 / (seconds as f64 / 2.0);
     let [p50, p99] = [0.5, 0.99].map(|q| micros(nanos, q));
     let [added_50, added_99] = [0.5, 0.99].map(|q| micros(nanos, q) - micros(base, q));
     print!(
-        "{connections:>11}  {way:<6}  {rate:>10.0}  {p50:>6.0}  {p99:>6.0}  {added_50:>9.0}  {added_99:>9.0}"
+        "{connections:>11}  {target:<6}  {rate:>10.0}  {p50:>6.0}  {p99:>6.0}  {added_50:>9.0}  {added_99:>9.0}"
     );
 }
 
@@ -88,15 +94,15 @@
 
 /// Latencies of the two ways, over connections that are kept.
 fn measure(
-    ways: [SocketAddr; 2],
+    targets: [SocketAddr; 2],
     connections: usize,
     request: &'static [u8],
     seconds: u64,
-) -> Result<[Nanos; 2], Box<dyn Error>> {
-    let begun = Instant::now();
-    let run = move || call(ways, request, begun, Duration::from_secs(seconds));
+) -> Result<[LatencyNanos; 2], Box<dyn Error>> {
+    let started = Instant::now();
+    let run = move || run_caller(targets, request, started, Duration::from_secs(seconds));
     let callers: Vec<_> = (0..connections).map(|_| thread::spawn(run)).collect();
-    let mut sums = [Nanos::new(3)?, Nanos::new(3)?];
+    let mut sums = [LatencyNanos::new(3)?, LatencyNanos::new(3)?];
     for caller in callers {
         let measured = caller.join().map_err(|_| "a caller failed")?;
         let measured = measured.map_err(|error| error.to_string())?;
@@ -107,25 +113,28 @@
     Ok(sums)
 }
 
-fn call(
-    ways: [SocketAddr; 2],
+fn run_caller(
+    targets: [SocketAddr; 2],
     request: &[u8],
-    begun: Instant,
+    started: Instant,
     time: Duration,
-) -> Result<[Nanos; 2], CallError> {
-    let mut streams = [TcpStream::connect(ways[0])?, TcpStream::connect(ways[1])?];
-    let mut nanos = [Nanos::new(3)?, Nanos::new(3)?];
+) -> Result<[LatencyNanos; 2], CallError> {
+    let mut streams = [
+        TcpStream::connect(targets[0])?,
+        TcpStream::connect(targets[1])?,
+    ];
+    let mut nanos = [LatencyNanos::new(3)?, LatencyNanos::new(3)?];
     for stream in &mut streams {
         stream.set_nodelay(true)?;
         // The first request on a connection makes the instance connect.
         exchange(stream, request)?;
     }
-    while begun.elapsed() < time {
-        let slice = begun.elapsed().as_nanos() / SLICE.as_nanos();
-        let way = usize::from(slice % 2 == 1);
+    while started.elapsed() < time {
+        let slice = started.elapsed().as_nanos() / SLICE.as_nanos();
+        let target = usize::from(slice % 2 == 1);
         let sent = Instant::now();
-        exchange(&mut streams[way], request)?;
-        nanos[way].record(sent.elapsed().as_nanos() as u64)?;
+        exchange(&mut streams[target], request)?;
+        nanos[target].record(sent.elapsed().as_nanos() as u64)?;
     }
     Ok(nanos)
 }
@@ -145,7 +154,7 @@
 }
 
 /// A server with a thread for each connection and a fixed answer.
-fn stand_in() -> std::io::Result<SocketAddr> {
+fn start_server() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
@@ -166,20 +175,20 @@
             return Ok(());
         }
         length += read;
-        let whole = &head[..length];
-        let end = match whole.starts_with(b"POST") {
+        let received = &head[..length];
+        let end = match received.starts_with(b"POST") {
             true => &b"kegs"[..],
             false => b"\r\n\r\n",
         };
-        if whole.ends_with(end) && whole.windows(4).any(|part| part == b"\r\n\r\n") {
-            stream.write_all(ANSWER)?;
+        if received.ends_with(end) && received.windows(4).any(|part| part == b"\r\n\r\n") {
+            stream.write_all(RESPONSE)?;
             length = 0;
         }
     }
 }
 
 /// Traffic threads that route to the stand-in.
-fn instance(server: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
+fn start_proxy(server: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
     let rows = dev::sample_rows(server)?;
     let rows = rows
         .into_iter()
--- a/crates/citronproxy/examples/control_cost.rs
+++ b/crates/citronproxy/examples/control_cost.rs
@@ -41,13 +41,13 @@
 /// Base-two logarithm of the shard count: 64 shards a server at 64 servers.
 const SHARD_BITS: u8 = 12;
 /// Time to join and to learn of all others, before anything is measured.
-const SETTLE: Duration = Duration::from_secs(5);
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Clock ticks a second, as Linux counts processor time.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Calls to the outside, by kind, of all instances together.
 #[derive(Debug, Default)]
-struct Calls {
+struct CallCounts {
     reads: Cell<u64>,
     commits: Cell<u64>,
     lists: Cell<u64>,
@@ -55,24 +55,24 @@
     probes: Cell<u64>,
 }
 
-fn count(cell: &Cell<u64>) {
+fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
 
 /// The platform, counted.
-struct Store {
+struct CountingStore {
     inner: LaneStore<Memory>,
-    calls: Rc<Calls>,
+    calls: Rc<CallCounts>,
 }
 
-impl TableStore for Store {
+impl TableStore for CountingStore {
     async fn changes(&self, since: Revision) -> Result<Changes, PlatformError> {
-        count(&self.calls.reads);
+        increment(&self.calls.reads);
         self.inner.changes(since).await
     }
 
     async fn commit(&self, commit: Commit) -> Result<CommitOutcome, PlatformError> {
-        count(&self.calls.commits);
+        increment(&self.calls.commits);
         self.inner.commit(commit).await
     }
 
@@ -81,7 +81,7 @@
         commit: Commit,
         checks: &[Check],
     ) -> Result<CommitOutcome, PlatformError> {
-        count(&self.calls.commits);
+        increment(&self.calls.commits);
         self.inner.commit_checked(commit, checks).await
     }
 
@@ -94,20 +94,20 @@
     }
 }
 
-impl InstanceList for Store {
+impl InstanceList for CountingStore {
     async fn list(&self) -> Result<Vec<Listed>, PlatformError> {
-        count(&self.calls.lists);
+        increment(&self.calls.lists);
         InstanceList::list(&self.inner).await
     }
 }
 
 /// Backend servers that accept every order, counted.
-struct Servers {
-    calls: Rc<Calls>,
+struct CountingServers {
+    calls: Rc<CallCounts>,
     clock: Instant,
 }
 
-impl Grants for Servers {
+impl Grants for CountingServers {
     async fn order(
         &self,
         _: &ServerRow,
@@ -115,7 +115,7 @@
         grants: &[Grant],
         _: Option<ServerLease>,
     ) -> Result<GrantReply, PlatformError> {
-        count(&self.calls.orders);
+        increment(&self.calls.orders);
         Ok(GrantReply {
             boot: BootId(1),
             clock: self.clock.elapsed(),
@@ -124,9 +124,9 @@
     }
 }
 
-impl Probes for Servers {
+impl Probes for CountingServers {
     async fn probe(&self, _: SocketAddr) -> Result<Probe, PlatformError> {
-        count(&self.calls.probes);
+        increment(&self.calls.probes);
         Ok(Probe::Up)
     }
 }
@@ -147,16 +147,16 @@
 
 async fn measure(instances: usize, servers: usize, seconds: usize) -> Result<(), Box<dyn Error>> {
     let memory = Memory::default();
-    let calls = Rc::new(Calls::default());
-    let first = LaneStore::new(memory.clone(), "setup".to_string());
-    first.commit(rows(servers)?).await?;
-    let before = resident();
+    let calls = Rc::new(CallCounts::default());
+    let setup_store = LaneStore::new(memory.clone(), "setup".to_string());
+    setup_store.commit(rows(servers)?).await?;
+    let before = resident_bytes();
     let mut controls = Vec::new();
     for number in 0..instances {
         controls.push(start(number, &memory, &calls).await?);
     }
-    sleep(SETTLE).await;
-    let memory_each = (resident() - before) / instances as i64;
+    sleep(SETTLE_TIME).await;
+    let memory_each = (resident_bytes() - before) / instances as i64;
     let cells = [
         &calls.reads,
         &calls.commits,
@@ -164,17 +164,19 @@
         &calls.orders,
         &calls.probes,
     ];
-    let counted = cells.map(Cell::get);
-    let (cpu, begun) = (processor_seconds(), Instant::now());
+    let counts_before = cells.map(Cell::get);
+    let (cpu, started) = (processor_seconds(), Instant::now());
     sleep(Duration::from_secs(seconds as u64)).await;
-    let took = begun.elapsed().as_secs_f64();
-    let cpu = (processor_seconds() - cpu) / took * 100.0;
-    let each = |now: u64, then: u64| (now - then) as f64 / took / instances as f64;
+    let elapsed_seconds = started.elapsed().as_secs_f64();
+    let cpu = (processor_seconds() - cpu) / elapsed_seconds * 100.0;
+    let each = |now: u64, before_count: u64| {
+        (now - before_count) as f64 / elapsed_seconds / instances as f64
+    };
     let now = cells.map(Cell::get);
     let rates: Vec<f64> = now
         .iter()
-        .zip(counted)
-        .map(|(now, then)| each(*now, then))
+        .zip(counts_before)
+        .map(|(now, before_count)| each(*now, before_count))
         .collect();
     println!(
         "instances {instances} servers {servers}: core {:.3}% an instance ({cpu:.1}% in all), \
@@ -194,8 +196,8 @@
 async fn start(
     number: usize,
     memory: &Memory,
-    calls: &Rc<Calls>,
-) -> Result<Control<Store>, Box<dyn Error>> {
+    calls: &Rc<CallCounts>,
+) -> Result<Control<CountingStore>, Box<dyn Error>> {
     let member = Member {
         instance: format!("entry-{number:04}").parse()?,
         incarnation: Incarnation(number as u64 + 1),
@@ -210,11 +212,11 @@
         admin: any,
         seeds: Vec::new(),
     };
-    let store = Store {
+    let store = CountingStore {
         inner: LaneStore::new(memory.clone(), format!("entry-{number}")),
         calls: Rc::clone(calls),
     };
-    let servers = Servers {
+    let servers = CountingServers {
         calls: Rc::clone(calls),
         clock: Instant::now(),
     };
@@ -305,7 +307,7 @@
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> i64 {
+fn resident_bytes() -> i64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| {
@@ -326,5 +328,5 @@
     ticks
         .filter_map(|text| text.parse::<f64>().ok())
         .sum::<f64>()
-        / TICKS
+        / TICKS_PER_SECOND
 }
--- a/crates/citronproxy/examples/table_sizes.rs
+++ b/crates/citronproxy/examples/table_sizes.rs
@@ -19,20 +19,20 @@
 const HOSTS: usize = 6;
 const SERVICES: usize = 40;
 const SERVERS: usize = 40;
-const MOST: usize = 8 << 20;
+const MAX_BYTES: usize = 8 << 20;
 
-fn word(rng: &mut StdRng, letters: usize) -> String {
+fn random_text(rng: &mut StdRng, letters: usize) -> String {
     let letter = |_| char::from_digit(rng.random_range(0..36), 36).unwrap_or('0');
     (0..letters).map(letter).collect()
 }
 
 fn route(rng: &mut StdRng) -> Value {
     json!({
-        "name": format!("r-{}", word(rng, 7)),
+        "name": format!("r-{}", random_text(rng, 7)),
         "kind": (["safe", "unsafe", "upload"].choose(rng)),
         "objectiveS": ([0.25, 0.5, 1.0, 2.0].choose(rng)),
         "priority": rng.random_range(0..3),
-        "match": {"prefix": format!("/{}/", word(rng, 8))},
+        "match": {"prefix": format!("/{}/", random_text(rng, 8))},
         "action": {
             "service": format!("service-{}", rng.random_range(0..SERVICES)),
             "timeoutS": ([1.25, 3.0, 5.0].choose(rng)),
@@ -53,7 +53,8 @@
 
 /// Half of the slices carry the end of a lease, some of these a handover.
 fn map(rng: &mut StdRng, slices: usize) -> Value {
-    let servers = (0..SERVERS).map(|number| format!("front-north-{number}-{}", word(rng, 6)));
+    let servers =
+        (0..SERVERS).map(|number| format!("front-north-{number}-{}", random_text(rng, 6)));
     let servers: Vec<String> = servers.collect();
     let mut firsts: Vec<u16> = (1..slices).map(|_| rng.random_range(1..u16::MAX)).collect();
     firsts.push(0);
@@ -61,7 +62,7 @@
     let slice = |first| {
         let (owner, epoch) = (rng.random_range(0..SERVERS), rng.random_range(1..3_000));
         let expiry = 1_700_000_000_000_u64 + rng.random_range(0..20_000);
-        let handover = rng.random_bool(0.2).then(|| word(rng, 24));
+        let handover = rng.random_bool(0.2).then(|| random_text(rng, 24));
         match rng.random_bool(0.5) {
             true => json!([first, owner, epoch, handover, expiry]),
             false => json!([first, owner, epoch]),
@@ -72,10 +73,10 @@
 }
 
 /// What came out, and the least time of all runs.
-fn least<T, E>(mut run: impl FnMut() -> Result<T, E>) -> Result<(T, Duration), E> {
+fn fastest<T, E>(mut run: impl FnMut() -> Result<T, E>) -> Result<(T, Duration), E> {
     let mut timed = || {
-        let begun = Instant::now();
-        run().map(|done| (done, begun.elapsed()))
+        let started = Instant::now();
+        run().map(|done| (done, started.elapsed()))
     };
     let mut best = timed()?;
     for _ in 1..RUNS {
@@ -104,8 +105,8 @@
         let body = Packer::<1>::default().body(0, 1, Part::Whole, || rows.clone());
         head.with(&body?)
     };
-    let (packed, to_pack) = least(write)?;
-    let (wire, to_read) = least(|| TableWire::read(Format::Packed, &packed, MOST))?;
+    let (packed, to_pack) = fastest(write)?;
+    let (wire, to_read) = fastest(|| TableWire::read(Format::Packed, &packed, MAX_BYTES))?;
     let plain = wire.to_plain()?.len();
     println!(
         "{name}: {plain} bytes, packed {}; {} us to write and pack, {} us to unpack and read",
--- a/crates/citronproxy/examples/upload.rs
+++ b/crates/citronproxy/examples/upload.rs
@@ -34,12 +34,12 @@
     let mib: usize = args.opt_value_from_str("--mib")?.unwrap_or(1_024);
     // The server pauses a little after each MiB, so that the caller is faster.
     let server = upload_server(Duration::from_millis(1)).await?;
-    let instance = instance(server)?;
-    let before = resident("VmRSS:")?;
-    let begun = Instant::now();
+    let instance = start_instance(server)?;
+    let before = read_status_kib("VmRSS:")?;
+    let started = Instant::now();
     let answer = upload(instance, mib * MIB).await?;
-    let seconds = begun.elapsed().as_secs_f64();
-    let growth = resident("VmHWM:")? - before;
+    let seconds = started.elapsed().as_secs_f64();
+    let growth = read_status_kib("VmHWM:")? - before;
     let last = answer.lines().last().unwrap_or_default();
     println!("{last}: {mib} MiB in {seconds:.1} s, memory grew by {growth} KiB at most");
     Ok(())
@@ -59,14 +59,14 @@
     Ok(answer)
 }
 
-fn resident(name: &str) -> Result<u64, Box<dyn Error>> {
+fn read_status_kib(name: &str) -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     let number = line.and_then(|line| line.split_whitespace().next());
     Ok(number.ok_or("no such line")?.parse()?)
 }
 
-fn instance(server: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
+fn start_instance(server: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
     let mut rows = dev::sample_rows(server)?;
     for row in &mut rows {
         if let Row::Service(row) = row {
--- a/crates/citronproxy/tests/admin.rs
+++ b/crates/citronproxy/tests/admin.rs
@@ -21,9 +21,9 @@
 };
 
 /// A control thread that knows nothing.
-struct Nothing;
+struct EmptyControl;
 
-impl ControlView for Nothing {
+impl ControlView for EmptyControl {
     fn revision_in_force(&self) -> Revision {
         Revision(0)
     }
@@ -56,13 +56,13 @@
     (platform, instance, operator)
 }
 
-fn line(case: &str, (status, body): &(u16, Value)) -> String {
-    let of = |name: &str| body[name].as_str().unwrap_or("-").to_string();
+fn format_case(case: &str, (status, body): &(u16, Value)) -> String {
+    let text_of = |name: &str| body[name].as_str().unwrap_or("-").to_string();
     let current = &body["current"]["version"];
     format!(
         "{case}: {status} {} | {} | current {current}",
-        of("code"),
-        of("message")
+        text_of("code"),
+        text_of("message")
     )
 }
 
@@ -122,13 +122,13 @@
                 .await,
         ),
     ];
-    for (case, called) in cases {
-        lines.push(line(case, &called.unwrap()));
+    for (case, result) in cases {
+        lines.push(format_case(case, &result.unwrap()));
     }
     platform.faults.update(|settings| settings.is_down = true);
-    let down = ann.put("server/server-1", 3, &row).await.unwrap();
+    let response = ann.put("server/server-1", 3, &row).await.unwrap();
     assert_eq!(
-        (down.0, down.1["code"].as_str()),
+        (response.0, response.1["code"].as_str()),
         (503, Some("unavailable"))
     );
     let (status, rows) = ann.get("/v1/rows?kind=server").await.unwrap();
@@ -173,7 +173,7 @@
             instance: name,
             domain,
             store,
-            control: Nothing,
+            control: EmptyControl,
             token: None,
         };
         spawn_local(serve(server, Rc::new(admin)));
@@ -229,7 +229,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_begins_with_a_release_and_is_in_the_history() {
     let (_platform, _instance, ann) = start().await;
-    let ask = |body: Value| {
+    let request_move = |body: Value| {
         let ann = ann.clone();
         async move {
             ann.send(Method::POST, "/v1/moves", &[], Some(&body))
@@ -237,11 +237,13 @@
                 .unwrap()
         }
     };
-    let (status, body) = ask(json!({ "service": "kegs", "shard": 2, "to": "server-9" })).await;
+    let (status, body) =
+        request_move(json!({ "service": "kegs", "shard": 2, "to": "server-9" })).await;
     assert_eq!((status, body["code"].as_str()), (422, Some("invalid")));
-    let (status, body) = ask(json!({ "service": "kegs", "to": "server-1" })).await;
+    let (status, body) = request_move(json!({ "service": "kegs", "to": "server-1" })).await;
     assert_eq!((status, body["code"].as_str()), (400, Some("malformed")));
-    let (status, _) = ask(json!({ "service": "kegs", "shard": 2, "to": "server-1" })).await;
+    let (status, _) =
+        request_move(json!({ "service": "kegs", "shard": 2, "to": "server-1" })).await;
     assert_eq!(status, 200);
     let (_, page) = ann.get("/v1/history?after=2").await.unwrap();
     let change = &page["entries"][0]["changes"][0];
@@ -254,9 +256,9 @@
     let (_platform, _instance, ann) = start().await;
     let (status, body) = ann.get("/v1/refused").await.unwrap();
     assert_eq!((status, body), (200, json!({ "requests": [] })));
-    for (print, wanted) in [("00aa11bb22cc33dd", 200), ("nonsense", 400)] {
-        let lift = json!({ "fingerprint": print });
-        let called = ann.send(Method::POST, "/v1/lifts", &[], Some(&lift)).await;
-        assert_eq!(called.unwrap().0, wanted, "{print}");
+    for (fingerprint, wanted) in [("00aa11bb22cc33dd", 200), ("nonsense", 400)] {
+        let lift = json!({ "fingerprint": fingerprint });
+        let result = ann.send(Method::POST, "/v1/lifts", &[], Some(&lift)).await;
+        assert_eq!(result.unwrap().0, wanted, "{fingerprint}");
     }
 }
--- a/crates/citronproxy/tests/ahead.rs
+++ b/crates/citronproxy/tests/ahead.rs
@@ -5,7 +5,7 @@
 use {
     citron_fakes::scripted::{ScriptedServer, Step},
     std::time::{Duration, Instant},
-    support::{LONG, Path, read_all},
+    support::{DataPath, TEST_TIMEOUT, read_all},
     tokio::{
         io::{AsyncReadExt, AsyncWriteExt},
         net::TcpStream,
@@ -13,21 +13,21 @@
     },
 };
 
-const SHORT: Duration = Duration::from_millis(300);
+const QUIET_WAIT: Duration = Duration::from_millis(300);
 
 fn get(path: &str) -> String {
     format!("GET /kegs/{path} HTTP/1.1\r\nhost: a\r\n\r\n")
 }
 
-async fn until(what: &str, done: impl Fn() -> bool) {
-    let begun = Instant::now();
+async fn wait_until(event: &str, done: impl Fn() -> bool) {
+    let started = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < LONG, "{what} did not come");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{event} did not come");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-async fn send(path: &Path, text: &str) -> TcpStream {
+async fn send(path: &DataPath, text: &str) -> TcpStream {
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     caller.write_all(text.as_bytes()).await.unwrap();
     caller
@@ -45,22 +45,25 @@
     ];
     let fine = vec![Step::ReadRequest, Step::respond("other")];
     let server = ScriptedServer::start(vec![slow, fine]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let mut caller = send(&path, &get("bar-1")).await;
-    until("the first request", || server.request_count() == 1).await;
+    wait_until("the first request", || server.request_count() == 1).await;
     let more = [get("bar-2"), get("bar-3")].concat();
     caller.write_all(more.as_bytes()).await.unwrap();
-    until("the other requests", || server.request_count() == 3).await;
+    wait_until("the other requests", || server.request_count() == 3).await;
     let early = timeout(Duration::ZERO, caller.read_u8()).await;
     assert!(early.is_err(), "the first answer was waited for");
-    let answers = read_all(&mut caller, LONG / 4).await;
-    let places: Vec<_> = answers
+    let answers = read_all(&mut caller, TEST_TIMEOUT / 4).await;
+    let positions: Vec<_> = answers
         .match_indices("first")
         .chain(answers.match_indices("other"))
         .collect();
     let first = answers.find("first").unwrap();
-    assert_eq!(places.len(), 3, "{answers}");
-    assert!(places[1..].iter().all(|(at, _)| *at > first), "{answers}");
+    assert_eq!(positions.len(), 3, "{answers}");
+    assert!(
+        positions[1..].iter().all(|(at, _)| *at > first),
+        "{answers}"
+    );
 }
 
 /// The caller leaves while its requests run: the servers see their connections end
@@ -69,11 +72,11 @@
 async fn a_caller_that_leaves_frees_all_its_servers() {
     let hang = vec![Step::ReadRequest, Step::Hang];
     let server = ScriptedServer::start(vec![hang]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let caller = send(&path, &[get("bar-1"), get("bar-2")].concat()).await;
-    until("both requests", || server.request_count() == 2).await;
+    wait_until("both requests", || server.request_count() == 2).await;
     drop(caller);
-    until("the end of both connections", || {
+    wait_until("the end of both connections", || {
         server.closed_connections() == 2
     })
     .await;
@@ -90,10 +93,10 @@
     ] {
         let hang = vec![Step::ReadRequest, Step::Hang];
         let server = ScriptedServer::start(vec![hang]).await.unwrap();
-        let path = Path::start(server.address);
+        let path = DataPath::start(server.address);
         let _caller = send(&path, &pair.concat()).await;
-        until("the first request", || server.request_count() == 1).await;
-        sleep(SHORT).await;
+        wait_until("the first request", || server.request_count() == 1).await;
+        sleep(QUIET_WAIT).await;
         assert_eq!(server.request_count(), 1);
     }
 }
--- a/crates/citronproxy/tests/crashes.rs
+++ b/crates/citronproxy/tests/crashes.rs
@@ -5,7 +5,7 @@
 use {
     citron_fakes::scripted::{ScriptedServer, Step},
     std::time::Duration,
-    support::{Path, post},
+    support::{DataPath, post},
     tokio::time::sleep,
 };
 
@@ -24,7 +24,7 @@
     ];
     let scripts = vec![crash.clone(), crash.clone(), crash, fine];
     let server = ScriptedServer::start(scripts).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     for _ in 0..3 {
         let reply = post(path.address, "/kegs/a", "", "bad").await.unwrap();
         assert_eq!(reply.status.as_u16(), 502);
--- a/crates/citronproxy/tests/drain.rs
+++ b/crates/citronproxy/tests/drain.rs
@@ -26,7 +26,7 @@
         },
         time::{Duration, Instant},
     },
-    support::{Instance, LONG, Sample, commit, domain_row, get, sample},
+    support::{Instance, SampleConfig, TEST_TIMEOUT, commit_rows, domain_row, get, sample_rows},
     tokio::{
         io::{AsyncReadExt, AsyncWriteExt},
         net::TcpStream,
@@ -35,22 +35,25 @@
 };
 
 /// Callers that send all the time.
-const CALLERS: usize = 12;
+const CALLER_COUNT: usize = 12;
 /// Size of the upload and of the download.
-const LARGE: usize = 24 * 1_024 * 1_024;
+const BODY_SIZE: usize = 24 * 1_024 * 1_024;
 /// Parts of the upload and of the download, with a pause after each.
-const PARTS: usize = 48;
+const PART_COUNT: usize = 48;
 const PART_PAUSE: Duration = Duration::from_millis(60);
 
-async fn ready(address: SocketAddr) -> bool {
+async fn is_ready(address: SocketAddr) -> bool {
     let reply = get(address, "/readyz").await;
     reply.is_ok_and(|reply| reply.status.is_success())
 }
 
-async fn until_ready(address: SocketAddr) {
-    let begun = Instant::now();
-    while !ready(address).await {
-        assert!(begun.elapsed() < LONG, "{address} did not become ready");
+async fn wait_until_ready(address: SocketAddr) {
+    let started = Instant::now();
+    while !is_ready(address).await {
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "{address} did not become ready"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -66,7 +69,7 @@
     async fn connect(&self) -> SendRequest<Full<Bytes>> {
         loop {
             for address in self.instances {
-                if !ready(address).await {
+                if !is_ready(address).await {
                     continue;
                 }
                 // Nothing was sent to an instance that refuses the connection.
@@ -93,7 +96,7 @@
         let sent = sender.send_request(request).await;
         let answer = sent.map_err(|error| format!("{id}: no answer: {error}"))?;
         let close = answer.headers().contains_key(header::CONNECTION);
-        whole(id, answer).await?;
+        check_response(id, answer).await?;
         if !close && sender.ready().await.is_ok() {
             self.sender = Some(sender);
         }
@@ -101,7 +104,7 @@
     }
 }
 
-async fn whole(id: &str, answer: Response<Incoming>) -> Result<(), String> {
+async fn check_response(id: &str, answer: Response<Incoming>) -> Result<(), String> {
     let ran = answer
         .headers()
         .get("citron-outcome")
@@ -117,7 +120,7 @@
     Ok(())
 }
 
-async fn call_on(
+async fn run_caller(
     number: usize,
     instances: [SocketAddr; 2],
     stop: Arc<AtomicBool>,
@@ -137,15 +140,15 @@
 async fn slow_upload(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let head = format!(
-        "POST /kegs/photos HTTP/1.1\r\nhost: a\r\ntest-id: upload\r\ncontent-length: {LARGE}\r\n\r\n"
+        "POST /kegs/photos HTTP/1.1\r\nhost: a\r\ntest-id: upload\r\ncontent-length: {BODY_SIZE}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await.unwrap();
-    let part = vec![b'x'; LARGE / PARTS];
-    for _ in 0..PARTS {
+    let part = vec![b'x'; BODY_SIZE / PART_COUNT];
+    for _ in 0..PART_COUNT {
         stream.write_all(&part).await.expect("the upload goes on");
         sleep(PART_PAUSE).await;
     }
-    support::read_all(&mut stream, LONG).await
+    support::read_all(&mut stream, TEST_TIMEOUT).await
 }
 
 /// Bytes of the body that arrived.
@@ -153,7 +156,7 @@
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = b"GET /photos/all HTTP/1.1\r\nhost: a\r\n\r\n";
     stream.write_all(request).await.unwrap();
-    let mut buffer = vec![0; LARGE / PARTS];
+    let mut buffer = vec![0; BODY_SIZE / PART_COUNT];
     let mut answer = Vec::new();
     loop {
         match stream.read(&mut buffer).await {
@@ -167,10 +170,10 @@
 }
 
 /// The rows of a second service, `photos`, with a server of its own.
-fn photos(address: SocketAddr) -> Vec<Row> {
+fn photos_rows(address: SocketAddr) -> Vec<Row> {
     let servers = vec![("photos-1".to_string(), "harbour".to_string(), address)];
     let fencing = Fencing::Unchecked;
-    let mut rows = sample(&Sample { servers, fencing });
+    let mut rows = sample_rows(&SampleConfig { servers, fencing });
     let name: citron_core::id::ServiceName = "photos".parse().unwrap();
     for row in &mut rows {
         match row {
@@ -201,8 +204,8 @@
         checks_grants: false,
     };
     let server = BackendServer::start(any, config).await.unwrap();
-    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {LARGE}\r\n\r\n");
-    let large = Step::Write(head + &"y".repeat(LARGE));
+    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {BODY_SIZE}\r\n\r\n");
+    let large = Step::Write(head + &"y".repeat(BODY_SIZE));
     let raw = ScriptedServer::start(vec![vec![Step::ReadRequest, large]])
         .await
         .unwrap();
@@ -212,19 +215,19 @@
         server.address,
     )];
     let fencing = Fencing::Unchecked;
-    let mut rows = sample(&Sample { servers, fencing });
-    rows.extend(photos(raw.address));
+    let mut rows = sample_rows(&SampleConfig { servers, fencing });
+    rows.extend(photos_rows(raw.address));
     rows.push(domain_row("harbour"));
-    commit(&platform.memory, "test", rows).await;
+    commit_rows(&platform.memory, "test", rows).await;
 
     let mut leaving = Instance::start("entry-1", "harbour", platform.address);
     let staying = Instance::start("entry-2", "harbour", platform.address);
-    until_ready(leaving.traffic).await;
-    until_ready(staying.traffic).await;
+    wait_until_ready(leaving.traffic).await;
+    wait_until_ready(staying.traffic).await;
     let stop = Arc::new(AtomicBool::new(false));
     let instances = [leaving.traffic, staying.traffic];
-    let callers =
-        (0..CALLERS).map(|number| tokio::spawn(call_on(number, instances, Arc::clone(&stop))));
+    let callers = (0..CALLER_COUNT)
+        .map(|number| tokio::spawn(run_caller(number, instances, Arc::clone(&stop))));
     let callers: Vec<_> = callers.collect();
     let upload = tokio::spawn(slow_upload(leaving.traffic));
     let download = tokio::spawn(slow_download(leaving.traffic));
@@ -232,13 +235,16 @@
 
     leaving.terminate();
     sleep(Duration::from_millis(200)).await;
-    assert!(!ready(leaving.traffic).await, "still ready");
-    let begun = Instant::now();
+    assert!(!is_ready(leaving.traffic).await, "still ready");
+    let started = Instant::now();
     let code = loop {
         if let Some(code) = leaving.exit_code() {
             break code;
         }
-        assert!(begun.elapsed() < LONG, "the instance does not end");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the instance does not end"
+        );
         sleep(Duration::from_millis(20)).await;
     };
     stop.store(true, Ordering::Relaxed);
@@ -250,10 +256,10 @@
     assert_eq!(code, 0);
     let uploaded = upload.await.unwrap();
     assert!(
-        uploaded.contains(&format!("\"received\":{LARGE}")),
+        uploaded.contains(&format!("\"received\":{BODY_SIZE}")),
         "{uploaded}"
     );
-    assert_eq!(download.await.unwrap(), LARGE);
+    assert_eq!(download.await.unwrap(), BODY_SIZE);
     let lost: Vec<&String> = results
         .iter()
         .filter_map(|result| result.as_ref().err())
--- a/crates/citronproxy/tests/exchange.rs
+++ b/crates/citronproxy/tests/exchange.rs
@@ -11,7 +11,7 @@
     },
     citron_fakes::scripted::{ScriptedServer, Step},
     std::time::{Duration, Instant},
-    support::{LONG, Path, get, post, read_all},
+    support::{DataPath, TEST_TIMEOUT, get, post, read_all},
     tokio::{
         io::AsyncWriteExt,
         net::TcpStream,
@@ -22,16 +22,16 @@
 const POST: &[u8] = b"POST /kegs/bar-7 HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\nhi";
 const POST_300_MS: &[u8] =
     b"POST /kegs/bar-7 HTTP/1.1\r\nhost: a\r\ncitron-timeout-ms: 300\r\ncontent-length: 2\r\n\r\nhi";
-const SHORT: Duration = Duration::from_millis(300);
+const SHORT_WAIT: Duration = Duration::from_millis(300);
 
 fn server_1() -> ServerName {
     "server-1".parse().unwrap()
 }
 
-async fn until(what: &str, done: impl Fn() -> bool) {
-    let begun = Instant::now();
+async fn wait_until(event: &str, done: impl Fn() -> bool) {
+    let started = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < LONG, "{what} did not come");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{event} did not come");
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -50,12 +50,12 @@
         Step::Hang,
     ];
     let server = ScriptedServer::start(vec![script, fine]).await.unwrap();
-    let path = Path::start(server.address);
-    let first = path.raw(POST_300_MS, SHORT * 3).await;
+    let path = DataPath::start(server.address);
+    let first = path.send_raw(POST_300_MS, SHORT_WAIT * 3).await;
     assert!(first.starts_with("HTTP/1.1 504"), "{first}");
     assert!(first.contains("citron-outcome: unknown"), "{first}");
     assert!(!first.contains("retry-after"), "{first}");
-    sleep(SHORT).await;
+    sleep(SHORT_WAIT).await;
     let second = post(path.address, "/kegs/bar-7", "2", "hi").await.unwrap();
     assert_eq!(second.body, "second");
     assert_eq!(server.request_count(), 2);
@@ -80,10 +80,10 @@
         ];
         let fine = vec![Step::ReadRequest, Step::respond("own"), Step::Hang];
         let server = ScriptedServer::start(vec![script, fine]).await.unwrap();
-        let path = Path::start(server.address);
+        let path = DataPath::start(server.address);
         // Both requests in one write, so that the second follows at once.
         let both = [POST, POST].concat();
-        let answers = path.raw(&both, SHORT).await;
+        let answers = path.send_raw(&both, SHORT_WAIT).await;
         let cross = answers.contains("cross");
         assert!(answers.contains("first") && !cross, "{answers}");
         assert!(answers.contains("own"), "{answers}");
@@ -98,13 +98,13 @@
     let server = ScriptedServer::start(vec![vec![Step::ReadRequest, Step::Hang], fine])
         .await
         .unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     caller.write_all(POST).await.unwrap();
-    until("the request", || server.request_count() == 1).await;
+    wait_until("the request", || server.request_count() == 1).await;
     assert_eq!(server.closed_connections(), 0);
     drop(caller);
-    until("the end of the connection", || {
+    wait_until("the end of the connection", || {
         server.closed_connections() == 1
     })
     .await;
@@ -118,13 +118,13 @@
     let part = "HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\npart";
     let script = vec![Step::ReadRequest, Step::write(part), Step::Hang];
     let server = ScriptedServer::start(vec![script]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     caller.write_all(POST).await.unwrap();
-    let begin = read_all(&mut caller, SHORT).await;
+    let begin = read_all(&mut caller, SHORT_WAIT).await;
     assert!(begin.ends_with("part"), "{begin}");
     drop(caller);
-    until("the end of the connection", || {
+    wait_until("the end of the connection", || {
         server.closed_connections() == 1
     })
     .await;
@@ -137,11 +137,11 @@
     let fine = vec![Step::ReadRequest, Step::respond("own")];
     let early = vec![Step::ReadHead, Step::respond("early"), Step::Hang];
     let server = ScriptedServer::start(vec![early, fine]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let half = b"POST /kegs/bar-7 HTTP/1.1\r\nhost: a\r\ncontent-length: 9000\r\n\r\nhalf";
-    let first = path.raw(half, SHORT).await;
+    let first = path.send_raw(half, SHORT_WAIT).await;
     assert!(first.contains("early"), "{first}");
-    until("the end of the connection", || {
+    wait_until("the end of the connection", || {
         server.closed_connections() == 1
     })
     .await;
@@ -154,18 +154,18 @@
 async fn the_deadline_is_passed_on() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
     let server = ScriptedServer::start(vec![fine]).await.unwrap();
-    let path = Path::start(server.address);
-    path.raw(POST_300_MS, SHORT).await;
-    path.raw(POST, SHORT).await;
-    let told = |number| {
+    let path = DataPath::start(server.address);
+    path.send_raw(POST_300_MS, SHORT_WAIT).await;
+    path.send_raw(POST, SHORT_WAIT).await;
+    let timeout_ms = |number| {
         let text = server.received_text(number);
         let line = text
             .lines()
             .find_map(|l| l.strip_prefix("citron-timeout-ms: "));
         line.and_then(|millis| millis.parse::<u64>().ok()).unwrap()
     };
-    assert!((1..=300).contains(&told(0)), "{}", told(0));
-    assert!((301..=5_000).contains(&told(1)), "{}", told(1));
+    assert!((1..=300).contains(&timeout_ms(0)), "{}", timeout_ms(0));
+    assert!((301..=5_000).contains(&timeout_ms(1)), "{}", timeout_ms(1));
 }
 
 /// A connection that worked goes silent for good: whatever is written to it is
@@ -176,12 +176,12 @@
     let silent = vec![Step::ReadRequest, Step::respond("one"), Step::Hang];
     let fine = vec![Step::ReadRequest, Step::respond("two")];
     let server = ScriptedServer::start(vec![silent, fine]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     assert_eq!(get(path.address, "/kegs/bar-7").await.unwrap().body, "one");
-    let begun = Instant::now();
+    let started = Instant::now();
     let reply = get(path.address, "/kegs/bar-7").await.unwrap();
     assert_eq!(reply.body, "two");
-    assert!(begun.elapsed() < Duration::from_secs(4));
+    assert!(started.elapsed() < Duration::from_secs(4));
 }
 
 /// The same, but the connection has been idle, and the request may run only once:
@@ -191,14 +191,14 @@
     let silent = vec![Step::ReadRequest, Step::respond("one"), Step::Hang];
     let fine = vec![Step::ReadRequest, Step::respond("two")];
     let server = ScriptedServer::start(vec![silent, fine]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     assert_eq!(get(path.address, "/kegs/bar-7").await.unwrap().body, "one");
     sleep(Duration::from_millis(1_300)).await;
     let reply = post(path.address, "/kegs/bar-7", "2", "hi").await.unwrap();
     assert_eq!((reply.status.as_u16(), &reply.body[..]), (200, &b"two"[..]));
 }
 
-fn edit_owner(path: &mut Path, phase: &Phase, epoch: u64) {
+fn set_phase(path: &mut DataPath, phase: &Phase, epoch: u64) {
     for row in &mut path.rows {
         if let Row::Block(block) = row {
             for shard in &mut block.shards {
@@ -215,10 +215,10 @@
 async fn requests_wait_for_a_move_to_end() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
     let server = ScriptedServer::start(vec![fine]).await.unwrap();
-    let mut path = Path::start(server.address);
+    let mut path = DataPath::start(server.address);
     let releasing = Phase::Releasing { to: server_1() };
-    edit_owner(&mut path, &releasing, 2);
-    path.publish(2, LONG);
+    set_phase(&mut path, &releasing, 2);
+    path.publish(2, TEST_TIMEOUT);
     let address = path.address;
     let waiting = tokio::spawn(async move { post(address, "/kegs/bar-7", "1", "hi").await });
     sleep(Duration::from_millis(400)).await;
@@ -227,8 +227,8 @@
         0,
         "written while nobody owns the key"
     );
-    edit_owner(&mut path, &Phase::Owned, 3);
-    path.publish(3, LONG);
+    set_phase(&mut path, &Phase::Owned, 3);
+    path.publish(3, TEST_TIMEOUT);
     let reply = waiting.await.unwrap().unwrap();
     assert_eq!(reply.body, "own");
     assert!(server.received_text(0).contains("citron-epoch: 3"));
@@ -239,16 +239,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_that_lasts_is_told() {
     let server = ScriptedServer::start(vec![vec![Step::Hang]]).await.unwrap();
-    let mut path = Path::start(server.address);
+    let mut path = DataPath::start(server.address);
     let releasing = Phase::Releasing { to: server_1() };
-    edit_owner(&mut path, &releasing, 2);
-    path.publish(2, LONG);
-    let begun = Instant::now();
+    set_phase(&mut path, &releasing, 2);
+    path.publish(2, TEST_TIMEOUT);
+    let started = Instant::now();
     let reply = post(path.address, "/kegs/bar-7", "1", "hi").await.unwrap();
     assert_eq!(reply.status.as_u16(), 503);
     assert_eq!(reply.header("citron-outcome"), "not-run");
     assert_eq!(reply.header("retry-after"), "1");
-    assert!(begun.elapsed() < Duration::from_secs(4));
+    assert!(started.elapsed() < Duration::from_secs(4));
 }
 
 /// Control asks when a server gets nothing more under an older revision. It is
@@ -256,7 +256,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn quiet_waits_for_requests_under_way() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nha";
-    let pause = Step::Pause(SHORT);
+    let pause = Step::Pause(SHORT_WAIT);
     let script = vec![
         Step::ReadRequest,
         pause.clone(),
@@ -265,39 +265,42 @@
         Step::write("lf"),
     ];
     let server = ScriptedServer::start(vec![script]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let early = server_1();
     let early = path.handle.wait_quiescent(&early, Revision(2));
-    let early = timeout(SHORT / 4, early).await;
+    let early = timeout(SHORT_WAIT / 4, early).await;
     assert!(early.is_err(), "quiet before the publication");
     let address = path.address;
     let call = tokio::spawn(async move { get(address, "/kegs/bar-7").await.unwrap() });
-    until("the request", || server.request_count() == 1).await;
+    wait_until("the request", || server.request_count() == 1).await;
     let (handle, server_1) = (path.handle.clone(), server_1());
     let quiet = handle.wait_quiescent(&server_1, Revision(2));
     assert!(
-        timeout(SHORT / 4, quiet).await.is_err(),
+        timeout(SHORT_WAIT / 4, quiet).await.is_err(),
         "quiet before the publication"
     );
-    path.publish(2, LONG);
+    path.publish(2, TEST_TIMEOUT);
     assert!(
-        timeout(SHORT / 4, handle.wait_quiescent(&server_1, Revision(2)))
-            .await
-            .is_err()
+        timeout(
+            SHORT_WAIT / 4,
+            handle.wait_quiescent(&server_1, Revision(2))
+        )
+        .await
+        .is_err()
     );
     timeout(
-        LONG,
+        TEST_TIMEOUT,
         handle.wait_quiescent(&"server-2".parse().unwrap(), Revision(2)),
     )
     .await
     .unwrap();
-    timeout(LONG, handle.wait_quiescent(&server_1, Revision(2)))
+    timeout(TEST_TIMEOUT, handle.wait_quiescent(&server_1, Revision(2)))
         .await
         .unwrap();
-    assert!(timeout(LONG, call).await.unwrap().unwrap().body == "half");
+    assert!(timeout(TEST_TIMEOUT, call).await.unwrap().unwrap().body == "half");
     let load = handle.take_loads().await;
     assert_eq!((load.len(), load[0].count), (1, 1));
-    assert!(load[0].busy_time >= SHORT, "{load:?}");
+    assert!(load[0].busy_time >= SHORT_WAIT, "{load:?}");
     assert_eq!(handle.take_loads().await, Vec::new());
 }
 
@@ -308,20 +311,20 @@
     let server = ScriptedServer::start(vec![vec![Step::ReadRequest, Step::Hang]])
         .await
         .unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     let post = String::from_utf8_lossy(POST_300_MS).replace(": 300", ": 1500");
     caller.write_all(post.as_bytes()).await.unwrap();
-    until("the request", || server.request_count() == 1).await;
+    wait_until("the request", || server.request_count() == 1).await;
     drop(caller);
-    until("the end of the connection", || {
+    wait_until("the end of the connection", || {
         server.closed_connections() == 1
     })
     .await;
-    path.publish(2, LONG);
+    path.publish(2, TEST_TIMEOUT);
     path.handle.wait_quiescent(&server_1(), Revision(2)).await;
-    assert!(begun.elapsed() >= Duration::from_millis(1_400));
+    assert!(started.elapsed() >= Duration::from_millis(1_400));
 }
 
 /// The caller sends a request again under the same `Idempotency-Key`, through the
@@ -331,10 +334,13 @@
 async fn idempotency_keys_are_passed_on_to_the_same_owner() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
     let server = ScriptedServer::start(vec![fine]).await.unwrap();
-    let instances = [Path::start(server.address), Path::start(server.address)];
+    let instances = [
+        DataPath::start(server.address),
+        DataPath::start(server.address),
+    ];
     let keyed = String::from_utf8_lossy(POST).replace("host: a", "host: a\r\nidempotency-key: k-7");
     for path in [&instances[0], &instances[0], &instances[1]] {
-        let answer = path.raw(keyed.as_bytes(), SHORT).await;
+        let answer = path.send_raw(keyed.as_bytes(), SHORT_WAIT).await;
         assert!(answer.contains("citron-outcome: ran"), "{answer}");
     }
     assert_eq!(server.request_count(), 3);
--- a/crates/citronproxy/tests/faults.rs
+++ b/crates/citronproxy/tests/faults.rs
@@ -7,7 +7,8 @@
     citron_core::{id::KeyHash, table::Fencing},
     std::time::{Duration, Instant},
     support::{
-        Callers, Deployment, Instance, Told, check_owners, check_told, longest_gap, until_serving,
+        CallRecord, Callers, Deployment, Instance, check_outcomes, check_single_owner, longest_gap,
+        wait_until_serving,
     },
     tokio::time::sleep,
 };
@@ -16,16 +17,16 @@
 const KEYS: u32 = 48;
 
 /// The instance that moves shards of `kegs` first.
-fn first(instances: &[Instance], names: &[&str]) -> usize {
+fn first_mover(instances: &[Instance], names: &[&str]) -> usize {
     let score = |name: &str| KeyHash::from_key(format!("kegs/{name}").as_bytes());
     let numbers = 0..instances.len();
     let first = numbers.min_by_key(|number| score(names[*number]));
     first.expect("instances")
 }
 
-fn of_keys(told: &[Told], keys: &[u32]) -> Vec<Told> {
-    let mine = told.iter().filter(|one| keys.contains(&one.key));
-    mine.cloned().collect()
+fn calls_for_keys(records: &[CallRecord], keys: &[u32]) -> Vec<CallRecord> {
+    let matching = records.iter().filter(|record| keys.contains(&record.key));
+    matching.cloned().collect()
 }
 
 /// The instance that moves a server's shards is killed in the midst. What it
@@ -34,8 +35,8 @@
 /// surely ended, since the old owner does not check epochs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_survives_the_kill_of_the_instance_that_began_it() {
-    let spans = [SECOND, 2 * SECOND, Duration::from_millis(1_200)];
-    let deployment = Deployment::start_with(&["harbour"; 3], Fencing::Unchecked, spans).await;
+    let times = [SECOND, 2 * SECOND, Duration::from_millis(1_200)];
+    let deployment = Deployment::start_with(&["harbour"; 3], Fencing::Unchecked, times).await;
     let names = ["entry-1", "entry-2", "entry-3"];
     let mut instances = Vec::new();
     for name in names {
@@ -43,13 +44,13 @@
     }
     let addresses: Vec<_> = instances.iter().map(|one| one.traffic).collect();
     let callers = Callers::start(&addresses, KEYS);
-    let number = first(&instances, &names);
+    let number = first_mover(&instances, &names);
     // So many that some requests of the dead instance surely go on elsewhere.
     let more = Callers::start(&[addresses[number]; 12], KEYS);
     sleep(SECOND).await;
     deployment.platform.faults.update(|t| t.delay = SECOND / 10);
     deployment.drain("server-1").await;
-    while deployment.moving().await == 0 {
+    while deployment.moving_shards().await == 0 {
         sleep(Duration::from_millis(5)).await;
     }
     instances[number].kill();
@@ -58,16 +59,24 @@
         .platform
         .faults
         .update(|t| t.delay = Duration::ZERO);
-    let took = deployment.until_empty("server-1").await;
+    let move_time = deployment.wait_until_empty("server-1").await;
     sleep(SECOND).await;
-    let told = callers.stop().await;
+    let records = callers.stop().await;
     more.stop().await;
-    println!("{} moves taken over, ended after {took:?}", names[number]);
-    assert!(took < 8 * SECOND, "nobody took the moves over for {took:?}");
-    check_told(&told, &deployment.runs());
-    check_owners(&deployment.runs());
-    let late = |one: &&Told| one.begun > killed + took && one.instance != addresses[number];
-    let refused: Vec<_> = told
+    println!(
+        "{} moves taken over, ended after {move_time:?}",
+        names[number]
+    );
+    assert!(
+        move_time < 8 * SECOND,
+        "nobody took the moves over for {move_time:?}"
+    );
+    check_outcomes(&records, &deployment.runs());
+    check_single_owner(&deployment.runs());
+    let late = |record: &&CallRecord| {
+        record.started > killed + move_time && record.instance != addresses[number]
+    };
+    let refused: Vec<_> = records
         .iter()
         .filter(late)
         .filter(|t| t.status != 200)
@@ -81,31 +90,31 @@
 /// owner, which runs whatever it is given.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_instance_wakes_up_without_leave() {
-    let spans = [SECOND, SECOND, Duration::from_millis(2)];
-    let deployment = Deployment::start_with(&["harbour"; 3], Fencing::Unchecked, spans).await;
+    let times = [SECOND, SECOND, Duration::from_millis(2)];
+    let deployment = Deployment::start_with(&["harbour"; 3], Fencing::Unchecked, times).await;
     let names = ["entry-1", "entry-2", "entry-3"];
     let mut instances = Vec::new();
     for name in names {
         instances.push(deployment.instance(name, "harbour").await);
     }
     let addresses: Vec<_> = instances.iter().map(|one| one.traffic).collect();
-    let number = (first(&instances, &names) + 1) % names.len();
+    let number = (first_mover(&instances, &names) + 1) % names.len();
     let callers = Callers::start(&addresses, KEYS);
     // Two callers alone may just not ask for a key that moves.
     let more = Callers::start(&[addresses[number]; 8], KEYS);
     sleep(SECOND / 2).await;
     instances[number].pause();
     deployment.drain("server-1").await;
-    let took = deployment.until_empty("server-1").await;
+    let move_time = deployment.wait_until_empty("server-1").await;
     sleep(SECOND / 2).await;
     instances[number].resume();
     sleep(SECOND).await;
-    let mut told = callers.stop().await;
-    let woken = more.stop().await;
-    println!("moved away in {took:?} past a paused instance");
-    check_owners(&deployment.runs());
-    told.extend(woken);
-    check_told(&told, &deployment.runs());
+    let mut records = callers.stop().await;
+    let woken_records = more.stop().await;
+    println!("moved away in {move_time:?} past a paused instance");
+    check_single_owner(&deployment.runs());
+    records.extend(woken_records);
+    check_outcomes(&records, &deployment.runs());
 }
 
 /// The platform is stopped for four seconds, and a server freezes in the midst.
@@ -127,8 +136,10 @@
         deployment.platform.faults.update(|t| t.is_down = true);
         sleep(2 * SECOND).await;
         let before = callers.stop().await;
-        let gap = longest_gap(&of_keys(&before, &kept), stopped);
-        let served = |one: &&Told| one.begun > stopped + SECOND * 9 / 5 && one.status == 200;
+        let gap = longest_gap(&calls_for_keys(&before, &kept), stopped);
+        let served = |record: &&CallRecord| {
+            record.started > stopped + SECOND * 9 / 5 && record.status == 200
+        };
         assert!(
             before.iter().any(|t| served(&t)),
             "{fencing:?}: none served"
@@ -137,14 +148,18 @@
         let callers = Callers::start(&[one.traffic, two.traffic], KEYS);
         sleep(2 * SECOND).await;
         deployment.platform.faults.update(|t| t.is_down = false);
-        let took = deployment.until_empty("server-1").await;
+        let move_time = deployment.wait_until_empty("server-1").await;
         deployment.servers[0].thaw();
         sleep(SECOND).await;
-        let told = callers.stop().await;
-        println!("{fencing:?}: longest gap {gap:?} while stopped, moved {took:?} after");
-        check_owners(&deployment.runs());
-        let ends = told.iter().rev().take(1).all(|one| one.status == 200);
-        assert!(ends, "{fencing:?}: {:?}", told.last());
+        let records = callers.stop().await;
+        println!("{fencing:?}: longest gap {gap:?} while stopped, moved {move_time:?} after");
+        check_single_owner(&deployment.runs());
+        let ends = records
+            .iter()
+            .rev()
+            .take(1)
+            .all(|record| record.status == 200);
+        assert!(ends, "{fencing:?}: {:?}", records.last());
     }
 }
 
@@ -161,16 +176,16 @@
         sleep(SECOND / 2).await;
         let at = Instant::now();
         deployment.servers[0].crash();
-        deployment.until_empty("server-1").await;
-        let took = at.elapsed();
+        deployment.wait_until_empty("server-1").await;
+        let move_time = at.elapsed();
         sleep(SECOND).await;
-        let told = callers.stop().await;
-        check_told(&told, &deployment.runs());
-        check_owners(&deployment.runs());
-        let gap = longest_gap(&of_keys(&told, &lost), at);
-        println!("{fencing:?}: moved in {took:?}, longest gap of a key {gap:?}");
+        let records = callers.stop().await;
+        check_outcomes(&records, &deployment.runs());
+        check_single_owner(&deployment.runs());
+        let gap = longest_gap(&calls_for_keys(&records, &lost), at);
+        println!("{fencing:?}: moved in {move_time:?}, longest gap of a key {gap:?}");
         // The aim is 2 s; a busy machine may take longer, a grace (10 s) may not.
-        assert!(took < 5 * SECOND, "{fencing:?}: {took:?}");
+        assert!(move_time < 5 * SECOND, "{fencing:?}: {move_time:?}");
     }
 }
 
@@ -182,24 +197,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_server_comes_back_as_if_nothing_had_happened() {
     for fencing in [Fencing::Checked, Fencing::Unchecked] {
-        let spans = [3 * SECOND, 3 * SECOND, Duration::from_millis(2)];
-        let deployment = Deployment::start_with(&["harbour"; 3], fencing, spans).await;
+        let times = [3 * SECOND, 3 * SECOND, Duration::from_millis(2)];
+        let deployment = Deployment::start_with(&["harbour"; 3], fencing, times).await;
         let one = deployment.instance("entry-1", "harbour").await;
         let two = deployment.instance("entry-2", "harbour").await;
         let callers = Callers::start(&[one.traffic, two.traffic], KEYS);
         sleep(SECOND / 2).await;
         let frozen = Instant::now();
         deployment.servers[0].freeze();
-        deployment.until_empty("server-1").await;
-        let took = frozen.elapsed();
+        deployment.wait_until_empty("server-1").await;
+        let move_time = frozen.elapsed();
         // The new owner begins before the old one is back.
-        until_serving(one.traffic).await;
+        wait_until_serving(one.traffic).await;
         let served = frozen.elapsed();
         deployment.servers[0].thaw();
         sleep(SECOND).await;
-        let told = callers.stop().await;
-        println!("{fencing:?}: moved in {took:?}, all keys served in {served:?}");
-        check_told(&told, &deployment.runs());
-        check_owners(&deployment.runs());
+        let records = callers.stop().await;
+        println!("{fencing:?}: moved in {move_time:?}, all keys served in {served:?}");
+        check_outcomes(&records, &deployment.runs());
+        check_single_owner(&deployment.runs());
     }
 }
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -14,7 +14,7 @@
         collections::BTreeMap,
         time::{Duration, Instant},
     },
-    support::{LONG, Path, Reply, get, post},
+    support::{DataPath, Reply, TEST_TIMEOUT, get, post},
     tokio::{
         io::AsyncWriteExt,
         net::TcpStream,
@@ -23,15 +23,15 @@
     },
 };
 
-async fn slow(work: Duration) -> ScriptedServer {
+async fn start_slow(work: Duration) -> ScriptedServer {
     let answer = Step::respond("fine");
     let one = [Step::ReadRequest, Step::Pause(work), answer];
     let script = one.iter().cycle().take(300).cloned().collect();
     ScriptedServer::start(vec![script]).await.unwrap()
 }
 
-fn path(server: &ScriptedServer, slots: u32, cap: Option<u32>) -> Path {
-    Path::start_with(server.address, Limits::default(), |row| {
+fn start_path(server: &ScriptedServer, slots: u32, cap: Option<u32>) -> DataPath {
+    DataPath::start_with(server.address, Limits::default(), |row| {
         if let Row::Server(row) = row {
             row.slots = Slots(slots);
             row.rate_cap = cap;
@@ -39,7 +39,7 @@
     })
 }
 
-fn send(path: &Path, count: usize) -> Vec<JoinHandle<Reply>> {
+fn send(path: &DataPath, count: usize) -> Vec<JoinHandle<Reply>> {
     let address = path.address;
     let call =
         move |_| tokio::spawn(async move { post(address, "/kegs/a", "", "hi").await.unwrap() });
@@ -49,27 +49,31 @@
 async fn replies(calls: Vec<JoinHandle<Reply>>) -> Vec<Reply> {
     let mut replies = Vec::new();
     for call in calls {
-        replies.push(timeout(LONG, call).await.unwrap().unwrap());
+        replies.push(timeout(TEST_TIMEOUT, call).await.unwrap().unwrap());
     }
     replies
 }
 
-fn told(reply: &Reply) -> (u16, &str, bool) {
-    let back = !reply.header("retry-after").is_empty();
-    (reply.status.as_u16(), reply.header("citron-outcome"), back)
+fn outcome(reply: &Reply) -> (u16, &str, bool) {
+    let has_retry_after = !reply.header("retry-after").is_empty();
+    (
+        reply.status.as_u16(),
+        reply.header("citron-outcome"),
+        has_retry_after,
+    )
 }
 
 /// Six callers ask a server of two slots at once. It never gets more than two at
 /// a time; the others wait a little, and all are answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_gets_no_more_than_its_slots() {
-    let server = slow(Duration::from_millis(400)).await;
-    let path = path(&server, 2, None);
+    let server = start_slow(Duration::from_millis(400)).await;
+    let path = start_path(&server, 2, None);
     let calls = send(&path, 6);
     sleep(Duration::from_millis(200)).await;
     assert_eq!(server.request_count(), 2);
     for reply in replies(calls).await {
-        assert_eq!(told(&reply), (200, "ran", false));
+        assert_eq!(outcome(&reply), (200, "ran", false));
     }
     assert_eq!(server.request_count(), 6);
 }
@@ -78,16 +82,16 @@
 /// once that nothing ran and when to come back; all others are answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_served_in_time_is_refused_at_once() {
-    let server = slow(Duration::from_millis(100)).await;
-    let path = path(&server, 1, None);
+    let server = start_slow(Duration::from_millis(100)).await;
+    let path = start_path(&server, 1, None);
     replies(send(&path, 8)).await;
     let before = server.request_count();
-    let begun = Instant::now();
+    let started = Instant::now();
     let calls = send(&path, 60);
     let mut refused = 0;
     let mut ran = 0;
     for reply in replies(calls).await {
-        match told(&reply) {
+        match outcome(&reply) {
             (200, "ran", false) => ran += 1,
             (503, "not-run", true) => refused += 1,
             other => panic!("{other:?}"),
@@ -96,18 +100,26 @@
     assert!(refused >= 30, "{refused} refused");
     assert!(ran >= 1);
     assert_eq!(server.request_count() - before, ran);
-    assert!(begun.elapsed() < LONG / 4);
+    assert!(started.elapsed() < TEST_TIMEOUT / 4);
 }
 
 /// An operator caps a server at two requests a second; five come at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cap_is_kept() {
-    let server = slow(Duration::ZERO).await;
-    let path = path(&server, 4, Some(2));
+    let server = start_slow(Duration::ZERO).await;
+    let path = start_path(&server, 4, Some(2));
     let replies = replies(send(&path, 5)).await;
-    let of = |status| replies.iter().filter(|reply| told(reply) == status).count();
+    let count_of = |status| {
+        replies
+            .iter()
+            .filter(|reply| outcome(reply) == status)
+            .count()
+    };
     assert_eq!(
-        (of((200, "ran", false)), of((429, "not-run", true))),
+        (
+            count_of((200, "ran", false)),
+            count_of((429, "not-run", true))
+        ),
         (2, 3)
     );
     assert_eq!(server.request_count(), 2);
@@ -119,7 +131,7 @@
     let hang = vec![Step::ReadRequest, Step::Hang];
     let fine = vec![Step::ReadRequest, Step::respond("fine")];
     let server = ScriptedServer::start(vec![hang, fine]).await.unwrap();
-    let path = path(&server, 1, None);
+    let path = start_path(&server, 1, None);
     let mut caller = TcpStream::connect(path.address).await.unwrap();
     let request = b"POST /kegs/a HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(request).await.unwrap();
@@ -134,14 +146,14 @@
         "two requests at a server of one slot"
     );
     drop(caller);
-    assert_eq!(told(&replies(next).await[0]), (200, "ran", false));
+    assert_eq!(outcome(&replies(next).await[0]), (200, "ran", false));
 }
 
 /// A cap turns three of five requests away; the metrics of all threads tell so.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_count_outcomes() {
-    let server = slow(Duration::ZERO).await;
-    let path = path(&server, 4, Some(2));
+    let server = start_slow(Duration::ZERO).await;
+    let path = start_path(&server, 4, Some(2));
     replies(send(&path, 5)).await;
     let text = get(path.address, "/metrics").await.unwrap().body;
     let text = String::from_utf8_lossy(&text).into_owned();
@@ -159,14 +171,14 @@
 /// Control gives this instance half of a server of four slots: it is kept to two.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_part_of_the_slots_is_kept_to() {
-    let server = slow(Duration::from_millis(400)).await;
-    let path = path(&server, 4, None);
-    let part = ServerQuota {
+    let server = start_slow(Duration::from_millis(400)).await;
+    let path = start_path(&server, 4, None);
+    let quota = ServerQuota {
         share: SlotShare::new(2.0),
         cap: None,
     };
-    let parts = BTreeMap::from([("server-1".parse().unwrap(), part)]);
-    path.handle.set_quotas(parts).await;
+    let quotas = BTreeMap::from([("server-1".parse().unwrap(), quota)]);
+    path.handle.set_quotas(quotas).await;
     let calls = send(&path, 4);
     sleep(Duration::from_millis(200)).await;
     assert_eq!(server.request_count(), 2);
--- a/crates/citronproxy/tests/listing.rs
+++ b/crates/citronproxy/tests/listing.rs
@@ -5,7 +5,7 @@
 use {
     citron_core::table::{Fencing, Row},
     std::time::{Duration, Instant},
-    support::{Callers, Deployment, Instance, check_told, get, until_serving},
+    support::{Callers, Deployment, Instance, check_outcomes, get, wait_until_serving},
     tokio::time::sleep,
 };
 
@@ -31,14 +31,14 @@
     let one = deployment.instance("entry-1", "harbour").await;
     let before = incarnation(&deployment, "entry-1").await;
     let platform = deployment.platform.address;
-    let refused = move || Instance::refused("entry-1", "harbour", platform);
+    let refused = move || Instance::start_refused("entry-1", "harbour", platform);
     let refused = tokio::task::spawn_blocking(refused).await;
-    let (code, said) = refused.unwrap();
-    assert_eq!(code, Some(1), "{said}");
+    let (code, stderr_text) = refused.unwrap();
+    assert_eq!(code, Some(1), "{stderr_text}");
     let expected = format!("instance entry-1 is already running at {}", one.peer);
-    assert!(said.contains(&expected), "{said}");
+    assert!(stderr_text.contains(&expected), "{stderr_text}");
     assert_eq!(incarnation(&deployment, "entry-1").await, before);
-    until_serving(one.traffic).await;
+    wait_until_serving(one.traffic).await;
 }
 
 /// An instance is killed and started again under its id. Its former start might
@@ -50,20 +50,23 @@
     let deployment = deployment(grace).await;
     let _other = deployment.instance("entry-2", "harbour").await;
     let mut one = deployment.instance("entry-1", "harbour").await;
-    let former = incarnation(&deployment, "entry-1").await;
+    let former_incarnation = incarnation(&deployment, "entry-1").await;
     one.kill();
     let killed = Instant::now();
     let again = deployment.instance("entry-1", "harbour").await;
     let serving = killed.elapsed();
-    assert_eq!(incarnation(&deployment, "entry-1").await, former);
-    while incarnation(&deployment, "entry-1").await == former {
+    assert_eq!(
+        incarnation(&deployment, "entry-1").await,
+        former_incarnation
+    );
+    while incarnation(&deployment, "entry-1").await == former_incarnation {
         assert!(killed.elapsed() < 20 * SECOND, "never listed");
         sleep(SECOND / 50).await;
     }
     let listed = killed.elapsed();
     println!("serving after {serving:?}, listed after {listed:?}");
     assert!(listed >= grace, "listed after {listed:?}");
-    until_serving(again.traffic).await;
+    wait_until_serving(again.traffic).await;
 }
 
 /// An instance is asked to leave while callers use it. None of their requests is
@@ -77,25 +80,25 @@
     sleep(SECOND / 2).await;
     one.terminate();
     sleep(SECOND / 2).await;
-    let told = callers.stop().await;
-    let begun = Instant::now();
+    let records = callers.stop().await;
+    let started = Instant::now();
     let code = loop {
         if let Some(code) = one.exit_code() {
             break code;
         }
-        assert!(begun.elapsed() < 20 * SECOND, "it does not end");
+        assert!(started.elapsed() < 20 * SECOND, "it does not end");
         sleep(SECOND / 50).await;
     };
     assert_eq!(code, 0);
     assert_eq!(incarnation(&deployment, "entry-1").await, None);
-    check_told(&told, &deployment.runs());
-    let cut = told.iter().find(|one| one.status != 200);
-    assert!(cut.is_none(), "{cut:?}");
+    check_outcomes(&records, &deployment.runs());
+    let failed = records.iter().find(|record| record.status != 200);
+    assert!(failed.is_none(), "{failed:?}");
     deployment.drain("server-1").await;
-    let took = deployment.until_empty("server-1").await;
+    let move_time = deployment.wait_until_empty("server-1").await;
     assert!(
-        took < 10 * SECOND,
-        "a move waits for the one that left: {took:?}"
+        move_time < 10 * SECOND,
+        "a move waits for the one that left: {move_time:?}"
     );
 }
 
@@ -109,17 +112,17 @@
     sleep(2 * SECOND).await;
     let seeds = format!(r#", "seeds": ["{}"]"#, one.peer);
     let platform = deployment.platform.address;
-    let begun = Instant::now();
+    let started = Instant::now();
     let two = Instance::start_with("entry-2", "harbour", platform, &seeds);
-    until_serving(two.traffic).await;
-    println!("serves {:?} after its start", begun.elapsed());
+    wait_until_serving(two.traffic).await;
+    println!("serves {:?} after its start", started.elapsed());
     assert_eq!(incarnation(&deployment, "entry-2").await, None);
 
     // A move waits for the instance that nobody lists: the one that lent it its
     // leave answers for it.
     deployment.platform.faults.update(|t| t.is_down = false);
     while incarnation(&deployment, "entry-2").await.is_none() {
-        assert!(begun.elapsed() < 20 * SECOND, "never listed");
+        assert!(started.elapsed() < 20 * SECOND, "never listed");
         sleep(SECOND / 50).await;
     }
     assert!(
--- a/crates/citronproxy/tests/loads.rs
+++ b/crates/citronproxy/tests/loads.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn of(loads: &Loads, shard: u32, instances: u32) -> (Load, u32) {
+fn load_of(loads: &Loads, shard: u32, instances: u32) -> (Load, u32) {
     loads.scope_load(&service(), Scope::Shard(ShardId(shard)), instances)
 }
 
@@ -37,20 +37,20 @@
     for _ in 0..100 {
         loads.record(vec![sample(1, 500, 50), sample(2, 100, 10)], SECOND);
     }
-    let (load, rate) = of(&loads, 1, 3);
+    let (load, rate) = load_of(&loads, 1, 3);
     assert!((1_490_000..=1_500_000).contains(&load.0), "{load}");
     assert!((149..=150).contains(&rate), "{rate}");
-    let ratio = load.0 / of(&loads, 2, 3).0.0;
+    let ratio = load.0 / load_of(&loads, 2, 3).0.0;
     assert!((4..=5).contains(&ratio), "{ratio}");
     for _ in 0..10 {
         loads.record(Vec::new(), SECOND);
     }
-    let faded = of(&loads, 1, 3).0.0;
+    let faded = load_of(&loads, 1, 3).0.0;
     assert!((500_000..600_000).contains(&faded), "{faded}");
     for _ in 0..200 {
         loads.record(Vec::new(), SECOND);
     }
-    assert_eq!(of(&loads, 1, 3), (Load(0), 0));
+    assert_eq!(load_of(&loads, 1, 3), (Load(0), 0));
 }
 
 /// A few requests on an idle service are no imbalance.
@@ -60,6 +60,6 @@
     for _ in 0..100 {
         loads.record(vec![sample(1, 50, 5)], SECOND);
     }
-    assert_eq!(of(&loads, 1, 3), (Load(0), 0), "0.15 slots in all");
-    assert!(of(&loads, 1, 5).0.0 > 240_000, "0.25 slots in all");
+    assert_eq!(load_of(&loads, 1, 3), (Load(0), 0), "0.15 slots in all");
+    assert!(load_of(&loads, 1, 5).0.0 > 240_000, "0.25 slots in all");
 }
--- a/crates/citronproxy/tests/memory.rs
+++ b/crates/citronproxy/tests/memory.rs
@@ -6,7 +6,9 @@
     citron_core::table::{Fencing, Row},
     citron_fakes::{platform::PlatformServer, scripted::upload_server},
     std::{fs, net::SocketAddr},
-    support::{Instance, LONG, Sample, commit, domain_row, get, read_all, sample},
+    support::{
+        Instance, SampleConfig, TEST_TIMEOUT, commit_rows, domain_row, get, read_all, sample_rows,
+    },
     tokio::{
         io::AsyncWriteExt,
         net::TcpStream,
@@ -15,14 +17,14 @@
 };
 
 /// Size of the upload.
-const SIZE: usize = 256 * 1_024 * 1_024;
+const UPLOAD_BYTES: usize = 256 * 1_024 * 1_024;
 /// Bytes written at a time.
-const PART: usize = 256 * 1_024;
+const PART_BYTES: usize = 256 * 1_024;
 /// The most by which the instance may grow, in KiB.
-const GROWTH_MAX: u64 = 32 * 1_024;
+const MAX_GROWTH_KIB: u64 = 32 * 1_024;
 
 /// Resident memory of a process in KiB: now, and at its highest.
-fn memory(pid: u32) -> (u64, u64) {
+fn resident_kib(pid: u32) -> (u64, u64) {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let field = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name));
@@ -42,14 +44,14 @@
     let server = upload_server(Duration::from_millis(1)).await.unwrap();
     let servers = vec![("server-1".to_string(), "harbour".to_string(), server)];
     let fencing = Fencing::Unchecked;
-    let mut rows = sample(&Sample { servers, fencing });
+    let mut rows = sample_rows(&SampleConfig { servers, fencing });
     for row in &mut rows {
         if let Row::Service(row) = row {
-            row.deadline = LONG;
+            row.deadline = TEST_TIMEOUT;
         }
     }
     rows.push(domain_row("harbour"));
-    commit(&platform.memory, "test", rows).await;
+    commit_rows(&platform.memory, "test", rows).await;
     let instance = Instance::start("entry-1", "harbour", platform.address);
     while !get(instance.traffic, "/readyz")
         .await
@@ -59,21 +61,24 @@
     {
         sleep(Duration::from_millis(20)).await;
     }
-    let (before, _) = memory(instance.pid());
+    let (before, _) = resident_kib(instance.pid());
 
     let mut stream = TcpStream::connect(instance.traffic).await.unwrap();
     let head = format!(
-        "PUT /kegs/a HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {SIZE}\r\n\r\n"
+        "PUT /kegs/a HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {UPLOAD_BYTES}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await.unwrap();
-    let part = vec![b'x'; PART];
-    for _ in 0..SIZE / PART {
+    let part = vec![b'x'; PART_BYTES];
+    for _ in 0..UPLOAD_BYTES / PART_BYTES {
         stream.write_all(&part).await.unwrap();
     }
-    let answer = read_all(&mut stream, LONG).await;
-    let (_, highest) = memory(instance.pid());
+    let answer = read_all(&mut stream, TEST_TIMEOUT).await;
+    let (_, highest) = resident_kib(instance.pid());
 
-    assert!(answer.ends_with(&format!("received {SIZE}")), "{answer}");
+    assert!(
+        answer.ends_with(&format!("received {UPLOAD_BYTES}")),
+        "{answer}"
+    );
     let growth = highest.saturating_sub(before);
-    assert!(growth < GROWTH_MAX, "grew by {growth} KiB");
+    assert!(growth < MAX_GROWTH_KIB, "grew by {growth} KiB");
 }
--- a/crates/citronproxy/tests/moves.rs
+++ b/crates/citronproxy/tests/moves.rs
@@ -19,12 +19,12 @@
         },
         time::{Duration, SystemTime},
     },
-    support::{LONG, Path, Sample, post, sample},
+    support::{DataPath, SampleConfig, TEST_TIMEOUT, post, sample_rows},
     tokio::time::sleep,
 };
 
-const CALLERS: usize = 8;
-const MOVES: u64 = 25;
+const CALLER_COUNT: usize = 8;
+const MOVE_COUNT: u64 = 25;
 
 async fn backend(name: &str) -> BackendServer {
     let config = BackendConfig {
@@ -42,7 +42,7 @@
     now.unwrap().as_micros() as u64
 }
 
-fn assign(path: &mut Path, owner: &ServerName, phase: &Phase, epoch: u64) {
+fn assign(path: &mut DataPath, owner: &ServerName, phase: &Phase, epoch: u64) {
     for row in &mut path.rows {
         if let Row::Block(block) = row {
             for shard in &mut block.shards {
@@ -54,14 +54,14 @@
     }
 }
 
-async fn call_on(number: usize, address: SocketAddr, stop: Arc<AtomicBool>) -> Vec<String> {
+async fn run_caller(number: usize, address: SocketAddr, stop: Arc<AtomicBool>) -> Vec<String> {
     let mut sent = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let id = format!("{number}-{}", sent.len());
         let path = format!("/kegs/bar-{id}");
         let reply = post(address, &path, &id, "pickup").await.unwrap();
-        let told = (reply.status.as_u16(), reply.header("citron-outcome"));
-        assert_eq!(told, (200, "ran"), "{id}");
+        let outcome = (reply.status.as_u16(), reply.header("citron-outcome"));
+        assert_eq!(outcome, (200, "ran"), "{id}");
         sent.push(id);
     }
     sent
@@ -75,9 +75,9 @@
 async fn no_request_reaches_an_owner_that_was_quiet() {
     let servers = [backend("server-1").await, backend("server-2").await];
     let names: [ServerName; 2] = ["server-1".parse().unwrap(), "server-2".parse().unwrap()];
-    let mut path = Path::start_with(servers[0].address, Limits::default(), |_| {});
+    let mut path = DataPath::start_with(servers[0].address, Limits::default(), |_| {});
     let named = servers.iter().zip(&names);
-    path.rows = sample(&Sample {
+    path.rows = sample_rows(&SampleConfig {
         servers: named
             .map(|(server, name)| (name.to_string(), "harbour".to_string(), server.address))
             .collect(),
@@ -89,25 +89,26 @@
         }
     }
     assign(&mut path, &names[0], &Phase::Owned, 2);
-    path.publish(2, LONG);
+    path.publish(2, TEST_TIMEOUT);
     let stop = Arc::new(AtomicBool::new(false));
-    let callers = (0..CALLERS).map(|n| tokio::spawn(call_on(n, path.address, Arc::clone(&stop))));
+    let callers =
+        (0..CALLER_COUNT).map(|n| tokio::spawn(run_caller(n, path.address, Arc::clone(&stop))));
     let callers: Vec<_> = callers.collect();
 
     // When the owner of each epoch was quiet.
-    let mut quiet = BTreeMap::new();
-    for number in 1..=MOVES {
+    let mut quiet_at = BTreeMap::new();
+    for number in 1..=MOVE_COUNT {
         sleep(Duration::from_millis(30)).await;
         let [from, to] = [(number + 1) % 2, number % 2].map(|at| &names[at as usize]);
         let releasing = Phase::Releasing { to: to.clone() };
         assign(&mut path, from, &releasing, 2 * number + 1);
-        path.publish(2 * number + 1, LONG);
+        path.publish(2 * number + 1, TEST_TIMEOUT);
         path.handle
             .wait_quiescent(from, Revision(2 * number + 1))
             .await;
-        quiet.insert(2 * number, wall_micros());
+        quiet_at.insert(2 * number, wall_micros());
         assign(&mut path, to, &Phase::Owned, 2 * number + 2);
-        path.publish(2 * number + 2, LONG);
+        path.publish(2 * number + 2, TEST_TIMEOUT);
     }
     sleep(Duration::from_millis(30)).await;
     stop.store(true, Ordering::Relaxed);
@@ -125,9 +126,9 @@
     let ran: BTreeSet<String> = runs.iter().map(|run| run.id.clone()).collect();
     assert_eq!(ran, sent);
     for run in &runs {
-        let late = quiet
+        let late = quiet_at
             .get(&run.epoch)
-            .is_some_and(|quiet| run.at_us > *quiet);
+            .is_some_and(|quiet_at| run.at_us > *quiet_at);
         assert!(!late, "{run:?} began after its owner was quiet");
     }
     let epochs: BTreeSet<u64> = runs.iter().map(|run| run.epoch).collect();
--- a/crates/citronproxy/tests/parts.rs
+++ b/crates/citronproxy/tests/parts.rs
@@ -9,15 +9,15 @@
         net::SocketAddr,
         time::{Duration, Instant},
     },
-    support::{Deployment, Inside, get, until_serving},
+    support::{Deployment, EmbeddedInstance, get, wait_until_serving},
     tokio::{task::LocalSet, time::sleep},
 };
 
-const PAUSE: Duration = Duration::from_millis(30);
-const PATIENCE: Duration = Duration::from_secs(40);
+const SEND_INTERVAL: Duration = Duration::from_millis(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 /// At least so long after an instance's last report its part is its own.
 /// Reports count for 2 s and come each 0.5 s; the rest is for a busy machine.
-const KEPT: Duration = Duration::from_millis(500);
+const MIN_HOLD: Duration = Duration::from_millis(500);
 
 /// Sends requests for one key, so many to each instance in turn.
 async fn send(calls: &[(SocketAddr, usize)]) {
@@ -27,7 +27,7 @@
             let _ = get(*instance, "/kegs/a").await;
         }
     }
-    sleep(PAUSE).await;
+    sleep(SEND_INTERVAL).await;
 }
 
 async fn is_listed(deployment: &Deployment, name: &str) -> bool {
@@ -43,46 +43,50 @@
 /// left to it while it is in the table, and only then `entry-1` takes all four.
 #[tokio::test]
 async fn a_part_follows_demand_and_is_handed_on_when_it_has_lapsed() {
-    LocalSet::new().run_until(shared()).await;
+    LocalSet::new().run_until(run_shared()).await;
 }
 
-async fn shared() {
+async fn run_shared() {
     let grace = Duration::from_secs(2);
     let deployment = Deployment::start(&["harbour"], Fencing::Unchecked, grace).await;
-    let near = Inside::start("entry-1", "harbour", &deployment.platform.memory).await;
-    until_serving(near.workers.address).await;
+    let near = EmbeddedInstance::start("entry-1", "harbour", &deployment.platform.memory).await;
+    wait_until_serving(near.workers.address).await;
     let far = deployment.instance("entry-2", "harbour").await;
-    let part = || near.slots_of("server-1").unwrap_or(0.0);
+    let share = || near.slots_of("server-1").unwrap_or(0.0);
 
-    let begun = Instant::now();
+    let started = Instant::now();
     let calls = [(near.workers.address, 1), (far.traffic, 3)];
-    while !(0.85..1.3).contains(&part()) || begun.elapsed() < Duration::from_secs(5) {
-        assert!(begun.elapsed() < PATIENCE, "the part is {}", part());
+    while !(0.85..1.3).contains(&share()) || started.elapsed() < Duration::from_secs(5) {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the part is {}", share());
         send(&calls).await;
     }
 
     far.pause();
-    let stopped = Instant::now();
-    let mut even = false;
+    let paused_at = Instant::now();
+    let mut has_even_share = false;
     loop {
-        assert!(stopped.elapsed() < PATIENCE, "the part is {}", part());
-        let now = part();
-        let listed = is_listed(&deployment, "entry-2").await;
-        if now > 1.5 {
+        assert!(
+            paused_at.elapsed() < WAIT_TIMEOUT,
+            "the part is {}",
+            share()
+        );
+        let current = share();
+        let is_in_table = is_listed(&deployment, "entry-2").await;
+        if current > 1.5 {
             assert!(
-                stopped.elapsed() >= KEPT,
-                "{now} after {:?}",
-                stopped.elapsed()
+                paused_at.elapsed() >= MIN_HOLD,
+                "{current} after {:?}",
+                paused_at.elapsed()
             );
         }
-        if now > 2.5 {
-            assert!(!listed, "{now} while the other one may still send");
-            assert!(even, "the even part came first");
+        if current > 2.5 {
+            assert!(!is_in_table, "{current} while the other one may still send");
+            assert!(has_even_share, "the even part came first");
             break;
         }
-        even |= now > 1.5;
+        has_even_share |= current > 1.5;
         send(&calls[..1]).await;
     }
-    assert!((3.5..=4.0).contains(&part()), "{}", part());
+    assert!((3.5..=4.0).contains(&share()), "{}", share());
     far.resume();
 }
--- a/crates/citronproxy/tests/path.rs
+++ b/crates/citronproxy/tests/path.rs
@@ -10,7 +10,7 @@
         platform::PlatformServer,
     },
     std::{collections::BTreeSet, net::SocketAddr, time::Duration},
-    support::{Instance, Sample, commit, domain_row, get, sample},
+    support::{Instance, SampleConfig, commit_rows, domain_row, get, sample_rows},
     tokio::time::sleep,
 };
 
@@ -28,7 +28,7 @@
         .unwrap()
 }
 
-async fn until_ready(address: SocketAddr) {
+async fn wait_until_ready(address: SocketAddr) {
     for _ in 0..200 {
         if get(address, "/readyz")
             .await
@@ -55,17 +55,17 @@
             server.address,
         )
     });
-    let mut rows = sample(&Sample {
+    let mut rows = sample_rows(&SampleConfig {
         servers: named.collect(),
         fencing: Fencing::Unchecked,
     });
     rows.push(domain_row("harbour"));
-    commit(&platform.memory, "test", rows).await;
+    commit_rows(&platform.memory, "test", rows).await;
 
     let names = ["entry-1", "entry-2", "entry-3"];
     let mut instances = names.map(|name| Instance::start(name, "harbour", platform.address));
     for instance in &instances {
-        until_ready(instance.traffic).await;
+        wait_until_ready(instance.traffic).await;
     }
     for key in 0..40 {
         let mut owners = BTreeSet::new();
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -138,7 +138,7 @@
 
 #[tokio::test]
 async fn everything_arrives_as_it_was_told() {
-    let told = async {
+    let calls = async {
         let (address, host) = host().await;
         let peers = PeerClient::default();
         assert_eq!(peers.status(address).await.unwrap(), status());
@@ -152,11 +152,11 @@
         peers.announce(address, Revision(9)).await.unwrap();
         assert_eq!(host.announced.get(), Revision(9));
         peers.report(address, &report(12.5)).await.unwrap();
-        let absurd = peers.report(address, &report(f64::NAN)).await;
-        assert!(matches!(absurd, Err(PeerError::Call(_))), "{absurd:?}");
+        let invalid = peers.report(address, &report(f64::NAN)).await;
+        assert!(matches!(invalid, Err(PeerError::Call(_))), "{invalid:?}");
         assert_eq!(*host.reports.borrow(), [report(12.5)]);
     };
-    LocalSet::new().run_until(told).await;
+    LocalSet::new().run_until(calls).await;
 }
 
 /// Two acknowledgements are asked for over one connection and the second is
--- a/crates/citronproxy/tests/points.rs
+++ b/crates/citronproxy/tests/points.rs
@@ -6,17 +6,17 @@
 use {
     citron_fakes::scripted::{ScriptedServer, Step},
     std::time::Duration,
-    support::{LONG, Path},
+    support::{DataPath, TEST_TIMEOUT},
     tokio::net::TcpListener,
 };
 
 const CUT_LENGTH: &str = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\npart";
 const CUT_CHUNKED: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n";
-const EPOCH: &str = "HTTP/1.1 421 No\r\ncitron-refused: epoch\r\ncontent-length: 0\r\n\r\n";
-const SHED: &str =
+const EPOCH_REFUSAL: &str = "HTTP/1.1 421 No\r\ncitron-refused: epoch\r\ncontent-length: 0\r\n\r\n";
+const SHED_REFUSAL: &str =
     "HTTP/1.1 503 No\r\ncitron-refused: shed\r\nretry-after: 7\r\ncontent-length: 0\r\n\r\n";
 /// More than the sockets between caller and server hold.
-const LARGE: usize = 16 * 1_024 * 1_024;
+const LARGE_BODY: usize = 16 * 1_024 * 1_024;
 
 fn post(body: usize) -> Vec<u8> {
     let head = format!(
@@ -62,7 +62,7 @@
         ("POST head part", post(9), vec![Step::Read(10), Step::Reset]),
         (
             "POST body part",
-            post(LARGE),
+            post(LARGE_BODY),
             vec![Step::ReadHead, Step::Read(1_000), Step::Reset],
         ),
         (
@@ -122,12 +122,12 @@
         (
             "POST refused by load",
             post(9),
-            vec![Step::ReadHead, Step::Read(9), Step::write(SHED)],
+            vec![Step::ReadHead, Step::Read(9), Step::write(SHED_REFUSAL)],
         ),
         (
             "POST refused by epoch, then taken",
             post(9),
-            vec![Step::ReadHead, Step::write(EPOCH)],
+            vec![Step::ReadHead, Step::write(EPOCH_REFUSAL)],
         ),
         ("GET head part", get(), vec![Step::Read(10), Step::Reset]),
         (
@@ -151,8 +151,8 @@
         let server = ScriptedServer::start(vec![script, fine.clone()])
             .await
             .unwrap();
-        let path = Path::start(server.address);
-        let answer = path.raw(&request, Duration::from_secs(2)).await;
+        let path = DataPath::start(server.address);
+        let answer = path.send_raw(&request, Duration::from_secs(2)).await;
         let (runs, begun) = (server.request_count(), server.used_connections());
         lines.push(format!(
             "{case}: {}; begun {begun}, runs {runs}",
@@ -168,8 +168,8 @@
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
-    let path = Path::start(address);
-    let answer = path.raw(&post(9), LONG).await;
+    let path = DataPath::start(address);
+    let answer = path.send_raw(&post(9), TEST_TIMEOUT).await;
     insta::assert_snapshot!(summary(&answer), @"502 not-run retry 1 whole");
 }
 
@@ -186,7 +186,7 @@
     for _ in 0..2 {
         fill.push(tokio::net::TcpStream::connect(address).await.unwrap());
     }
-    let path = Path::start(address);
+    let path = DataPath::start(address);
     path.publish(2, Duration::from_millis(300));
     let drain = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(600)).await;
@@ -204,7 +204,7 @@
         }
         read
     });
-    let answer = path.raw(&post(9), LONG).await;
+    let answer = path.send_raw(&post(9), TEST_TIMEOUT).await;
     insta::assert_snapshot!(summary(&answer), @"503 not-run retry 1 whole");
     assert_eq!(
         drain.await.unwrap(),
--- a/crates/citronproxy/tests/proofs.rs
+++ b/crates/citronproxy/tests/proofs.rs
@@ -5,14 +5,14 @@
     path::{Path, PathBuf},
 };
 
-const POINTS: usize = 8;
+const PROOF_COUNT: usize = 8;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 /// The tests of a package; the adapter lies beside the others.
-fn tests(package: &str) -> PathBuf {
+fn tests_folder(package: &str) -> PathBuf {
     let home = match package {
         "platform" => root(),
         _ => root().join("crates"),
@@ -22,19 +22,19 @@
 
 /// The source of a test file, or of all files below a test folder.
 fn source(package: &str, name: &str) -> String {
-    let file = tests(package).join(format!("{name}.rs"));
+    let file = tests_folder(package).join(format!("{name}.rs"));
     if file.exists() {
         return fs::read_to_string(file).unwrap();
     }
-    below(&tests(package).join(name))
+    sources_below(&tests_folder(package).join(name))
 }
 
-fn below(folder: &Path) -> String {
+fn sources_below(folder: &Path) -> String {
     let entries = fs::read_dir(folder).expect("a test file or folder");
     let sources = entries.map(|entry| {
         let path = entry.unwrap().path();
         match (path.is_dir(), path.extension()) {
-            (true, _) => below(&path),
+            (true, _) => sources_below(&path),
             (false, Some(ending)) if ending == "rs" => fs::read_to_string(path).unwrap(),
             _ => String::new(),
         }
@@ -43,7 +43,7 @@
 }
 
 /// What stands between backticks and names a test: `package/file: test`.
-fn named(text: &str) -> Vec<&str> {
+fn test_references(text: &str) -> Vec<&str> {
     let quoted = text.split('`').skip(1).step_by(2);
     quoted
         .filter(|text| text.contains('/') && text.contains(": "))
@@ -53,14 +53,17 @@
 #[test]
 fn every_test_that_the_page_names_exists() {
     let page = fs::read_to_string(root().join("docs/PROOFS.md")).unwrap();
-    let points: Vec<&str> = page.lines().filter(|line| is_point(line)).collect();
-    assert_eq!(points.len(), POINTS);
-    for point in points {
-        assert!(!named(point).is_empty(), "a point without a test: {point}");
+    let proofs: Vec<&str> = page.lines().filter(|line| is_proof(line)).collect();
+    assert_eq!(proofs.len(), PROOF_COUNT);
+    for proof in proofs {
+        assert!(
+            !test_references(proof).is_empty(),
+            "a point without a test: {proof}"
+        );
     }
     // A paragraph may break a line within a name.
     let lines: Vec<&str> = page.lines().collect();
-    for test in named(&lines.join(" ")) {
+    for test in test_references(&lines.join(" ")) {
         let (place, function) = test.split_once(": ").unwrap();
         let (package, name) = place.split_once('/').unwrap();
         let function = function.rsplit("::").next().unwrap();
@@ -69,7 +72,7 @@
     }
 }
 
-fn is_point(line: &str) -> bool {
+fn is_proof(line: &str) -> bool {
     let number = line
         .strip_prefix("| ")
         .and_then(|rest| rest.split('.').next());
--- a/crates/citronproxy/tests/race.rs
+++ b/crates/citronproxy/tests/race.rs
@@ -10,20 +10,22 @@
         net::SocketAddr,
         time::{Duration, Instant},
     },
-    support::{Called, Gate, Instance, Operator, commit, domain_row, server_row, starting_rows},
+    support::{
+        CallResult, Instance, Operator, Relay, commit_rows, domain_row, server_row, starting_rows,
+    },
     tokio::time::sleep,
 };
 
 /// An accepted edit is to be in force on every reachable instance by then.
-const EVERYWHERE: Duration = Duration::from_secs(7);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(7);
 /// Operators at once.
-const OPERATORS: u32 = 10;
+const OPERATOR_COUNT: u32 = 10;
 /// Edits that each of them tries.
-const EDITS: u32 = 15;
+const EDITS_PER_OPERATOR: u32 = 15;
 
 /// What an operator was told of one edit, whose weight no other edit has.
 #[derive(Debug, Clone)]
-enum Told {
+enum EditOutcome {
     Accepted { revision: u64 },
     Lost,
     NotApplied,
@@ -31,12 +33,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct Tried {
+struct EditAttempt {
     by: String,
     /// The row as the operator saw it.
-    seen: Value,
+    row_before: Value,
     weight: u64,
-    told: Told,
+    outcome: EditOutcome,
 }
 
 async fn platform() -> PlatformServer {
@@ -44,44 +46,44 @@
     PlatformServer::start(any).await.unwrap()
 }
 
-fn told(called: &Called) -> Told {
+fn edit_outcome(called: &CallResult) -> EditOutcome {
     match called {
-        Ok((200, body)) => Told::Accepted {
+        Ok((200, body)) => EditOutcome::Accepted {
             revision: body["revision"].as_u64().expect("a revision"),
         },
         Ok((412, body)) => {
             let current = body["current"]["version"].as_u64();
             assert!(current.is_some(), "the loser sees the row as it is: {body}");
-            Told::Lost
+            EditOutcome::Lost
         }
-        Ok((503, _)) => Told::NotApplied,
+        Ok((503, _)) => EditOutcome::NotApplied,
         // An instance that died leaves it open whether it had committed.
-        Ok((504, _)) | Err(_) => Told::Unknown,
+        Ok((504, _)) | Err(_) => EditOutcome::Unknown,
         Ok((status, body)) => panic!("{status} {body}"),
     }
 }
 
-async fn operate(number: u32, admins: Vec<SocketAddr>) -> Vec<Tried> {
-    let mut tried = Vec::new();
-    for edit in 0..EDITS {
+async fn run_operator(number: u32, admins: Vec<SocketAddr>) -> Vec<EditAttempt> {
+    let mut attempts = Vec::new();
+    for edit in 0..EDITS_PER_OPERATOR {
         let admin = admins[((number + edit) % 3) as usize];
         let ann = Operator::new(&format!("operator-{number}"), admin);
         let server = 1 + (edit % 3) as u16;
         let key = format!("server/server-{server}");
-        let Ok((200, seen)) = ann.get(&format!("/v1/rows/{key}")).await else {
+        let Ok((200, row_before)) = ann.get(&format!("/v1/rows/{key}")).await else {
             continue;
         };
-        let weight = 1_000 + number * EDITS + edit;
-        let version = seen["version"].as_u64().unwrap();
+        let weight = 1_000 + number * EDITS_PER_OPERATOR + edit;
+        let version = row_before["version"].as_u64().unwrap();
         let called = ann.put(&key, version, &server_row(server, weight)).await;
-        tried.push(Tried {
+        attempts.push(EditAttempt {
             by: ann.name.clone(),
-            seen: seen["row"].clone(),
+            row_before: row_before["row"].clone(),
             weight: u64::from(weight),
-            told: told(&called),
+            outcome: edit_outcome(&called),
         });
     }
-    tried
+    attempts
 }
 
 async fn history(ann: &Operator) -> Vec<Value> {
@@ -116,8 +118,8 @@
     let (status, body) = ann.edit(&starting_rows()).await.unwrap();
     assert_eq!(status, 200, "{body}");
 
-    let operators: Vec<_> = (0..OPERATORS)
-        .map(|number| tokio::spawn(operate(number, admins.clone())))
+    let operators: Vec<_> = (0..OPERATOR_COUNT)
+        .map(|number| tokio::spawn(run_operator(number, admins.clone())))
         .collect();
     let mut losses = 0;
     for round in 0..40 {
@@ -129,18 +131,18 @@
         sleep(Duration::from_millis(10)).await;
     }
     platform.faults.update(|settings| settings.lost_replies = 0);
-    let mut tried = Vec::new();
+    let mut attempts = Vec::new();
     for operator in operators {
-        tried.extend(operator.await.unwrap());
+        attempts.extend(operator.await.unwrap());
     }
 
     let entries = history(&ann).await;
     check_history(&ann, &entries).await;
-    check_told(&tried, &entries);
+    check_outcomes(&attempts, &entries);
     let count = |name: &str| {
-        tried
+        attempts
             .iter()
-            .filter(|one| format!("{:?}", one.told).starts_with(name))
+            .filter(|attempt| format!("{:?}", attempt.outcome).starts_with(name))
             .count()
     };
     println!(
@@ -179,25 +181,32 @@
     }
 }
 
-fn check_told(tried: &[Tried], entries: &[Value]) {
-    for one in tried {
+fn check_outcomes(attempts: &[EditAttempt], entries: &[Value]) {
+    for attempt in attempts {
         let found: Vec<_> = entries
             .iter()
-            .filter(|entry| entry["changes"][0]["after"]["weight"] == json!(one.weight))
+            .filter(|entry| entry["changes"][0]["after"]["weight"] == json!(attempt.weight))
             .collect();
         let revision = found
             .first()
             .map(|entry| entry["revision"].as_u64().unwrap());
-        assert!(found.len() <= 1, "{one:?} took effect twice");
-        match &one.told {
-            Told::Accepted { revision: told } => assert_eq!(revision, Some(*told), "{one:?}"),
-            Told::Lost | Told::NotApplied => assert_eq!(revision, None, "{one:?}"),
-            Told::Unknown => {}
+        assert!(found.len() <= 1, "{attempt:?} took effect twice");
+        match &attempt.outcome {
+            EditOutcome::Accepted { revision: reported } => {
+                assert_eq!(revision, Some(*reported), "{attempt:?}")
+            }
+            EditOutcome::Lost | EditOutcome::NotApplied => {
+                assert_eq!(revision, None, "{attempt:?}")
+            }
+            EditOutcome::Unknown => {}
         }
         for entry in found {
-            assert_eq!(entry["by"], json!(one.by));
+            assert_eq!(entry["by"], json!(attempt.by));
             let before = &entry["changes"][0]["before"];
-            assert_eq!(*before, one.seen, "an edit undid another one unseen");
+            assert_eq!(
+                *before, attempt.row_before,
+                "an edit undid another one unseen"
+            );
         }
     }
 }
@@ -231,14 +240,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_instance_catches_up_and_never_goes_back() {
     let platform = platform().await;
-    let gate = Gate::start(platform.address).await;
+    let gate = Relay::start(platform.address).await;
     let near = Instance::start("entry-1", "harbour", platform.address);
     let far = Instance::start("entry-2", "harbour", gate.address);
     let ann = Operator::new("ann", near.admin);
     let bob = Operator::new("bob", far.admin);
     let (_, made) = ann.edit(&starting_rows()).await.unwrap();
     let first = made["revision"].as_u64().expect("accepted");
-    until_revision(&bob, first).await;
+    wait_for_revision(&bob, first).await;
 
     gate.set_open(false);
     for weight in 1..=5 {
@@ -254,7 +263,7 @@
         .await
         .unwrap();
     assert_eq!((status, body["code"].as_str()), (503, Some("unavailable")));
-    let took = until_revision(&bob, first + 5).await;
+    let took = wait_for_revision(&bob, first + 5).await;
     println!("caught up by relay in {took:?}");
     let (_, cut_off) = bob.get("/v1/status").await.unwrap();
     assert_eq!(
@@ -268,7 +277,7 @@
         .await
         .unwrap();
     assert_eq!(status, 200, "{body}");
-    until_revision(&bob, first + 6).await;
+    wait_for_revision(&bob, first + 6).await;
     let (_, now) = bob.get("/v1/rows/server/server-1").await.unwrap();
     assert_eq!(
         (&now["version"], &now["row"]["weight"]),
@@ -281,17 +290,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_cut_off_from_all_keeps_its_revision_and_catches_up() {
     let platform = platform().await;
-    let gate = Gate::start(platform.address).await;
+    let gate = Relay::start(platform.address).await;
     let instance = Instance::start("entry-1", "harbour", gate.address);
     let ann = Operator::new("ann", instance.admin);
     let (_, made) = ann.edit(&starting_rows()).await.unwrap();
     let first = made["revision"].as_u64().expect("accepted");
-    until_revision(&ann, first).await;
+    wait_for_revision(&ann, first).await;
 
     gate.set_open(false);
     for number in 0..5 {
         let row = domain_row(&format!("hills-{number}"));
-        commit(&platform.memory, &format!("other-{number}"), vec![row]).await;
+        commit_rows(&platform.memory, &format!("other-{number}"), vec![row]).await;
     }
     for _ in 0..5 {
         let (_, status) = ann.get("/v1/status").await.unwrap();
@@ -302,23 +311,23 @@
         sleep(Duration::from_millis(100)).await;
     }
     gate.set_open(true);
-    let took = until_revision(&ann, first + 5).await;
+    let took = wait_for_revision(&ann, first + 5).await;
     println!("caught up from the platform in {took:?}");
 }
 
 /// Polls until a revision is in force, checking that it never goes back.
-async fn until_revision(operator: &Operator, wanted: u64) -> Duration {
-    let begun = Instant::now();
+async fn wait_for_revision(operator: &Operator, wanted: u64) -> Duration {
+    let started = Instant::now();
     let mut last = 0;
     loop {
         let revision = operator.revision().await;
         assert!(revision >= last, "went back from {last} to {revision}");
         last = revision;
         if revision >= wanted {
-            return begun.elapsed();
+            return started.elapsed();
         }
         assert!(
-            begun.elapsed() < EVERYWHERE,
+            started.elapsed() < PROPAGATION_LIMIT,
             "still at {revision}, not {wanted}"
         );
         sleep(Duration::from_millis(20)).await;
@@ -349,11 +358,11 @@
             .await;
         let (_, body) = called.unwrap();
         let revision = body["revision"].as_u64().expect("accepted");
-        let begun = Instant::now();
+        let started = Instant::now();
         for operator in &operators {
-            until_revision(operator, revision).await;
+            wait_for_revision(operator, revision).await;
         }
-        took.push(begun.elapsed());
+        took.push(started.elapsed());
     }
     took.sort();
     println!(
@@ -362,5 +371,5 @@
         took[11],
         took.len()
     );
-    assert!(took[11] < EVERYWHERE);
+    assert!(took[11] < PROPAGATION_LIMIT);
 }
--- a/crates/citronproxy/tests/refused.rs
+++ b/crates/citronproxy/tests/refused.rs
@@ -10,26 +10,26 @@
     serde_json::{Value, json},
     std::time::{Duration, Instant},
     support::{
-        Fragile, Instance, Operator, Reply, Sample, any, commit, domain_row, post, sample,
-        until_serving,
+        CrashingServer, Instance, Operator, Reply, SampleConfig, any_address, commit_rows,
+        domain_row, post, sample_rows, wait_until_serving,
     },
     tokio::time::sleep,
 };
 
-const POISON: &str = "/kegs/a/poison";
-const PATIENCE: Duration = Duration::from_secs(20);
+const CRASHING_PATH: &str = "/kegs/a/poison";
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn platform(server: &Fragile) -> PlatformServer {
-    let platform = PlatformServer::start(any()).await.unwrap();
+async fn start_platform(server: &CrashingServer) -> PlatformServer {
+    let platform = PlatformServer::start(any_address()).await.unwrap();
     let servers = vec![(
         "server-1".to_string(),
         "harbour".to_string(),
         server.address,
     )];
     let fencing = Fencing::Unchecked;
-    let mut rows = sample(&Sample { servers, fencing });
+    let mut rows = sample_rows(&SampleConfig { servers, fencing });
     rows.push(domain_row("harbour"));
-    commit(&platform.memory, "test", rows).await;
+    commit_rows(&platform.memory, "test", rows).await;
     platform
 }
 
@@ -40,15 +40,15 @@
 }
 
 /// Waits until an instance knows of so many crashes of one fingerprint.
-async fn until(operator: &Operator, crashes: u64) -> Value {
-    let begun = Instant::now();
+async fn wait_for_crashes(operator: &Operator, crashes: u64) -> Value {
+    let started = Instant::now();
     loop {
         let found = entries(operator).await;
         let counted = found.first().and_then(|entry| entry["crashes"].as_u64());
         if counted.unwrap_or(0) == crashes {
             return found.into_iter().next().unwrap_or_default();
         }
-        assert!(begun.elapsed() < PATIENCE, "{found:?} of {crashes}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{found:?} of {crashes}");
         sleep(Duration::from_millis(25)).await;
     }
 }
@@ -57,7 +57,7 @@
     post(instance.traffic, path, "", "").await.unwrap()
 }
 
-fn told(reply: &Reply) -> (u16, &str) {
+fn outcome(reply: &Reply) -> (u16, &str) {
     (reply.status.as_u16(), reply.header("citron-outcome"))
 }
 
@@ -68,39 +68,45 @@
 /// instance; the other one hears of it and sends the request on again.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashes_add_up_over_instances_and_an_operator_lifts_them() {
-    let server = Fragile::start("poison").await;
-    let platform = platform(&server).await;
+    let server = CrashingServer::start("poison").await;
+    let platform = start_platform(&server).await;
     let one = Instance::start("entry-1", "harbour", platform.address);
     let two = Instance::start("entry-2", "harbour", platform.address);
-    until_serving(one.traffic).await;
-    until_serving(two.traffic).await;
+    wait_until_serving(one.traffic).await;
+    wait_until_serving(two.traffic).await;
     let ann = Operator::new("ann", one.admin);
     let bob = Operator::new("bob", two.admin);
     for (number, instance) in [&one, &two, &one].into_iter().enumerate() {
-        assert_eq!(told(&send(instance, POISON).await), (502, "unknown"));
+        assert_eq!(
+            outcome(&send(instance, CRASHING_PATH).await),
+            (502, "unknown")
+        );
         let crashes = number as u64 + 1;
-        until(&ann, crashes).await;
-        until(&bob, crashes).await;
+        wait_for_crashes(&ann, crashes).await;
+        wait_for_crashes(&bob, crashes).await;
         // Connections that die together count as one crash.
         sleep(Duration::from_millis(550)).await;
     }
     assert_eq!(server.crashes(), 3);
     for instance in [&one, &two] {
-        let refused = send(instance, POISON).await;
-        assert_eq!(told(&refused), (422, "not-run"));
+        let refused = send(instance, CRASHING_PATH).await;
+        assert_eq!(outcome(&refused), (422, "not-run"));
         assert_eq!(refused.header("retry-after"), "60");
-        assert_eq!(told(&send(instance, "/kegs/a/other").await), (200, "ran"));
+        assert_eq!(
+            outcome(&send(instance, "/kegs/a/other").await),
+            (200, "ran")
+        );
     }
     assert_eq!(server.crashes(), 3);
 
-    let entry = until(&bob, 3).await;
-    assert_eq!(entry["label"], format!("POST {POISON}"));
+    let entry = wait_for_crashes(&bob, 3).await;
+    assert_eq!(entry["label"], format!("POST {CRASHING_PATH}"));
     assert!(entry["refused_ms"].as_u64().unwrap() > 500_000, "{entry}");
     let lift = json!({ "fingerprint": entry["fingerprint"] });
     let lifted = bob.send(Method::POST, "/v1/lifts", &[], Some(&lift)).await;
     assert_eq!(lifted.unwrap().0, 200);
-    until(&bob, 0).await;
-    until(&ann, 0).await;
-    assert_eq!(told(&send(&one, POISON).await), (502, "unknown"));
+    wait_for_crashes(&bob, 0).await;
+    wait_for_crashes(&ann, 0).await;
+    assert_eq!(outcome(&send(&one, CRASHING_PATH).await), (502, "unknown"));
     assert_eq!(server.crashes(), 4);
 }
--- a/crates/citronproxy/tests/replica.rs
+++ b/crates/citronproxy/tests/replica.rs
@@ -103,12 +103,12 @@
         read(&mut replica, START, changes(0, 1, rows));
         assert_eq!(replica.snapshot().is_some(), confirms, "{name}");
         let end = replica.routing_lease().end(false, Duration::ZERO);
-        let counted = if confirms {
+        let expected_end = if confirms {
             START + LeaseDurations::default().routing
         } else {
             Time::ZERO
         };
-        assert_eq!(end, counted, "{name}: from the begin of the read");
+        assert_eq!(end, expected_end, "{name}: from the begin of the read");
     }
 }
 
@@ -168,11 +168,11 @@
         read(&mut lender, START, changes(0, 1, rows.to_vec()));
         let now = START + SECOND / 2;
         let (status, _) = lender.answer_relay(&member(borrower, 1), Revision(0), now);
-        let left = RemainingLease {
+        let remaining = RemainingLease {
             any_domain: SECOND,
             age: SECOND / 2,
         };
-        assert_eq!(status.remaining, Some(left), "the rest only");
+        assert_eq!(status.remaining, Some(remaining), "the rest only");
         read(&mut lender, now, changes(1, 2, vec![domain("port")]));
         assert!(lender.is_settled(Revision(1), now));
         assert_eq!(
@@ -192,13 +192,13 @@
 #[test]
 fn relayed_leave_is_counted_from_the_platform_read() {
     let mut replica = replica("entry-1");
-    let left = RemainingLease {
+    let remaining = RemainingLease {
         any_domain: SECOND / 4,
         age: 20 * SECOND,
     };
     let times = (START + SECOND, START + 3 * SECOND);
     let rows = changes(0, 1, vec![domain("harbour")]);
-    replica.apply_relay(times, Some(left), rows).unwrap();
+    replica.apply_relay(times, Some(remaining), rows).unwrap();
     let confirmation = replica.routing_lease();
     assert_eq!(confirmation.end(false, SECOND), START + SECOND * 5 / 4);
     let grace = 25 * SECOND;
--- a/crates/citronproxy/tests/settings.rs
+++ b/crates/citronproxy/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use {citronproxy::settings::Settings, std::path::Path};
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
     // an entry instance
     "instance": "entry-1", "domain": "harbour",
     "traffic": "127.0.0.1:8080", "peer": "127.0.0.1:8081", "admin": "127.0.0.1:8082",
@@ -16,7 +16,7 @@
 
 #[test]
 fn comments_and_defaults_are_taken() {
-    let settings = Settings::read(Path::new("entry.json"), GOOD.as_bytes()).unwrap();
+    let settings = Settings::read(Path::new("entry.json"), VALID.as_bytes()).unwrap();
     assert_eq!(settings.threads, 2);
     assert_eq!(settings.token, None);
 }
@@ -26,24 +26,24 @@
     let cases = [
         (
             "unknown field",
-            GOOD.replace("\"platform\"", "\"platfrom\""),
+            VALID.replace("\"platform\"", "\"platfrom\""),
         ),
         (
             "missing field",
-            GOOD.replace("\"domain\": \"harbour\",", ""),
+            VALID.replace("\"domain\": \"harbour\",", ""),
         ),
-        ("bad address", GOOD.replace("127.0.0.1:9000", "nowhere")),
-        ("bad name", GOOD.replace("entry-1", "Entry 1")),
+        ("bad address", VALID.replace("127.0.0.1:9000", "nowhere")),
+        ("bad name", VALID.replace("entry-1", "Entry 1")),
         (
             "no threads",
-            GOOD.replace("\"platform\"", "\"threads\": 0, \"platform\""),
+            VALID.replace("\"platform\"", "\"threads\": 0, \"platform\""),
         ),
         (
             "short token",
-            GOOD.replace("\"platform\"", "\"token\": \"x\", \"platform\""),
+            VALID.replace("\"platform\"", "\"token\": \"x\", \"platform\""),
         ),
-        ("not JSON", GOOD.replace("\"domain\":", "\"domain\"")),
-        ("two values", format!("{GOOD} {GOOD}")),
+        ("not JSON", VALID.replace("\"domain\":", "\"domain\"")),
+        ("two values", format!("{VALID} {VALID}")),
     ];
     let lines = cases.map(|(case, text)| format!("{case}: {}", error_of(&text)));
     insta::assert_snapshot!(lines.join("\n"));
--- a/crates/citronproxy/tests/shapes.rs
+++ b/crates/citronproxy/tests/shapes.rs
@@ -8,7 +8,7 @@
     citron_fakes::scripted::{ScriptedServer, Step},
     citronproxy::traffic::Limits,
     std::time::{Duration, Instant},
-    support::{LONG, Path, read_all},
+    support::{DataPath, TEST_TIMEOUT, read_all},
     tokio::{
         io::AsyncWriteExt,
         net::TcpStream,
@@ -16,19 +16,19 @@
     },
 };
 
-const QUIET: Duration = Duration::from_millis(150);
+const READ_WAIT: Duration = Duration::from_millis(150);
 /// Would be a request of its own if the one before it were misread.
 const SMUGGLED: &str = "GET /kegs/smuggled HTTP/1.1\r\nhost: a\r\n\r\n";
 
-async fn fine() -> ScriptedServer {
+async fn start_server() -> ScriptedServer {
     let script = vec![Step::ReadRequest, Step::respond("fine"), Step::Hang];
     ScriptedServer::start(vec![script]).await.unwrap()
 }
 
 /// Status, outcome, whether the connection ended, and what the server saw.
-async fn shape(head: &str, body: &str) -> String {
-    let server = fine().await;
-    let path = Path::start(server.address);
+async fn send_message(head: &str, body: &str) -> String {
+    let server = start_server().await;
+    let path = DataPath::start(server.address);
     let mut stream = TcpStream::connect(path.address).await.unwrap();
     let head = head
         .replace('\n', "\r\n")
@@ -36,7 +36,7 @@
         .replace("\\r", "\r");
     let message = format!("{head}\r\n\r\n{body}{SMUGGLED}");
     let _ = stream.write_all(message.as_bytes()).await;
-    let answer = read_all(&mut stream, QUIET).await;
+    let answer = read_all(&mut stream, READ_WAIT).await;
     let field = |name: &str| {
         answer
             .lines()
@@ -47,7 +47,7 @@
     let status = field("HTTP/1.").get(2..5).unwrap_or("none");
     let closed = stream.write_all(b"x").await.is_err()
         || timeout(
-            QUIET,
+            READ_WAIT,
             tokio::io::AsyncReadExt::read(&mut stream, &mut [0; 8]),
         )
         .await
@@ -208,7 +208,7 @@
     ];
     let mut lines = Vec::new();
     for (case, head, body) in cases {
-        lines.push(format!("{case}: {}", shape(&head, body).await));
+        lines.push(format!("{case}: {}", send_message(&head, body).await));
     }
     insta::assert_snapshot!(lines.join("\n"));
 }
@@ -220,9 +220,9 @@
     let answer = "HTTP/1.1 200 OK\r\nconnection: x-hop\r\nx-hop: 1\r\nkeep-alive: timeout=9\r\nx-end: 2\r\ncontent-length: 0\r\n\r\n";
     let script = vec![Step::ReadRequest, Step::write(answer), Step::Hang];
     let server = ScriptedServer::start(vec![script]).await.unwrap();
-    let path = Path::start(server.address);
+    let path = DataPath::start(server.address);
     let request = "GET /kegs/a HTTP/1.1\r\nhost: a\r\nconnection: x-hop, close\r\nx-hop: 1\r\nte: trailers\r\nkeep-alive: 5\r\nupgrade: h2c\r\nproxy-authorization: secret\r\nx-end: 2\r\n\r\n";
-    let answer = path.raw(request.as_bytes(), LONG).await;
+    let answer = path.send_raw(request.as_bytes(), TEST_TIMEOUT).await;
     for text in [server.received_text(0), answer] {
         for name in ["x-hop", "te:", "keep-alive", "upgrade", "proxy-auth"] {
             assert!(!text.contains(&format!("\r\n{name}")), "{name} in {text}");
@@ -240,8 +240,8 @@
         max_body_bytes: 1_000,
         ..Limits::default()
     };
-    let server = fine().await;
-    let path = Path::start_with(server.address, limits, |_| {});
+    let server = start_server().await;
+    let path = DataPath::start_with(server.address, limits, |_| {});
     let start = "POST /kegs/a HTTP/1.1\r\nhost: a\r\n";
     let long = format!("{start}x-a: {}\r\n\r\n", "a".repeat(5_000));
     let many = format!("{start}{}\r\n", "a: b\r\n".repeat(200));
@@ -253,7 +253,7 @@
     );
     let cases = [("431", long), ("431", many), ("413", body), ("413", chunks)];
     for (status, message) in cases {
-        let answer = path.raw(message.as_bytes(), QUIET).await;
+        let answer = path.send_raw(message.as_bytes(), READ_WAIT).await;
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status}")),
             "{status}: {answer}"
@@ -271,44 +271,48 @@
         idle_timeout: Duration::from_millis(900),
         ..Limits::default()
     };
-    let server = fine().await;
-    let path = Path::start_with(server.address, limits, |_| {});
+    let server = start_server().await;
+    let path = DataPath::start_with(server.address, limits, |_| {});
     let mut slow = TcpStream::connect(path.address).await.unwrap();
     let mut idle = TcpStream::connect(path.address).await.unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     for byte in SMUGGLED.bytes() {
         if slow.write_all(&[byte]).await.is_err() {
             break;
         }
         sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(read_all(&mut slow, LONG).await, "");
-    assert!(begun.elapsed() < LONG / 2);
-    assert_eq!(read_all(&mut idle, LONG).await, "");
-    assert!(begun.elapsed() < LONG / 2);
+    assert_eq!(read_all(&mut slow, TEST_TIMEOUT).await, "");
+    assert!(started.elapsed() < TEST_TIMEOUT / 2);
+    assert_eq!(read_all(&mut idle, TEST_TIMEOUT).await, "");
+    assert!(started.elapsed() < TEST_TIMEOUT / 2);
     assert_eq!(server.used_connections(), 0);
-    assert!(path.raw(SMUGGLED.as_bytes(), QUIET).await.contains("fine"));
+    assert!(
+        path.send_raw(SMUGGLED.as_bytes(), READ_WAIT)
+            .await
+            .contains("fine")
+    );
 }
 
 /// A caller breaks off its chunked body. The request may be sent again by its
 /// method, but a part of a body must never be passed on as the whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_cut_short_is_not_passed_on_as_whole() {
-    let server = fine().await;
-    let path = Path::start_with(server.address, Limits::default(), |row| {
+    let server = start_server().await;
+    let path = DataPath::start_with(server.address, Limits::default(), |row| {
         if let Row::Service(row) = row {
             row.idempotent_methods.push("PUT".to_string());
         }
     });
     let half = "PUT /kegs/a HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\nzz";
-    path.raw(half.as_bytes(), QUIET).await;
+    path.send_raw(half.as_bytes(), READ_WAIT).await;
     let mut stream = TcpStream::connect(path.address).await.unwrap();
     stream
         .write_all(&half.as_bytes()[..half.len() - 2])
         .await
         .unwrap();
-    sleep(QUIET).await;
+    sleep(READ_WAIT).await;
     drop(stream);
-    sleep(QUIET).await;
+    sleep(READ_WAIT).await;
     assert_eq!(server.request_count(), 0, "{}", server.received_text(0));
 }
--- a/crates/citronproxy/tests/slo.rs
+++ b/crates/citronproxy/tests/slo.rs
@@ -27,7 +27,7 @@
         sync::Arc,
         time::{Duration, SystemTime},
     },
-    support::{Sample, commit, domain_row, get, sample},
+    support::{SampleConfig, commit_rows, domain_row, get, sample_rows},
     tokio::task::LocalSet,
 };
 
@@ -59,12 +59,12 @@
         "harbour".to_string(),
         server.address,
     );
-    let mut rows = sample(&Sample {
+    let mut rows = sample_rows(&SampleConfig {
         servers: vec![named],
         fencing: Fencing::Unchecked,
     });
     rows.push(domain_row("harbour"));
-    commit(memory, "test", rows).await;
+    commit_rows(memory, "test", rows).await;
     let handle = TrafficHandle::default();
     let clock = Clock::start();
     let workers = start(ANY.parse().unwrap(), 2, &handle, clock).unwrap();
@@ -97,7 +97,7 @@
     })
 }
 
-async fn gathered(store: &impl ObjectStore) -> TallySeries {
+async fn gather_record(store: &impl ObjectStore) -> TallySeries {
     let burn = aggregate_pages(store).await.unwrap();
     assert_eq!(burn.unread, 0);
     burn.record.try_into().unwrap()
@@ -118,7 +118,7 @@
             .sample(Time::from_micros(1_000_000), minute())
             .await;
         recorder.flush(&memory).await.unwrap();
-        let record = gathered(&memory).await;
+        let record = gather_record(&memory).await;
         assert_eq!(total(&record), (5, 0));
         let kegs: ServiceName = "kegs".parse().unwrap();
         let sum = record.sum(&kegs, minute(), 5);
@@ -155,7 +155,7 @@
         platform.faults.update(|settings| settings.is_down = false);
         second.flush(&store).await.unwrap();
         second.flush(&store).await.unwrap();
-        assert_eq!(total(&gathered(&store).await), (3, 0));
+        assert_eq!(total(&gather_record(&store).await), (3, 0));
     };
     LocalSet::new().run_until(run).await;
 }
--- a/crates/citronproxy/tests/support/admin.rs
+++ b/crates/citronproxy/tests/support/admin.rs
@@ -16,7 +16,7 @@
     pub admin: SocketAddr,
 }
 
-pub type Called = Result<(u16, Value), Box<dyn Error + Send + Sync>>;
+pub type CallResult = Result<(u16, Value), Box<dyn Error + Send + Sync>>;
 
 impl Operator {
     pub fn new(name: &str, admin: SocketAddr) -> Self {
@@ -24,12 +24,12 @@
         Self { name, admin }
     }
 
-    pub async fn get(&self, path: &str) -> Called {
+    pub async fn get(&self, path: &str) -> CallResult {
         self.send(Method::GET, path, &[], None).await
     }
 
     /// Writes one row on condition of a version; 0 adds.
-    pub async fn put(&self, key: &str, version: u64, row: &Value) -> Called {
+    pub async fn put(&self, key: &str, version: u64, row: &Value) -> CallResult {
         let path = format!("/v1/rows/{key}");
         let tag = format!("\"{version}\"");
         let condition = match version {
@@ -39,14 +39,14 @@
         self.send(Method::PUT, &path, &[condition], Some(row)).await
     }
 
-    pub async fn delete(&self, key: &str, version: u64) -> Called {
+    pub async fn delete(&self, key: &str, version: u64) -> CallResult {
         let path = format!("/v1/rows/{key}");
         let tag = format!("\"{version}\"");
         self.send(Method::DELETE, &path, &[("if-match", &tag)], None)
             .await
     }
 
-    pub async fn edit(&self, rows: &[Value]) -> Called {
+    pub async fn edit(&self, rows: &[Value]) -> CallResult {
         let body = json!({ "rows": rows });
         self.send(Method::POST, "/v1/edits", &[], Some(&body)).await
     }
@@ -63,7 +63,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Option<&Value>,
-    ) -> Called {
+    ) -> CallResult {
         let mut request = Request::builder()
             .method(method)
             .uri(path)
--- a/crates/citronproxy/tests/support/crashing_server.rs
+++ b/crates/citronproxy/tests/support/crashing_server.rs
@@ -15,16 +15,16 @@
     },
 };
 
-const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfine";
+const RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfine";
 
 /// Answers every request, but resets the connection of those whose path ends so.
-pub struct Fragile {
+pub struct CrashingServer {
     pub address: SocketAddr,
     crashes: Arc<AtomicUsize>,
 }
 
-impl Fragile {
-    pub async fn start(poison: &'static str) -> Self {
+impl CrashingServer {
+    pub async fn start(poison_suffix: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let crashes = Arc::new(AtomicUsize::new(0));
@@ -33,7 +33,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let crashes = Arc::clone(&counted);
                 tokio::spawn(async move {
-                    let _ = connection(stream, poison, &crashes).await;
+                    let _ = serve(stream, poison_suffix, &crashes).await;
                 });
             }
         });
@@ -47,7 +47,11 @@
 }
 
 /// The requests of these tests have no body.
-async fn connection(mut stream: TcpStream, poison: &str, crashes: &AtomicUsize) -> io::Result<()> {
+async fn serve(
+    mut stream: TcpStream,
+    poison_suffix: &str,
+    crashes: &AtomicUsize,
+) -> io::Result<()> {
     let mut head = Vec::new();
     loop {
         let byte = stream.read_u8().await?;
@@ -58,10 +62,10 @@
         let text = String::from_utf8_lossy(&head).into_owned();
         head.clear();
         let path = text.split(' ').nth(1).unwrap_or_default();
-        if path.ends_with(poison) {
+        if path.ends_with(poison_suffix) {
             crashes.fetch_add(1, Ordering::SeqCst);
             return stream.set_zero_linger();
         }
-        stream.write_all(ANSWER.as_bytes()).await?;
+        stream.write_all(RESPONSE.as_bytes()).await?;
     }
 }
--- a/crates/citronproxy/tests/support/data_path.rs
+++ b/crates/citronproxy/tests/support/data_path.rs
@@ -1,7 +1,7 @@
 //! The traffic threads within the test, under a table of its own.
 
 use {
-    super::{Sample, rows::sample},
+    super::{SampleConfig, rows::sample_rows},
     citron_core::{
         id::Revision,
         membership::RoutingLease,
@@ -21,10 +21,10 @@
 };
 
 /// How long a test waits for anything.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One traffic thread and what control would do for it.
-pub struct Path {
+pub struct DataPath {
     pub address: SocketAddr,
     pub handle: TrafficHandle,
     pub clock: Clock,
@@ -32,7 +32,7 @@
     pub rows: Vec<Row>,
 }
 
-impl Path {
+impl DataPath {
     /// Routes the service `kegs` to one server, `server-1`.
     pub fn start(server: SocketAddr) -> Self {
         Self::start_with(server, Limits::default(), |_| {})
@@ -42,12 +42,13 @@
     pub fn start_with(server: SocketAddr, limits: Limits, edit: impl Fn(&mut Row)) -> Self {
         let servers = vec![("server-1".to_string(), "harbour".to_string(), server)];
         let fencing = Fencing::Checked;
-        let mut rows = sample(&Sample { servers, fencing });
+        let mut rows = sample_rows(&SampleConfig { servers, fencing });
         rows.iter_mut().for_each(edit);
         let handle = TrafficHandle::default();
         let clock = Clock::start();
-        let any = "127.0.0.1:0".parse().expect("an address");
-        let workers = start_with_limits(any, 1, &handle, clock, limits).expect("threads start");
+        let any_address = "127.0.0.1:0".parse().expect("an address");
+        let workers =
+            start_with_limits(any_address, 1, &handle, clock, limits).expect("threads start");
         let path = Self {
             address: workers.address,
             handle,
@@ -55,19 +56,19 @@
             workers,
             rows,
         };
-        path.publish(1, LONG);
+        path.publish(1, TEST_TIMEOUT);
         path
     }
 
     /// Publishes the rows under a revision, with a leave of this length.
-    pub fn publish(&self, revision: u64, leave: Duration) {
+    pub fn publish(&self, revision: u64, lease: Duration) {
         let now = self.clock.now();
         self.handle.publish(Snapshot {
             map: Arc::new(RouteMap::build(&table(&self.rows, revision))),
             confirmation: RoutingLease {
-                any_domain_until: now + leave,
+                any_domain_until: now + lease,
                 read_started: now,
-                own_domain_until: now + leave,
+                own_domain_until: now + lease,
             },
             domain: "harbour".parse().expect("a name"),
         });
@@ -75,7 +76,7 @@
 
     /// Sends bytes on a new connection and reads until its end, or until nothing
     /// came for `wait`.
-    pub async fn raw(&self, bytes: &[u8], wait: Duration) -> String {
+    pub async fn send_raw(&self, bytes: &[u8], wait: Duration) -> String {
         let mut stream = TcpStream::connect(self.address).await.expect("connects");
         // The instance may refuse and close before it has read all.
         let _ = stream.write_all(bytes).await;
--- a/crates/citronproxy/tests/support/deployment.rs
+++ b/crates/citronproxy/tests/support/deployment.rs
@@ -1,7 +1,7 @@
 //! A deployment of stand-ins and instances, small enough for a test.
 
 use {
-    super::{Instance, Sample, commit, domain_row, get, sample},
+    super::{Instance, SampleConfig, commit_rows, domain_row, get, sample_rows},
     citron_core::{
         id::{KeyHash, ServerName, ShardBits},
         ownership::Phase,
@@ -20,7 +20,7 @@
 };
 
 /// How long a test waits for anything.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A platform and backend servers.
 pub struct Deployment {
@@ -29,7 +29,7 @@
 }
 
 /// Any free port of this machine.
-pub fn any() -> SocketAddr {
+pub fn any_address() -> SocketAddr {
     "127.0.0.1:0".parse().expect("an address")
 }
 
@@ -47,7 +47,7 @@
         fencing: Fencing,
         [grace, deadline, work]: [Duration; 3],
     ) -> Self {
-        let platform = PlatformServer::start(any()).await.expect("a port");
+        let platform = PlatformServer::start(any_address()).await.expect("a port");
         let mut servers = Vec::new();
         for number in 1..=domains.len() {
             let config = BackendConfig {
@@ -56,7 +56,7 @@
                 work,
                 checks_grants: fencing == Fencing::Checked,
             };
-            let started = BackendServer::start(any(), config).await;
+            let started = BackendServer::start(any_address(), config).await;
             servers.push(started.expect("a port"));
         }
         let named = domains.iter().zip(&servers).zip(1..);
@@ -67,9 +67,9 @@
                 server.address,
             )
         });
-        let servers_rows = named.collect();
-        let mut rows = sample(&Sample {
-            servers: servers_rows,
+        let server_configs = named.collect();
+        let mut rows = sample_rows(&SampleConfig {
+            servers: server_configs,
             fencing,
         });
         for row in &mut rows {
@@ -82,7 +82,7 @@
         names.sort();
         names.dedup();
         rows.extend(names.into_iter().map(domain_row));
-        commit(&platform.memory, "test", rows).await;
+        commit_rows(&platform.memory, "test", rows).await;
         Self { platform, servers }
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Shards that are changing hands.
-    pub async fn moving(&self) -> usize {
+    pub async fn moving_shards(&self) -> usize {
         let rows = self.changes().await.rows;
         let blocks = rows.into_iter().filter_map(|(_, _, row)| match row {
             Some(Row::Block(block)) => Some(block),
@@ -140,31 +140,35 @@
     }
 
     /// Waits until a server owns nothing; tells how long that took.
-    pub async fn until_empty(&self, server: &str) -> Duration {
-        let begun = Instant::now();
+    pub async fn wait_until_empty(&self, server: &str) -> Duration {
+        let started = Instant::now();
         while self.shards_of(server).await > 0 {
             let left = self.shards_of(server).await;
-            assert!(begun.elapsed() < PATIENCE, "{server} still owns {left}");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "{server} still owns {left}"
+            );
             sleep(Duration::from_millis(10)).await;
         }
-        begun.elapsed()
+        started.elapsed()
     }
 
     /// Sets a server's row to draining, as an operator does.
     pub async fn drain(&self, server: &str) {
-        let drained = |row: &mut Row| match row {
+        let set_draining = |row: &mut Row| match row {
             Row::Server(row) if row.name.id() == server => {
                 row.state = ServerState::Draining;
                 true
             }
             _ => false,
         };
-        self.edit(&format!("drain/{server}"), drained).await;
+        self.update_row(&format!("drain/{server}"), set_draining)
+            .await;
     }
 
     /// States that a failure domain is dead, as an operator does.
     pub async fn declare_lost(&self, domain: &str, by: &str) {
-        let lost = |row: &mut Row| match row {
+        let set_lost = |row: &mut Row| match row {
             Row::Domain(row) if row.name.as_str() == domain => {
                 let declared_by = by.to_string();
                 row.state = DomainState::Lost { declared_by };
@@ -172,11 +176,11 @@
             }
             _ => false,
         };
-        self.edit(&format!("lost/{domain}"), lost).await;
+        self.update_row(&format!("lost/{domain}"), set_lost).await;
     }
 
     /// Changes the row that `change` takes.
-    async fn edit(&self, writer: &str, change: impl Fn(&mut Row) -> bool) {
+    async fn update_row(&self, writer: &str, change: impl Fn(&mut Row) -> bool) {
         let store = LaneStore::new(self.platform.memory.clone(), writer.to_string());
         let rows = self.changes().await.rows;
         let found = rows.into_iter().find_map(|(key, expect, row)| {
@@ -198,14 +202,14 @@
     /// Starts an instance that reaches the platform directly.
     pub async fn instance(&self, name: &str, domain: &str) -> Instance {
         let instance = Instance::start(name, domain, self.platform.address);
-        until_serving(instance.traffic).await;
+        wait_until_serving(instance.traffic).await;
         instance
     }
 }
 
 /// Waits until an instance answers requests for keys of all servers.
-pub async fn until_serving(instance: SocketAddr) {
-    let begun = Instant::now();
+pub async fn wait_until_serving(instance: SocketAddr) {
+    let started = Instant::now();
     let mut keys = JoinSet::new();
     for key in 0..24 {
         keys.spawn(async move {
@@ -214,8 +218,8 @@
                 .await
                 .is_ok_and(|reply| reply.status.is_success())
             {
-                let waited = begun.elapsed();
-                assert!(waited < PATIENCE, "{instance} does not serve {path}");
+                let waited = started.elapsed();
+                assert!(waited < WAIT_TIMEOUT, "{instance} does not serve {path}");
                 sleep(Duration::from_millis(25)).await;
             }
         });
--- a/crates/citronproxy/tests/support/embedded.rs
+++ b/crates/citronproxy/tests/support/embedded.rs
@@ -1,7 +1,7 @@
 //! An instance within the test, whose state the test can look at.
 
 use {
-    super::any,
+    super::any_address,
     citron_core::{id::Incarnation, membership::Member},
     citron_ports::{HttpServers, LaneStore, Memory},
     citronproxy::{
@@ -13,16 +13,16 @@
 };
 
 /// One traffic thread and control, which runs in the test's `LocalSet`.
-pub struct Inside {
+pub struct EmbeddedInstance {
     pub control: Control<LaneStore<Memory>>,
     pub workers: Workers,
 }
 
-impl Inside {
+impl EmbeddedInstance {
     /// Starts it over the platform's memory.
     pub async fn start(name: &str, domain: &str, memory: &Memory) -> Self {
         let (handle, clock) = (TrafficHandle::default(), Clock::start());
-        let workers = traffic::start(any(), 1, &handle, clock).expect("threads start");
+        let workers = traffic::start(any_address(), 1, &handle, clock).expect("threads start");
         let instance = name.parse().expect("a name");
         let member = Member {
             instance,
@@ -32,9 +32,9 @@
             member,
             domain: domain.parse().expect("a name"),
             traffic: workers.address,
-            peer: any(),
+            peer: any_address(),
             advertise: None,
-            admin: any(),
+            admin: any_address(),
             seeds: Vec::new(),
         };
         let metrics = ControlMetrics::new(&Registry::new()).expect("valid names");
--- a/crates/citronproxy/tests/support/instance.rs
+++ b/crates/citronproxy/tests/support/instance.rs
@@ -12,7 +12,7 @@
 /// The admin token of every instance.
 pub const TOKEN: &str = "a-token-for-tests";
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
 /// A running instance; killed when dropped.
 pub struct Instance {
@@ -30,8 +30,13 @@
     }
 
     /// As [`Self::start`], with more settings, each as `, "name": value`.
-    pub fn start_with(name: &str, domain: &str, platform: SocketAddr, more: &str) -> Self {
-        let (file, mut child) = spawn(name, domain, platform, more, Stdio::inherit());
+    pub fn start_with(
+        name: &str,
+        domain: &str,
+        platform: SocketAddr,
+        extra_settings: &str,
+    ) -> Self {
+        let (file, mut child) = spawn(name, domain, platform, extra_settings, Stdio::inherit());
         let stdout = child.stdout.take().expect("stdout");
         let mut lines = BufReader::new(stdout);
         Self {
@@ -44,12 +49,12 @@
     }
 
     /// Starts the binary and waits for its end: its exit code and what it said.
-    pub fn refused(name: &str, domain: &str, platform: SocketAddr) -> (Option<i32>, String) {
+    pub fn start_refused(name: &str, domain: &str, platform: SocketAddr) -> (Option<i32>, String) {
         let (file, child) = spawn(name, domain, platform, "", Stdio::piped());
         let output = child.wait_with_output().expect("its end");
         let _ = fs::remove_file(file);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        (output.status.code(), said)
+        let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
+        (output.status.code(), stderr_text)
     }
 }
 
@@ -57,16 +62,16 @@
     name: &str,
     domain: &str,
     platform: SocketAddr,
-    more: &str,
+    extra_settings: &str,
     stderr: Stdio,
 ) -> (PathBuf, Child) {
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("citron-{}-{number}.json", std::process::id()));
     let settings = format!(
         r#"{{ // written by a test
             "instance": "{name}", "domain": "{domain}", "platform": "{platform}",
             "traffic": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0",
-            "threads": 2, "token": "{TOKEN}"{more} }}"#
+            "threads": 2, "token": "{TOKEN}"{extra_settings} }}"#
     );
     fs::write(&file, settings).expect("settings file");
     let child = Command::new(env!("CARGO_BIN_EXE_citronproxy"))
--- a/crates/citronproxy/tests/support/mod.rs
+++ b/crates/citronproxy/tests/support/mod.rs
@@ -5,23 +5,23 @@
 mod admin;
 mod call;
 mod callers;
-mod deployment;
 mod crashing_server;
-mod relay;
+mod data_path;
+mod deployment;
 mod embedded;
 mod instance;
-mod data_path;
+mod relay;
 mod rows;
 
 pub use {
-    admin::{Called, Operator, server_row, starting_rows},
+    admin::{CallResult, Operator, server_row, starting_rows},
     call::{Reply, call, get, post},
-    callers::{Callers, Told, check_owners, check_told, longest_gap},
-    deployment::{Deployment, any, until_serving},
-    crashing_server::Fragile,
-    relay::Gate,
-    embedded::Inside,
+    callers::{CallRecord, Callers, check_outcomes, check_single_owner, longest_gap},
+    crashing_server::CrashingServer,
+    data_path::{DataPath, TEST_TIMEOUT, read_all},
+    deployment::{Deployment, any_address, wait_until_serving},
+    embedded::EmbeddedInstance,
     instance::{Instance, TOKEN},
-    data_path::{LONG, Path, read_all},
-    rows::{Sample, commit, domain_row, sample},
+    relay::Relay,
+    rows::{SampleConfig, commit_rows, domain_row, sample_rows},
 };
--- a/crates/citronproxy/tests/support/relay.rs
+++ b/crates/citronproxy/tests/support/relay.rs
@@ -10,19 +10,19 @@
 };
 
 /// Passes connections on while open; closing cuts those under way as well.
-pub struct Gate {
+pub struct Relay {
     pub address: SocketAddr,
     open: watch::Sender<bool>,
 }
 
-impl Gate {
+impl Relay {
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (open, state) = watch::channel(true);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(relay(stream, target, state.clone()));
+                tokio::spawn(forward(stream, target, state.clone()));
             }
         });
         Self { address, open }
@@ -33,7 +33,7 @@
     }
 }
 
-async fn relay(mut stream: TcpStream, target: SocketAddr, mut state: watch::Receiver<bool>) {
+async fn forward(mut stream: TcpStream, target: SocketAddr, mut state: watch::Receiver<bool>) {
     if !*state.borrow() {
         return;
     }
--- a/crates/citronproxy/tests/support/rows.rs
+++ b/crates/citronproxy/tests/support/rows.rs
@@ -14,7 +14,7 @@
 };
 
 /// What a sample deployment looks like.
-pub struct Sample {
+pub struct SampleConfig {
     /// Backend servers: name, failure domain, address.
     pub servers: Vec<(String, String, SocketAddr)>,
     /// Whether they check grants.
@@ -23,7 +23,7 @@
 
 /// A service `kegs` under `/kegs`, keyed by the second path segment, with 64
 /// shards dealt out in turn.
-pub fn sample(sample: &Sample) -> Vec<Row> {
+pub fn sample_rows(config: &SampleConfig) -> Vec<Row> {
     let shard_bits = ShardBits::new(6).expect("few shards");
     let service = ServiceRow {
         name: "kegs".parse().expect("a name"),
@@ -45,7 +45,7 @@
             slow_per_million: 10_000,
         },
     };
-    let names: Vec<ServerName> = sample
+    let names: Vec<ServerName> = config
         .servers
         .iter()
         .map(|(name, _, _)| name.parse().expect("a name"))
@@ -59,7 +59,7 @@
             .collect(),
     };
     let mut rows = vec![Row::Service(service), Row::Block(block)];
-    for (name, domain, address) in &sample.servers {
+    for (name, domain, address) in &config.servers {
         rows.push(Row::Server(ServerRow {
             name: name.parse().expect("a name"),
             service: "kegs".parse().expect("a name"),
@@ -69,7 +69,7 @@
             rate_cap: None,
             slots: Slots(4),
             max_connections: 100,
-            fencing: sample.fencing,
+            fencing: config.fencing,
             state: ServerState::Active,
         }));
     }
@@ -86,7 +86,7 @@
 }
 
 /// Writes rows that are not there yet.
-pub async fn commit(memory: &Memory, writer: &str, rows: Vec<Row>) {
+pub async fn commit_rows(memory: &Memory, writer: &str, rows: Vec<Row>) {
     let store = LaneStore::new(memory.clone(), writer.to_string());
     let writes = rows.into_iter().map(|row| Write {
         key: row.key(),
--- a/crates/core/examples/fleet_cost.rs
+++ b/crates/core/examples/fleet_cost.rs
@@ -20,7 +20,7 @@
 
 const INSTANCES: [usize; 7] = [12, 86, 195, 300, 1_000, 2_000, 4_400];
 /// Slices of a part at most, as the planner writes them.
-const SLICES_MAX: usize = 64;
+const MAX_SLICES: usize = 64;
 
 fn main() {
     println!("| instances | step | ms | allocations |");
@@ -40,7 +40,7 @@
 
 impl Fleet {
     fn new(instances: usize) -> Self {
-        let book = LeaseTracker::new(LeaseTimes::STANDARD, at(0));
+        let leases = LeaseTracker::new(LeaseTimes::STANDARD, at(0));
         let capacity = |number| Capacity {
             server: name(number),
             rate: 10.0,
@@ -50,39 +50,41 @@
             instances,
             registry: Registry::new(RegistryTimes::STANDARD),
             capacities: (0..instances * 7).map(capacity).collect(),
-            reconciler: Reconciler::new(RangeMap::new(), book),
+            reconciler: Reconciler::new(RangeMap::new(), leases),
             clock: StoreClock::default(),
         }
     }
 
     fn run(mut self) {
-        self.step("take in all entries", |fleet| {
+        self.measure_step("take in all entries", |fleet| {
             (0..fleet.instances * 10).for_each(|n| fleet.registry.apply_entry(entry(n), at(0)));
             fleet.registry.server_lists();
         });
-        self.step("take in one entry, make lists anew", |fleet| {
+        self.measure_step("take in one entry, make lists anew", |fleet| {
             fleet.registry.apply_entry(entry(7), at(10));
             fleet.registry.server_lists();
         });
-        self.step("deal all keys, grant them", Self::deal);
-        self.step("plan, nothing to do", |fleet| fleet.plan(at(2_000)));
-        self.step("orders, nothing due", |fleet| fleet.orders(at(2_000)));
-        self.step("orders, all due, 40 sent", |fleet| fleet.orders(at(9_000)));
+        self.measure_step("deal all keys, grant them", Self::assign_all);
+        self.measure_step("plan, nothing to do", |fleet| fleet.plan(at(2_000)));
+        self.measure_step("orders, nothing due", |fleet| fleet.issue_orders(at(2_000)));
+        self.measure_step("orders, all due, 40 sent", |fleet| {
+            fleet.issue_orders(at(9_000))
+        });
         let map = self.reconciler.map().clone();
-        let mut parted = PartitionedMap::default();
-        self.step("divide a map into parts", |_| {
-            for range in partition_ranges(&map, &PartitionedMap::default(), SLICES_MAX) {
+        let mut partitions = PartitionedMap::default();
+        self.measure_step("divide a map into parts", |_| {
+            for range in partition_ranges(&map, &PartitionedMap::default(), MAX_SLICES) {
                 let slices = map.slices_in(range);
                 let version = 1;
-                parted.insert(MapPartition {
+                partitions.insert(MapPartition {
                     range,
                     version,
                     slices,
                 });
             }
         });
-        let mut copy = parted.clone();
-        self.step("take in one part", |_| {
+        let mut copy = partitions.clone();
+        self.measure_step("take in one part", |_| {
             let range = copy.ranges().next().unwrap_or(KeyRange::ALL);
             let slices = map.slices_in(range);
             let version = 2;
@@ -92,21 +94,21 @@
                 slices,
             });
         });
-        self.step("find the owner of a key", |_| {
-            assert!(parted.slice(RangeKey(40_000)).is_some());
+        self.measure_step("find the owner of a key", |_| {
+            assert!(partitions.slice(RangeKey(40_000)).is_some());
         });
     }
 
-    fn step(&mut self, what: &str, work: impl FnOnce(&mut Self)) {
-        let mut spent = Duration::ZERO;
+    fn measure_step(&mut self, label: &str, work: impl FnOnce(&mut Self)) {
+        let mut elapsed = Duration::ZERO;
         let info = measure(|| {
-            let begun = Instant::now();
+            let started = Instant::now();
             work(self);
-            spent = begun.elapsed();
+            elapsed = started.elapsed();
         });
-        let (instances, millis) = (self.instances, spent.as_secs_f64() * 1_000.0);
+        let (instances, millis) = (self.instances, elapsed.as_secs_f64() * 1_000.0);
         println!(
-            "| {instances} | {what} | {millis:.3} | {} |",
+            "| {instances} | {label} | {millis:.3} | {} |",
             info.count_total
         );
     }
@@ -123,11 +125,11 @@
             .plan(now, &self.clock, registry, &mut balance, scope);
     }
 
-    fn orders(&mut self, now: Time) {
+    fn issue_orders(&mut self, now: Time) {
         self.reconciler.orders(now, &self.clock, &self.registry);
     }
 
-    fn deal(&mut self) {
+    fn assign_all(&mut self) {
         self.plan(at(1_000));
         loop {
             let now = at(1_000);
@@ -153,12 +155,12 @@
 }
 
 fn entry(number: usize) -> ServerEntry {
-    let keyed = number % 10 < 7;
-    let name = match keyed {
+    let is_keyed = number % 10 < 7;
+    let name = match is_keyed {
         true => name(number / 10 * 7 + number % 10),
         false => name(1_000_000 + number),
     };
-    let service = if keyed { "keyed" } else { "other" }.parse();
+    let service = if is_keyed { "keyed" } else { "other" }.parse();
     let domain = "east".parse();
     ServerEntry {
         name,
--- a/crates/core/examples/policy_cost.rs
+++ b/crates/core/examples/policy_cost.rs
@@ -26,7 +26,7 @@
 const ROUNDS: u64 = 1_000_000;
 const INSTANCES: usize = 10;
 const SERVERS: usize = 20;
-const HOLD: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 fn main() {
     println!(
@@ -34,18 +34,18 @@
         size_of::<AdmissionController>(),
         size_of::<RetryState>()
     );
-    measure("attempt, one try", attempt());
-    measure("gate, a free slot", free_gate());
-    measure("gate, shed by a full queue", full_gate());
+    measure("attempt, one try", retry());
+    measure("gate, a free slot", admit_free());
+    measure("gate, shed by a full queue", shed_full());
     measure("health, check and answer", health());
-    measure("crash log, with 256 entries", crash());
-    measure("a part from ten reports", part());
+    measure("crash log, with 256 entries", crash_check());
+    measure("a part from ten reports", quota());
 }
 
 fn measure(name: &str, mut round: impl FnMut(u64)) {
-    let begun = Instant::now();
+    let started = Instant::now();
     (0..ROUNDS).for_each(&mut round);
-    let nanos = begun.elapsed().as_nanos() as f64 / ROUNDS as f64;
+    let nanos = started.elapsed().as_nanos() as f64 / ROUNDS as f64;
     println!("{name}: {nanos:.0} ns");
 }
 
@@ -58,7 +58,7 @@
     (0..SERVERS).map(name).collect()
 }
 
-fn attempt() -> impl FnMut(u64) {
+fn retry() -> impl FnMut(u64) {
     let mut retries = RetryPolicy::new(BudgetConfig::STANDARD, 1);
     move |round| {
         let kind = RequestKind {
@@ -77,29 +77,29 @@
     }
 }
 
-fn free_gate() -> impl FnMut(u64) {
-    let mut gate =
+fn admit_free() -> impl FnMut(u64) {
+    let mut admission =
         AdmissionController::new(AdmissionConfig::STANDARD, SlotShare::new(4.0), Time::ZERO);
     move |round| {
-        let admitted = gate.admit(Ticket(round), at(round + 1_000), at(round));
+        let admitted = admission.admit(Ticket(round), at(round + 1_000), at(round));
         assert_eq!(admitted, Admission::Start);
-        gate.end(ReleaseReason::Answered, HOLD, at(round));
-        black_box(gate.next(at(round)));
+        admission.end(ReleaseReason::Answered, SERVICE_TIME, at(round));
+        black_box(admission.next(at(round)));
     }
 }
 
-fn full_gate() -> impl FnMut(u64) {
+fn shed_full() -> impl FnMut(u64) {
     let config = AdmissionConfig {
         wait_max: Duration::from_secs(3_600),
         ..AdmissionConfig::STANDARD
     };
-    let mut gate = AdmissionController::new(config, SlotShare::new(4.0), Time::ZERO);
+    let mut admission = AdmissionController::new(config, SlotShare::new(4.0), Time::ZERO);
     let far = at(u64::MAX / 2_000);
     for ticket in 0..68 {
-        gate.admit(Ticket(ticket), far, Time::ZERO);
+        admission.admit(Ticket(ticket), far, Time::ZERO);
     }
     move |round| {
-        let shed = gate.admit(Ticket(round + 100), far, at(round));
+        let shed = admission.admit(Ticket(round + 100), far, at(round));
         assert!(matches!(shed, Admission::Shed { .. }));
     }
 }
@@ -111,36 +111,36 @@
     move |round| {
         let name = &names[round as usize % SERVERS];
         black_box(pool.check(name, true, at(round)));
-        pool.record_success(name, HOLD, at(round));
+        pool.record_success(name, SERVICE_TIME, at(round));
     }
 }
 
-fn crash() -> impl FnMut(u64) {
-    let mut log = CrashTracker::new(CrashConfig::STANDARD);
+fn crash_check() -> impl FnMut(u64) {
+    let mut crash_tracker = CrashTracker::new(CrashConfig::STANDARD);
     let server = &servers()[0];
     for number in 0..CrashConfig::STANDARD.max_entries as u64 {
-        log.record_crash(Fingerprint(number), "GET /", server, Time::ZERO);
+        crash_tracker.record_crash(Fingerprint(number), "GET /", server, Time::ZERO);
     }
     move |round| {
-        let print = Fingerprint::from_parts(&[b"GET", b"/sets/7", &round.to_le_bytes()]);
-        black_box(log.refused_for(print, Time::ZERO));
+        let fingerprint = Fingerprint::from_parts(&[b"GET", b"/sets/7", &round.to_le_bytes()]);
+        black_box(crash_tracker.refused_for(fingerprint, Time::ZERO));
     }
 }
 
-fn part() -> impl FnMut(u64) {
+fn quota() -> impl FnMut(u64) {
     let demand = Demand {
         arrivals: Rate(30.0),
         answers: Rate(20.0),
     };
     let names = servers();
-    let mut book = DemandTracker::default();
+    let mut demand_tracker = DemandTracker::default();
     for peer in 1..INSTANCES {
         let from = format!("instance-{peer}").parse().expect("a valid name");
         let demands = names.iter().map(|name| (name.clone(), demand));
-        book.record(from, demands.collect(), Time::ZERO);
+        demand_tracker.record(from, demands.collect(), Time::ZERO);
     }
     move |round| {
         let name = &names[round as usize % SERVERS];
-        black_box(book.quota(name, Slots(4), None, demand, INSTANCES, Time::ZERO));
+        black_box(demand_tracker.quota(name, Slots(4), None, demand, INSTANCES, Time::ZERO));
     }
 }
--- a/crates/core/examples/shard_cost.rs
+++ b/crates/core/examples/shard_cost.rs
@@ -22,7 +22,7 @@
 };
 
 /// Shards of one server.
-const SHARDS_SERVER: u32 = 64;
+const SHARDS_PER_SERVER: u32 = 64;
 const LOOKUPS: u64 = 2_000_000;
 
 fn main() {
@@ -33,7 +33,7 @@
 
 fn measure(bits: u8) {
     let shards = 1_u32 << bits;
-    let before = resident();
+    let before = resident_bytes();
     let mut table = Table::default();
     let changes = Changes {
         since: Revision(0),
@@ -41,19 +41,19 @@
         rows: rows(bits),
     };
     table.apply(changes).expect("from the start");
-    let with_table = resident();
-    let begun = Instant::now();
+    let with_table = resident_bytes();
+    let started = Instant::now();
     let map = RouteMap::build(&table);
-    let built = begun.elapsed();
-    let with_map = resident();
-    let block = one_block(&mut table, &map);
+    let build_time = started.elapsed();
+    let with_map = resident_bytes();
+    let block_update = time_block_update(&mut table, &map);
     println!(
         "{shards:>7}  {:>12.1}  {:>11.1}  {:>14.1}  {:>12.2}  {:>9.1}",
         per_shard(with_table - before, shards),
         per_shard(with_map - with_table, shards),
-        built.as_nanos() as f64 / f64::from(shards),
-        block.as_secs_f64() * 1e3,
-        lookup(&map),
+        build_time.as_nanos() as f64 / f64::from(shards),
+        block_update.as_secs_f64() * 1e3,
+        time_lookup(&map),
     );
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// From a changed block to the next map.
-fn one_block(table: &mut Table, map: &RouteMap) -> Duration {
+fn time_block_update(table: &mut Table, map: &RouteMap) -> Duration {
     let (key, row) = block(0, 2);
     let changed = [key.clone()];
     let changes = Changes {
@@ -70,20 +70,20 @@
         revision: Revision(2),
         rows: vec![(key, Revision(2), Some(row))],
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     table.apply(changes).expect("next");
     black_box(map.with_changes(table, &changed));
-    begun.elapsed()
+    started.elapsed()
 }
 
-fn lookup(map: &RouteMap) -> f64 {
-    let begun = Instant::now();
+fn time_lookup(map: &RouteMap) -> f64 {
+    let started = Instant::now();
     for number in 0..LOOKUPS {
         let service = map.service("any", "/kegs/1").expect("the service");
         let key = KeyHash(number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         black_box(service.route(key));
     }
-    begun.elapsed().as_nanos() as f64 / LOOKUPS as f64
+    started.elapsed().as_nanos() as f64 / LOOKUPS as f64
 }
 
 fn service_name() -> ServiceName {
@@ -97,7 +97,7 @@
 fn rows(bits: u8) -> Vec<(RowKey, Revision, Option<Row>)> {
     let shards = 1_u32 << bits;
     let mut rows = vec![Row::Service(service(bits))];
-    rows.extend((0..shards / SHARDS_SERVER).map(|number| Row::Server(server(number))));
+    rows.extend((0..shards / SHARDS_PER_SERVER).map(|number| Row::Server(server(number))));
     let blocks = (0..shards / SHARDS_PER_BLOCK).map(|number| block(number, 1).1);
     rows.extend(blocks);
     rows.into_iter()
@@ -107,7 +107,8 @@
 
 fn block(number: u32, epoch: u64) -> (RowKey, Row) {
     let first = number * SHARDS_PER_BLOCK;
-    let owner = |shard: u32| Assignment::owned(server_name(shard / SHARDS_SERVER), Epoch(epoch));
+    let owner =
+        |shard: u32| Assignment::owned(server_name(shard / SHARDS_PER_SERVER), Epoch(epoch));
     let row = Row::Block(BlockRow {
         service: service_name(),
         block: BlockId(number),
@@ -155,7 +156,7 @@
 }
 
 /// Resident memory of this process, in bytes.
-fn resident() -> i64 {
+fn resident_bytes() -> i64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| {
--- a/crates/core/tests/alternatives/cluster.rs
+++ b/crates/core/tests/alternatives/cluster.rs
@@ -1,7 +1,7 @@
 //! Rows, keys and load of a cluster of today's size.
 
 use {
-    super::scenario::{DOMAINS, Scenario, VICTIM},
+    super::scenario::{DOMAINS, Scenario, TARGET},
     citron_core::{
         id::{
             Incarnation, KeyHash, Revision, ServerName, ServiceName, ShardBits, ShardId, Slots,
@@ -17,21 +17,21 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
-pub const SERVERS: usize = 20;
-pub const SHARDS: usize = 256;
-pub const KEYS: usize = 10_000;
+pub const SERVER_COUNT: usize = 20;
+pub const SHARD_COUNT: usize = 256;
+pub const KEY_COUNT: usize = 10_000;
 /// The service's deadline: what a silent instance's last request may take.
 pub const DEADLINE: Duration = Duration::from_secs(2);
-const BITS: u8 = 8;
+const SHARD_BITS: u8 = 8;
 /// Exponent of the keys' zipf load. At 0.99 the hottest key alone is more than
 /// a server's share, which would hide what the ways do to the imbalance.
-const ZIPF: f64 = 0.8;
-const TOTAL: f64 = 60_000_000.0;
+const ZIPF_EXPONENT: f64 = 0.8;
+const TOTAL_LOAD: f64 = 60_000_000.0;
 /// Rank of the key that turns hot, and its load then: two fifths of a server's.
-const HOT_RANK: usize = 5_000;
-const HOT_LOAD: u64 = 1_200_000;
+const HOT_KEY_RANK: usize = 5_000;
+const HOT_KEY_LOAD: u64 = 1_200_000;
 
-pub fn service() -> ServiceName {
+pub fn service_name() -> ServiceName {
     "balances".parse().unwrap()
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// The number that a name was made of.
-pub fn number(name: &str) -> usize {
+pub fn parse_number(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
 
@@ -51,7 +51,7 @@
 pub fn server_row(number: usize) -> ServerRow {
     ServerRow {
         name: server_name(number),
-        service: service(),
+        service: service_name(),
         domain: format!("domain-{}", number % DOMAINS).parse().unwrap(),
         address: address(),
         weight: Weight(100),
@@ -77,8 +77,8 @@
 }
 
 fn domain_row(number: usize, instances: usize) -> DomainRow {
-    let own = (0..instances).filter(|instance| instance % DOMAINS == number);
-    let confirmers = own.map(instance_row).map(|row| Confirmer {
+    let local = (0..instances).filter(|instance| instance % DOMAINS == number);
+    let confirmers = local.map(instance_row).map(|row| Confirmer {
         instance: row.id,
         incarnation: row.incarnation,
     });
@@ -91,13 +91,13 @@
 
 fn service_row(grace: Duration) -> ServiceRow {
     ServiceRow {
-        name: service(),
+        name: service_name(),
         operator: "authority".parse().unwrap(),
         hosts: Vec::new(),
         prefix: "/".to_string(),
         key_source: KeySource::Segment(0),
         idempotent_methods: Vec::new(),
-        shard_bits: ShardBits::new(BITS).unwrap(),
+        shard_bits: ShardBits::new(SHARD_BITS).unwrap(),
         deadline: DEADLINE,
         grace,
         move_budget: MoveBudget {
@@ -113,18 +113,18 @@
 }
 
 /// The table at the begin of a run.
-pub fn table(instances: usize, grace: Duration) -> Rc<Table> {
+pub fn initial_table(instances: usize, grace: Duration) -> Rc<Table> {
     let service = service_row(grace);
-    let servers: Vec<ServerRow> = (0..SERVERS).map(server_row).collect();
-    let dealt: Vec<&ServerRow> = servers.iter().collect();
-    let blocks = initial_blocks(&service, &dealt, "1".parse().unwrap());
+    let servers: Vec<ServerRow> = (0..SERVER_COUNT).map(server_row).collect();
+    let server_refs: Vec<&ServerRow> = servers.iter().collect();
+    let blocks = initial_blocks(&service, &server_refs, "1".parse().unwrap());
     let mut rows: Vec<Row> = blocks.into_iter().map(Row::Block).collect();
     rows.push(Row::Service(service));
     rows.extend(servers.into_iter().map(Row::Server));
     rows.extend((0..instances).map(|n| Row::Instance(instance_row(n))));
     rows.extend((0..DOMAINS).map(|n| Row::Domain(domain_row(n, instances))));
     let mut table = Rc::new(Table::default());
-    put(
+    write_rows(
         &mut table,
         rows.into_iter().map(|row| (row.key(), Some(row))),
     );
@@ -132,7 +132,7 @@
 }
 
 /// Writes rows as one new revision.
-pub fn put(
+pub fn write_rows(
     table: &mut Rc<Table>,
     rows: impl Iterator<Item = (citron_core::table::RowKey, Option<Row>)>,
 ) {
@@ -148,79 +148,79 @@
 
 /// Commits as the platform does: all rows, or none if one has changed.
 pub fn commit(table: &mut Rc<Table>, commit: Commit) {
-    let found = |key| table.get(key).map_or(Revision(0), |row| row.version);
-    if commit.writes.iter().all(|w| found(&w.key) == w.expect) {
-        put(table, commit.writes.into_iter().map(|w| (w.key, w.row)));
+    let version_of = |key| table.get(key).map_or(Revision(0), |row| row.version);
+    if commit.writes.iter().all(|w| version_of(&w.key) == w.expect) {
+        write_rows(table, commit.writes.into_iter().map(|w| (w.key, w.row)));
     }
 }
 
 /// The operator's edit of a scenario, if it has one.
-pub fn edit(scenario: Scenario) -> Option<Row> {
+pub fn operator_edit(scenario: Scenario) -> Option<Row> {
     match scenario {
-        Scenario::Leaving | Scenario::InstanceCut => Some(Row::Server(ServerRow {
+        Scenario::ServerLeaving | Scenario::InstanceCutOff => Some(Row::Server(ServerRow {
             state: ServerState::Draining,
-            ..server_row(VICTIM)
+            ..server_row(TARGET)
         })),
-        Scenario::ColdServer => Some(Row::Server(server_row(SERVERS))),
+        Scenario::ColdServer => Some(Row::Server(server_row(SERVER_COUNT))),
         _ => None,
     }
 }
 
 /// Keys, and the load of shards and of the key that turns hot.
-pub struct Keys {
+pub struct KeyLoads {
     /// How many keys each shard has.
-    pub counts: Vec<usize>,
+    pub keys_per_shard: Vec<usize>,
     /// The key that turns hot.
-    pub hot: KeyHash,
+    pub hot_key: KeyHash,
     /// Its load.
-    pub heat: u64,
+    pub hot_key_load: u64,
     /// Load of each shard without that key.
-    shards: Vec<u64>,
+    shard_loads: Vec<u64>,
 }
 
-impl Keys {
+impl KeyLoads {
     pub fn new() -> Self {
-        let weights = (1..=KEYS).map(|rank| (rank as f64).powf(-ZIPF));
+        let weights = (1..=KEY_COUNT).map(|rank| (rank as f64).powf(-ZIPF_EXPONENT));
         let sum: f64 = weights.clone().sum();
         let mut keys = Self {
-            counts: vec![0; SHARDS],
-            hot: Self::key(HOT_RANK),
-            heat: 0,
-            shards: vec![0; SHARDS],
+            keys_per_shard: vec![0; SHARD_COUNT],
+            hot_key: Self::key_hash(HOT_KEY_RANK),
+            hot_key_load: 0,
+            shard_loads: vec![0; SHARD_COUNT],
         };
         for (rank, weight) in weights.enumerate() {
-            let load = (weight / sum * TOTAL) as u64;
-            let shard = Self::shard(Self::key(rank));
-            keys.counts[shard] += 1;
+            let load = (weight / sum * TOTAL_LOAD) as u64;
+            let shard = Self::shard_of(Self::key_hash(rank));
+            keys.keys_per_shard[shard] += 1;
             match rank {
-                HOT_RANK => keys.heat = load,
-                _ => keys.shards[shard] += load,
+                HOT_KEY_RANK => keys.hot_key_load = load,
+                _ => keys.shard_loads[shard] += load,
             }
         }
         keys
     }
 
-    fn key(rank: usize) -> KeyHash {
+    fn key_hash(rank: usize) -> KeyHash {
         KeyHash::from_key(format!("set-{rank}").as_bytes())
     }
 
-    pub fn shard(key: KeyHash) -> usize {
-        ShardBits::new(BITS).unwrap().shard_of(key).0 as usize
+    pub fn shard_of(key: KeyHash) -> usize {
+        ShardBits::new(SHARD_BITS).unwrap().shard_of(key).0 as usize
     }
 
     /// Makes the hot key hot.
-    pub fn turn_hot(&mut self) {
-        self.heat = HOT_LOAD;
+    pub fn raise_hot_key(&mut self) {
+        self.hot_key_load = HOT_KEY_LOAD;
     }
 
     /// Load of every shard, and of the hot key if it is out of its own.
-    pub fn scopes(&self, out: bool) -> Vec<(Scope, u64)> {
-        let shards = self.shards.iter().copied().enumerate();
+    pub fn scope_loads(&self, is_extracted: bool) -> Vec<(Scope, u64)> {
+        let shards = self.shard_loads.iter().copied().enumerate();
         let shards = shards.map(|(shard, load)| (Scope::Shard(ShardId(shard as u32)), load));
         let mut scopes: Vec<(Scope, u64)> = shards.collect();
-        match out {
-            true => scopes.push((Scope::Key(self.hot), self.heat)),
-            false => scopes[Self::shard(self.hot)].1 += self.heat,
+        match is_extracted {
+            true => scopes.push((Scope::Key(self.hot_key), self.hot_key_load)),
+            false => scopes[Self::shard_of(self.hot_key)].1 += self.hot_key_load,
         }
         scopes
     }
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        cluster::{Keys, SERVERS, commit, number, service},
+        cluster::{KeyLoads, SERVER_COUNT, commit, parse_number, service_name},
         router::Router,
-        scenario::{FAULT, Net, Scenario},
-        task::Task,
+        scenario::{FAULT_START, FaultState, Scenario},
         strategy::Trial,
+        task::Task,
     },
     citron_core::{
         id::{Revision, ServerName, ShardId},
@@ -26,20 +26,20 @@
 
 /// The pause between two plans for balance; a server lost or gained is planned
 /// for at once.
-const PLAN_PAUSE: Duration = Duration::from_secs(1);
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 /// An instance that the platform lists no more is expelled after so long.
 const EXPEL_AFTER: Duration = Duration::from_secs(10);
 
 pub struct Driver<R: ProtocolRules> {
     pub leader: usize,
     pub moved: usize,
-    roster: Membership<R>,
+    membership: Membership<R>,
     planner: Planner,
-    hot: HotKeyTracker,
+    hot_keys: HotKeyTracker,
     /// The servers of the last plan, and when it was made.
-    planned: (Vec<usize>, Time),
+    last_plan: (Vec<usize>, Time),
     /// The table whose releases have been taken up.
-    known: Revision,
+    scanned_revision: Revision,
     tasks: BTreeMap<Scope, Task<R>>,
 }
 
@@ -48,11 +48,11 @@
         Self {
             leader,
             moved: 0,
-            roster: Membership::new(LeaseDurations::default()),
+            membership: Membership::new(LeaseDurations::default()),
             planner: Planner::default(),
-            hot: HotKeyTracker::default(),
-            planned: (Vec::new(), Time::ZERO),
-            known: Revision(0),
+            hot_keys: HotKeyTracker::default(),
+            last_plan: (Vec::new(), Time::ZERO),
+            scanned_revision: Revision(0),
             tasks: BTreeMap::new(),
         }
     }
@@ -60,63 +60,81 @@
     pub fn step(
         &mut self,
         trial: &Trial,
-        net: &Net,
-        keys: &Keys,
-        (head, routers): (&mut Rc<Table>, &mut [Router]),
+        faults: &FaultState,
+        keys: &KeyLoads,
+        (platform_table, routers): (&mut Rc<Table>, &mut [Router]),
         now: Time,
     ) {
-        self.expel(net, head, now);
-        self.run_movers(trial, net, (head, routers), now);
-        self.plan(&routers[self.leader], keys, head, now);
-        if trial.scenario == Scenario::HotKey && net.begun() {
-            self.cool(keys, head, now);
+        self.expel_lost(faults, platform_table, now);
+        self.run_movers(trial, faults, (platform_table, routers), now);
+        self.plan_moves(&routers[self.leader], keys, platform_table, now);
+        if trial.scenario == Scenario::HotKey && faults.has_started() {
+            self.extract_hot_key(keys, platform_table, now);
         }
     }
 
-    fn expel(&mut self, net: &Net, head: &mut Rc<Table>, now: Time) {
-        self.roster.observe(head, now);
-        let late = net.since.is_some_and(|since| since >= EXPEL_AFTER);
-        for member in members(head) {
-            let gone = late && !net.instance_up(number(member.instance.as_str()));
-            let expel = Membership::<R>::expel(head, &member);
-            if let Some(expel) = expel.filter(|_| gone) {
-                commit(head, expel);
+    fn expel_lost(&mut self, faults: &FaultState, platform_table: &mut Rc<Table>, now: Time) {
+        self.membership.observe(platform_table, now);
+        let is_overdue = faults.elapsed.is_some_and(|since| since >= EXPEL_AFTER);
+        for member in members(platform_table) {
+            let is_gone =
+                is_overdue && !faults.is_instance_up(parse_number(member.instance.as_str()));
+            let expel = Membership::<R>::expel(platform_table, &member);
+            if let Some(expel) = expel.filter(|_| is_gone) {
+                commit(platform_table, expel);
             }
         }
-        for strike in self.roster.remove_expelled(head, now) {
-            commit(head, strike);
+        for removal in self.membership.remove_expelled(platform_table, now) {
+            commit(platform_table, removal);
         }
     }
 
-    fn plan(&mut self, leader: &Router, keys: &Keys, head: &mut Rc<Table>, now: Time) {
-        let usable = usable(leader, head, now).map(|row| number(row.name.id()));
+    fn plan_moves(
+        &mut self,
+        leader: &Router,
+        keys: &KeyLoads,
+        platform_table: &mut Rc<Table>,
+        now: Time,
+    ) {
+        let usable =
+            usable_servers(leader, platform_table, now).map(|row| parse_number(row.name.id()));
         let usable: Vec<usize> = usable.collect();
-        if usable == self.planned.0 && now - self.planned.1 < PLAN_PAUSE {
+        if usable == self.last_plan.0 && now - self.last_plan.1 < PLAN_INTERVAL {
             return;
         }
-        self.planned = (usable, now);
-        let view = view(leader, keys, head, now);
+        self.last_plan = (usable, now);
+        let view = service_view(leader, keys, platform_table, now);
         for proposal in self.planner.plan(&view, now) {
-            let begun = begin_move(head, &service(), proposal.scope, &proposal.to);
-            if let Ok(begun) = begun {
-                commit(head, begun);
+            let release_commit = begin_move(
+                platform_table,
+                &service_name(),
+                proposal.scope,
+                &proposal.to,
+            );
+            if let Ok(release_commit) = release_commit {
+                commit(platform_table, release_commit);
             }
         }
     }
 
     /// Takes the key that has turned hot out of its shard.
-    fn cool(&mut self, keys: &Keys, head: &mut Rc<Table>, now: Time) {
-        let watched = [(keys.hot, Load(keys.heat), is_out(head, keys))];
-        let loads = loads(head, keys);
+    fn extract_hot_key(&mut self, keys: &KeyLoads, platform_table: &mut Rc<Table>, now: Time) {
+        let watched = [(
+            keys.hot_key,
+            Load(keys.hot_key_load),
+            is_extracted(platform_table, keys),
+        )];
+        let loads = server_loads(platform_table, keys);
         let mean = loads.values().sum::<u64>() / loads.len() as u64;
-        let changes = self.hot.update(&watched, Load(mean), now);
-        let emptiest = loads.iter().min_by_key(|(_, load)| **load);
+        let changes = self.hot_keys.update(&watched, Load(mean), now);
+        let least_loaded = loads.iter().min_by_key(|(_, load)| **load);
         for change in changes {
-            if let (HotKeyChange::Extract(key), Some((to, _))) = (change, emptiest) {
+            if let (HotKeyChange::Extract(key), Some((to, _))) = (change, least_loaded) {
                 // Refused while its shard moves; then it is tried again.
-                let begun = begin_move(head, &service(), Scope::Key(key), to);
-                if let Ok(begun) = begun {
-                    commit(head, begun);
+                let release_commit =
+                    begin_move(platform_table, &service_name(), Scope::Key(key), to);
+                if let Ok(release_commit) = release_commit {
+                    commit(platform_table, release_commit);
                 }
             }
         }
@@ -125,41 +143,44 @@
     fn run_movers(
         &mut self,
         trial: &Trial,
-        net: &Net,
-        (head, routers): (&mut Rc<Table>, &mut [Router]),
+        faults: &FaultState,
+        (platform_table, routers): (&mut Rc<Table>, &mut [Router]),
         now: Time,
     ) {
-        self.take_up(head, routers, now);
+        self.resume_moves(platform_table, routers, now);
         let leader = self.leader;
         for task in self.tasks.values_mut() {
-            let acks = task.acks(trial, net, leader, routers, now);
+            let acks = task.acks(trial, faults, leader, routers, now);
             let due = task.mover.next_wakeup().is_some_and(|wake| now >= wake);
             let tick = due.then_some(MoveEvent::Tick);
-            let events = task.reply.take().into_iter().chain(tick);
+            let events = task.pending_event.take().into_iter().chain(tick);
             let events: Vec<MoveEvent> = events.chain(acks).collect();
             for event in events {
-                let actions = task.mover.step(head, event, now);
-                self.moved += task.act(actions, head, routers);
+                let actions = task.mover.step(platform_table, event, now);
+                self.moved += task.apply_actions(actions, platform_table, routers);
             }
         }
         self.tasks.retain(|_, task| !task.mover.is_done());
     }
 
-    fn take_up(&mut self, head: &mut Rc<Table>, routers: &mut [Router], now: Time) {
-        if head.revision() == self.known {
+    fn resume_moves(&mut self, platform_table: &mut Rc<Table>, routers: &mut [Router], now: Time) {
+        if platform_table.revision() == self.scanned_revision {
             return;
         }
-        self.known = head.revision();
-        for (scope, owner) in releasing(head) {
+        self.scanned_revision = platform_table.revision();
+        for (scope, owner) in releasing_scopes(platform_table) {
             if self.tasks.contains_key(&scope) {
                 continue;
             }
-            let spans = LeaseDurations::default();
-            let taken = Mover::<R>::resume(head, &service(), scope, spans, now);
-            let since = assignment(head, &service(), scope).unwrap().version;
-            let (mover, actions) = taken.unwrap();
+            let lease_durations = LeaseDurations::default();
+            let resumed =
+                Mover::<R>::resume(platform_table, &service_name(), scope, lease_durations, now);
+            let since = assignment(platform_table, &service_name(), scope)
+                .unwrap()
+                .version;
+            let (mover, actions) = resumed.unwrap();
             let mut task = Task::new(mover, (owner, since), now);
-            self.moved += task.act(actions, head, routers);
+            self.moved += task.apply_actions(actions, platform_table, routers);
             self.tasks.insert(scope, task);
         }
     }
@@ -173,7 +194,7 @@
     members.collect()
 }
 
-fn releasing(table: &Table) -> Vec<(Scope, usize)> {
+fn releasing_scopes(table: &Table) -> Vec<(Scope, usize)> {
     let mut found = Vec::new();
     for (key, row) in table.rows() {
         let first = match key {
@@ -191,7 +212,7 @@
                 _ => Scope::Shard(ShardId(first + index as u32)),
             };
             if matches!(assigned.phase, Phase::Releasing { .. }) {
-                found.push((scope, number(assigned.owner.id())));
+                found.push((scope, parse_number(assigned.owner.id())));
             }
         }
     }
@@ -199,7 +220,7 @@
 }
 
 /// The servers that are to own something.
-fn active(table: &Table) -> impl Iterator<Item = &ServerRow> {
+fn active_servers(table: &Table) -> impl Iterator<Item = &ServerRow> {
     table.rows().filter_map(|(_, row)| match &row.value {
         Row::Server(row) if row.state == ServerState::Active => Some(row),
         _ => None,
@@ -207,33 +228,33 @@
 }
 
 /// Whether the hot key is owned alone.
-fn is_out(table: &Table, keys: &Keys) -> bool {
-    assignment(table, &service(), Scope::Key(keys.hot)).is_some()
+fn is_extracted(table: &Table, keys: &KeyLoads) -> bool {
+    assignment(table, &service_name(), Scope::Key(keys.hot_key)).is_some()
 }
 
 /// The servers that may own, as the leader sees them.
-fn usable<'a>(
+fn usable_servers<'a>(
     leader: &'a Router,
     table: &'a Table,
     now: Time,
 ) -> impl Iterator<Item = &'a ServerRow> {
-    active(table).filter(move |row| !leader.misses(number(row.name.id()), now))
+    active_servers(table).filter(move |row| !leader.is_lost(parse_number(row.name.id()), now))
 }
 
-fn view(leader: &Router, keys: &Keys, table: &Table, now: Time) -> ServiceView {
-    let usable = usable(leader, table, now);
+fn service_view(leader: &Router, keys: &KeyLoads, table: &Table, now: Time) -> ServiceView {
+    let usable = usable_servers(leader, table, now);
     let servers = usable.map(|row| Candidate {
         name: row.name.clone(),
         weight: row.weight,
-        warmup_percent: match number(row.name.id()) {
-            SERVERS => warmup_percent(Time::ZERO + FAULT, now),
+        warmup_percent: match parse_number(row.name.id()) {
+            SERVER_COUNT => warmup_percent(Time::ZERO + FAULT_START, now),
             _ => 100,
         },
         rate_cap: None,
     });
-    let scopes = keys.scopes(is_out(table, keys)).into_iter();
+    let scopes = keys.scope_loads(is_extracted(table, keys)).into_iter();
     let scopes = scopes.map(|(scope, load)| {
-        let found = assignment(table, &service(), scope).map(|found| found.value);
+        let found = assignment(table, &service_name(), scope).map(|found| found.value);
         ScopeLoad {
             scope,
             owner: found.as_ref().map(|found| found.owner.clone()),
@@ -242,7 +263,7 @@
             is_moving: found.is_some_and(|found| !found.is_routable()),
         }
     });
-    let row = table.get(&RowKey::Service(service()));
+    let row = table.get(&RowKey::Service(service_name()));
     let Some(Row::Service(row)) = row.map(|found| &found.value) else {
         panic!("the service has a row");
     };
@@ -254,11 +275,15 @@
 }
 
 /// Load of each active server, by the owners of the table.
-pub fn loads(table: &Table, keys: &Keys) -> BTreeMap<ServerName, u64> {
-    let mut loads: BTreeMap<ServerName, u64> =
-        active(table).map(|row| (row.name.clone(), 0)).collect();
-    for (scope, load) in keys.scopes(is_out(table, keys)) {
-        let owner = assignment(table, &service(), scope).unwrap().value.owner;
+pub fn server_loads(table: &Table, keys: &KeyLoads) -> BTreeMap<ServerName, u64> {
+    let mut loads: BTreeMap<ServerName, u64> = active_servers(table)
+        .map(|row| (row.name.clone(), 0))
+        .collect();
+    for (scope, load) in keys.scope_loads(is_extracted(table, keys)) {
+        let owner = assignment(table, &service_name(), scope)
+            .unwrap()
+            .value
+            .owner;
         if let Some(sum) = loads.get_mut(&owner) {
             *sum += load;
         }
--- a/crates/core/tests/alternatives/main.rs
+++ b/crates/core/tests/alternatives/main.rs
@@ -8,38 +8,38 @@
 mod modulo;
 mod router;
 mod scenario;
+mod simulation;
 mod stats;
-mod task;
 mod strategy;
-mod simulation;
+mod task;
 
 use {
     citron_core::ownership::{ProductionRules, ProtocolRules},
     modulo::Modulo,
     scenario::Scenario,
+    simulation::Simulation,
     stats::Stats,
     std::{thread, time::Duration},
-    strategy::{Trial, Way},
-    simulation::World,
+    strategy::{Strategy, Trial},
 };
 
 /// The page that reads the table.
 const PAGE: &str = include_str!("../../../../docs/design/ALTERNATIVES.md");
-const HEAD: &str = "\
+const TABLE_HEADER: &str = "\
 | scenario                         | way                 | H, s  | worst, s | mean, s | moved | max/mean, % | overlaps |
 |----------------------------------|---------------------|------:|---------:|--------:|------:|------------:|---------:|";
 
-fn trials() -> Vec<Trial> {
+fn all_trials() -> Vec<Trial> {
     let mut trials = Vec::new();
     for scenario in Scenario::ALL {
-        for way in Way::ALL {
-            for grace in way.graces() {
+        for strategy in Strategy::ALL {
+            for grace in strategy.grace_seconds() {
                 let grace = Duration::from_secs(*grace);
                 trials.push(Trial {
                     scenario,
-                    way,
+                    strategy,
                     grace,
-                    lone: false,
+                    accepts_single_vote: false,
                 });
             }
         }
@@ -48,13 +48,13 @@
 }
 
 fn run(trial: Trial) -> Stats {
-    match trial.way {
-        Way::Modulo => Modulo::run(trial),
-        _ => World::run::<ProductionRules>(trial),
+    match trial.strategy {
+        Strategy::Modulo => Modulo::run(trial),
+        _ => Simulation::run::<ProductionRules>(trial),
     }
 }
 
-fn line(trial: &Trial, stats: &Stats) -> String {
+fn format_row(trial: &Trial, stats: &Stats) -> String {
     let grace = match trial.grace.as_secs() {
         0 => "-".to_string(),
         seconds => seconds.to_string(),
@@ -62,9 +62,9 @@
     format!(
         "| {:32} | {:19} | {grace:>5} | {:8.1} | {:7.1} | {:5} | {:11} | {:8} |",
         trial.scenario.title(),
-        trial.way.title(),
-        stats.worst(),
-        stats.mean(),
+        trial.strategy.title(),
+        stats.worst_outage(),
+        stats.mean_outage(),
         stats.moved,
         stats.imbalance,
         stats.overlaps(),
@@ -75,7 +75,7 @@
 /// that would run requests; the baseline has them whenever its servers change.
 #[test]
 fn strategies_in_focused_scenarios() {
-    let trials = trials();
+    let trials = all_trials();
     let results: Vec<Stats> = thread::scope(|scope| {
         let spawn = |trial: &Trial| {
             let trial = *trial;
@@ -85,15 +85,15 @@
         let results = threads.into_iter().map(|thread| thread.join().unwrap());
         results.collect()
     });
-    let lines = trials.iter().zip(&results).map(|(t, s)| line(t, s));
-    let mut table = vec![HEAD.to_string()];
+    let lines = trials.iter().zip(&results).map(|(t, s)| format_row(t, s));
+    let mut table = vec![TABLE_HEADER.to_string()];
     table.extend(lines);
     let table = table.join("\n");
     assert!(PAGE.contains(&table), "the page shows other figures");
     insta::assert_snapshot!(table);
     for (trial, stats) in trials.iter().zip(&results) {
-        let waits = trial.way != Way::Modulo;
-        assert!(!waits || stats.overlaps() == 0, "{trial:?}");
+        let has_lease = trial.strategy != Strategy::Modulo;
+        assert!(!has_lease || stats.overlaps() == 0, "{trial:?}");
     }
 }
 
@@ -102,19 +102,19 @@
 #[test]
 fn a_mover_that_does_not_wait_makes_two_owners() {
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-    struct Hasty;
-    impl ProtocolRules for Hasty {
+    struct SkippedWait;
+    impl ProtocolRules for SkippedWait {
         fn skips_wait() -> bool {
             true
         }
     }
     let trial = Trial {
-        scenario: Scenario::DomainCut,
-        way: Way::Grace,
+        scenario: Scenario::DomainCutOff,
+        strategy: Strategy::AllAcknowledge,
         grace: Duration::from_secs(30),
-        lone: false,
+        accepts_single_vote: false,
     };
-    assert!(World::run::<Hasty>(trial).overlaps() > 0);
+    assert!(Simulation::run::<SkippedWait>(trial).overlaps() > 0);
 }
 
 /// An instance is cut off alone and would confirm itself by its own vote, while
@@ -122,12 +122,15 @@
 /// owners. Under the rule of way (a') it stops in time.
 #[test]
 fn a_lone_vote_makes_two_owners() {
-    let trial = |lone| Trial {
-        scenario: Scenario::InstanceCut,
-        way: Way::Majority,
+    let trial = |accepts_single_vote| Trial {
+        scenario: Scenario::InstanceCutOff,
+        strategy: Strategy::Majority,
         grace: Duration::from_secs(30),
-        lone,
+        accepts_single_vote,
     };
-    assert_eq!(World::run::<ProductionRules>(trial(false)).overlaps(), 0);
-    assert!(World::run::<ProductionRules>(trial(true)).overlaps() > 0);
+    assert_eq!(
+        Simulation::run::<ProductionRules>(trial(false)).overlaps(),
+        0
+    );
+    assert!(Simulation::run::<ProductionRules>(trial(true)).overlaps() > 0);
 }
--- a/crates/core/tests/alternatives/modulo.rs
+++ b/crates/core/tests/alternatives/modulo.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        cluster::{Keys, SERVERS, SHARDS},
+        cluster::{KeyLoads, SERVER_COUNT, SHARD_COUNT},
         router::LOST_AFTER,
-        scenario::{FAULT, Net, Scenario, VICTIM},
+        scenario::{FAULT_START, FaultState, Scenario, TARGET},
+        simulation::{SEED, STEP, max_over_mean_percent},
         stats::{Routes, Stats},
-        strategy::{Trial, Way},
-        simulation::{SEED, STEP, percent},
+        strategy::{Strategy, Trial},
     },
     citron_core::time::Time,
     rand::{Rng, SeedableRng},
@@ -16,53 +16,58 @@
 };
 
 /// How far apart two instances learn of the same thing.
-const SPREAD: Duration = Duration::from_millis(400);
+const DETECTION_SPREAD: Duration = Duration::from_millis(400);
 
 pub struct Modulo {
     /// The servers that each instance hashes over.
     views: Vec<Vec<usize>>,
-    seen: Vec<Vec<Time>>,
-    lags: Vec<Duration>,
-    hot: usize,
+    last_seen: Vec<Vec<Time>>,
+    detection_lags: Vec<Duration>,
+    hot_shard: usize,
 }
 
 impl Routes for Modulo {
     fn owner(&self, instance: usize, scope: usize) -> Option<usize> {
         let view = &self.views[instance];
-        let shard = if scope == SHARDS { self.hot } else { scope };
+        let shard = if scope == SHARD_COUNT {
+            self.hot_shard
+        } else {
+            scope
+        };
         view.get(shard % view.len().max(1)).copied()
     }
 
-    fn may(&self, _: usize, _: usize) -> bool {
+    fn may_send(&self, _: usize, _: usize) -> bool {
         true
     }
 }
 
 impl Modulo {
     pub fn run(trial: Trial) -> Stats {
-        let mut keys = Keys::new();
+        let mut keys = KeyLoads::new();
         let mut random = ChaCha8Rng::seed_from_u64(SEED);
-        let instances = Way::Modulo.instances();
-        let lag = |_| Duration::from_millis(random.random_range(0..SPREAD.as_millis() as u64));
+        let instances = Strategy::Modulo.instance_count();
+        let detection_lag =
+            |_| Duration::from_millis(random.random_range(0..DETECTION_SPREAD.as_millis() as u64));
         let mut modulo = Self {
             views: vec![Vec::new(); instances],
-            seen: vec![vec![Time::ZERO; SERVERS + 1]; instances],
-            lags: (0..instances).map(lag).collect(),
-            hot: Keys::shard(keys.hot),
+            last_seen: vec![vec![Time::ZERO; SERVER_COUNT + 1]; instances],
+            detection_lags: (0..instances).map(detection_lag).collect(),
+            hot_shard: KeyLoads::shard_of(keys.hot_key),
         };
         if trial.scenario == Scenario::HotKey {
-            keys.turn_hot();
+            keys.raise_hot_key();
         }
         let mut stats = Stats::new();
         let mut now = Time::ZERO;
-        while now < Time::ZERO + FAULT + trial.scenario.lasts() {
-            let net = Net::at(trial.scenario, now);
+        while now < Time::ZERO + FAULT_START + trial.scenario.run_after_fault() {
+            let faults = FaultState::at(trial.scenario, now);
             let before = modulo.owners();
-            modulo.step(&net, now);
-            if net.begun() {
+            modulo.step(&faults, now);
+            if faults.has_started() {
                 let after = modulo.owners();
                 stats.moved += before.iter().zip(&after).filter(|(a, b)| a != b).count();
-                stats.count(&modulo, trial.way, &net, &keys, STEP);
+                stats.record_step(&modulo, trial.strategy, &faults, &keys, STEP);
             }
             now = now + STEP;
         }
@@ -72,38 +77,39 @@
 
     /// Owners as the first instance sees them; no scenario harms it.
     fn owners(&self) -> Vec<Option<usize>> {
-        (0..SHARDS).map(|shard| self.owner(0, shard)).collect()
+        (0..SHARD_COUNT).map(|shard| self.owner(0, shard)).collect()
     }
 
-    fn step(&mut self, net: &Net, now: Time) {
+    fn step(&mut self, faults: &FaultState, now: Time) {
         for instance in 0..self.views.len() {
-            let lag = self.lags[instance];
-            let edited = net.since.is_some_and(|since| since >= lag);
-            let leaving = net.scenario == Scenario::Leaving && edited;
-            let cut = net.scenario == Scenario::InstanceCut && !net.is_alone(instance);
+            let detection_lag = self.detection_lags[instance];
+            let edited = faults.elapsed.is_some_and(|since| since >= detection_lag);
+            let leaving = faults.scenario == Scenario::ServerLeaving && edited;
+            let cut = faults.scenario == Scenario::InstanceCutOff && !faults.is_isolated(instance);
             let leaving = leaving || (cut && edited);
-            let joined = net.scenario == Scenario::ColdServer && edited;
-            let seen = &mut self.seen[instance];
-            for (server, seen) in seen.iter_mut().enumerate() {
-                if net.server_up(server) && net.link(instance, server) {
-                    *seen = now;
+            let joined = faults.scenario == Scenario::ColdServer && edited;
+            let last_seen = &mut self.last_seen[instance];
+            for (server, last_seen) in last_seen.iter_mut().enumerate() {
+                if faults.is_server_up(server) && faults.is_connected(instance, server) {
+                    *last_seen = now;
                 }
             }
-            let wanted = (0..=SERVERS).filter(|server| match *server {
-                SERVERS => joined,
-                VICTIM => !leaving,
+            let expected = (0..=SERVER_COUNT).filter(|server| match *server {
+                SERVER_COUNT => joined,
+                TARGET => !leaving,
                 _ => true,
             });
-            let reached = wanted.filter(|server| now - seen[*server] < LOST_AFTER + lag);
+            let reached =
+                expected.filter(|server| now - last_seen[*server] < LOST_AFTER + detection_lag);
             self.views[instance] = reached.collect();
         }
     }
 
-    fn imbalance(&self, keys: &Keys) -> u64 {
-        let mut loads = [0; SERVERS + 1];
-        for (shard, (_, load)) in keys.scopes(false).into_iter().enumerate() {
+    fn imbalance(&self, keys: &KeyLoads) -> u64 {
+        let mut loads = [0; SERVER_COUNT + 1];
+        for (shard, (_, load)) in keys.scope_loads(false).into_iter().enumerate() {
             loads[self.owner(0, shard).unwrap()] += load;
         }
-        percent(self.views[0].iter().map(|server| loads[*server]).collect())
+        max_over_mean_percent(self.views[0].iter().map(|server| loads[*server]).collect())
     }
 }
