--- a/crates/core/tests/alternatives/simulation.rs
+++ b/crates/core/tests/alternatives/simulation.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        cluster::{self, Keys, edit, number, put},
-        driver::{Driver, loads},
-        router::{READ_PAUSE, Router},
-        scenario::{DOMAINS, FAULT, Net, Scenario},
+        cluster::{self, KeyLoads, operator_edit, parse_number, write_rows},
+        driver::{Driver, server_loads},
+        router::{READ_INTERVAL, Router},
+        scenario::{DOMAINS, FAULT_START, FaultState, Scenario},
         stats::{Routes, Stats},
-        strategy::{Trial, Way},
+        strategy::{Strategy, Trial},
     },
     citron_core::{ownership::ProtocolRules, table::Table, time::Time},
     rand::{Rng, SeedableRng},
@@ -18,124 +18,128 @@
 /// A commit, a read, a probe or a word to another instance takes one step.
 pub const STEP: Duration = Duration::from_millis(100);
 /// An instance whose last read is older leaves planning to the next.
-const LEAD_FOR: Duration = Duration::from_millis(1_200);
+const LEADER_READ_MAX_AGE: Duration = Duration::from_millis(1_200);
 /// Of the phases of the instances' reads.
 pub const SEED: u64 = 4;
 
-pub struct World {
+pub struct Simulation {
     trial: Trial,
     now: Time,
-    head: Rc<Table>,
+    platform_table: Rc<Table>,
     routers: Vec<Router>,
-    keys: Keys,
+    keys: KeyLoads,
 }
 
-impl Routes for World {
+impl Routes for Simulation {
     fn owner(&self, instance: usize, scope: usize) -> Option<usize> {
         self.routers[instance].owner(scope)
     }
 
-    fn may(&self, instance: usize, server: usize) -> bool {
-        self.routers[instance].may(&self.trial, server, self.now)
+    fn may_send(&self, instance: usize, server: usize) -> bool {
+        self.routers[instance].may_send(&self.trial, server, self.now)
     }
 }
 
-impl World {
+impl Simulation {
     fn new(trial: Trial) -> Self {
-        let instances = trial.way.instances();
-        let head = cluster::table(instances, trial.grace);
+        let instances = trial.strategy.instance_count();
+        let platform_table = cluster::initial_table(instances, trial.grace);
         let mut random = ChaCha8Rng::seed_from_u64(SEED);
         let routers = (0..instances).map(|instance| {
-            let phase = random.random_range(0..READ_PAUSE.as_millis() as u64);
-            Router::new(instance, &head, Duration::from_millis(phase))
+            let phase = random.random_range(0..READ_INTERVAL.as_millis() as u64);
+            Router::new(instance, &platform_table, Duration::from_millis(phase))
         });
         Self {
             trial,
             now: Time::ZERO,
             routers: routers.collect(),
-            head,
-            keys: Keys::new(),
+            platform_table,
+            keys: KeyLoads::new(),
         }
     }
 
     pub fn run<R: ProtocolRules>(trial: Trial) -> Stats {
-        let mut world = Self::new(trial);
+        let mut simulation = Self::new(trial);
         let mut driver = Driver::<R>::new(0);
         let mut stats = Stats::new();
-        let mut settled = 0;
-        let mut edited = false;
-        let end = Time::ZERO + FAULT + trial.scenario.lasts();
-        while world.now < end {
-            let net = Net::at(trial.scenario, world.now);
-            if net.begun() && !edited {
-                edited = true;
-                settled = driver.moved;
-                world.edit();
+        let mut moved_before = 0;
+        let mut is_edited = false;
+        let end = Time::ZERO + FAULT_START + trial.scenario.run_after_fault();
+        while simulation.now < end {
+            let faults = FaultState::at(trial.scenario, simulation.now);
+            if faults.has_started() && !is_edited {
+                is_edited = true;
+                moved_before = driver.moved;
+                simulation.apply_edit();
             }
-            world.step_routers(&net);
-            world.lead(&net, &mut driver);
-            if net.begun() {
-                stats.count(&world, trial.way, &net, &world.keys, STEP);
+            simulation.step_routers(&faults);
+            simulation.run_leader(&faults, &mut driver);
+            if faults.has_started() {
+                stats.record_step(&simulation, trial.strategy, &faults, &simulation.keys, STEP);
             }
-            world.now = world.now + STEP;
+            simulation.now = simulation.now + STEP;
         }
-        stats.moved = driver.moved - settled;
-        stats.imbalance = world.imbalance();
+        stats.moved = driver.moved - moved_before;
+        stats.imbalance = simulation.imbalance();
         stats
     }
 
-    fn edit(&mut self) {
-        if let Some(row) = edit(self.trial.scenario) {
-            put(&mut self.head, [(row.key(), Some(row))].into_iter());
+    fn apply_edit(&mut self) {
+        if let Some(row) = operator_edit(self.trial.scenario) {
+            write_rows(
+                &mut self.platform_table,
+                [(row.key(), Some(row))].into_iter(),
+            );
         }
         if self.trial.scenario == Scenario::HotKey {
-            self.keys.turn_hot();
+            self.keys.raise_hot_key();
         }
     }
 
-    fn step_routers(&mut self, net: &Net) {
-        let hot = self.keys.hot;
+    fn step_routers(&mut self, faults: &FaultState) {
+        let hot = self.keys.hot_key;
         for router in &mut self.routers {
-            router.hear(self.trial.way, hot);
+            router.receive_read(self.trial.strategy, hot);
         }
-        if self.trial.way == Way::Majority {
-            self.vote(net);
+        if self.trial.strategy == Strategy::Majority {
+            self.count_votes(faults);
         }
         for router in &mut self.routers {
-            if net.instance_up(router.instance) {
-                router.ask(self.trial.way, net, &self.head, self.now);
-                router.probe(self.trial.way, net, self.now);
+            if faults.is_instance_up(router.instance) {
+                router.start_read(self.trial.strategy, faults, &self.platform_table, self.now);
+                router.probe_servers(self.trial.strategy, faults, self.now);
             }
         }
     }
 
     /// The rounds of way (a'), among the instances of each domain.
-    fn vote(&mut self, net: &Net) {
+    fn count_votes(&mut self, faults: &FaultState) {
         for asker in 0..self.routers.len() {
-            if !self.routers[asker].votes_due() {
+            if !self.routers[asker].is_voting() {
                 continue;
             }
             let own = self.routers[asker].table.revision();
-            let same = |router: &&Router| router.instance % DOMAINS == asker % DOMAINS;
-            let most = match self.trial.lone {
+            let is_same_domain = |router: &&Router| router.instance % DOMAINS == asker % DOMAINS;
+            let voters = match self.trial.accepts_single_vote {
                 true => 0,
-                false => self.routers.iter().filter(same).count(),
+                false => self.routers.iter().filter(is_same_domain).count(),
             };
-            let up = self.routers.iter().filter(same);
-            let up = up.filter(|router| net.hears(asker, router.instance));
-            let known: Vec<_> = up.map(|router| router.table.revision()).collect();
+            let reachable = self.routers.iter().filter(is_same_domain);
+            let reachable = reachable.filter(|router| faults.can_reach(asker, router.instance));
+            let known: Vec<_> = reachable.map(|router| router.table.revision()).collect();
             let newer = known.iter().any(|revision| *revision > own);
-            self.routers[asker].hear_votes(known.len(), newer, most);
+            self.routers[asker].receive_votes(known.len(), newer, voters);
         }
     }
 
-    fn lead<R: ProtocolRules>(&mut self, net: &Net, driver: &mut Driver<R>) {
-        let mut able = self.routers.iter().filter(|router| {
-            let fresh = self.now - router.leave.read_started <= LEAD_FOR;
-            let runs = net.instance_up(router.instance) && net.platform(router.instance);
+    fn run_leader<R: ProtocolRules>(&mut self, faults: &FaultState, driver: &mut Driver<R>) {
+        let mut candidates = self.routers.iter().filter(|router| {
+            let fresh = self.now - router.lease.read_started <= LEADER_READ_MAX_AGE;
+            let runs =
+                faults.is_instance_up(router.instance) && faults.reaches_platform(router.instance);
             runs && fresh && router.is_listed::<R>()
         });
-        let Some(leader) = able.next().map(|router| router.instance) else {
+        let Some(leader) = candidates.next().map(|router| router.instance) else {
             return;
         };
         if leader != driver.leader {
@@ -143,21 +147,21 @@
             *driver = Driver::new(leader);
             driver.moved = moved;
         }
-        let state = (&mut self.head, &mut self.routers[..]);
-        driver.step(&self.trial, net, &self.keys, state, self.now);
+        let state = (&mut self.platform_table, &mut self.routers[..]);
+        driver.step(&self.trial, faults, &self.keys, state, self.now);
     }
 
     /// Load of the fullest running server over the mean, in percent.
     fn imbalance(&self) -> u64 {
-        let net = Net::at(self.trial.scenario, self.now);
-        let mut loads = loads(&self.head, &self.keys);
-        loads.retain(|name, _| net.server_up(number(name.id())));
-        percent(loads.into_values().collect())
+        let faults = FaultState::at(self.trial.scenario, self.now);
+        let mut loads = server_loads(&self.platform_table, &self.keys);
+        loads.retain(|name, _| faults.is_server_up(parse_number(name.id())));
+        max_over_mean_percent(loads.into_values().collect())
     }
 }
 
 /// The greatest over the mean, in percent.
-pub fn percent(loads: Vec<u64>) -> u64 {
+pub fn max_over_mean_percent(loads: Vec<u64>) -> u64 {
     let sum: u64 = loads.iter().sum();
     loads.iter().max().unwrap() * 100 * loads.len() as u64 / sum
 }
--- a/crates/core/tests/alternatives/stats.rs
+++ b/crates/core/tests/alternatives/stats.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        cluster::{KEYS, Keys, SERVERS, SHARDS},
-        scenario::{DOMAINS, Net},
-        strategy::Way,
+        cluster::{KEY_COUNT, KeyLoads, SERVER_COUNT, SHARD_COUNT},
+        scenario::{DOMAINS, FaultState},
+        strategy::Strategy,
     },
     std::time::Duration,
 };
@@ -16,17 +16,17 @@
     fn owner(&self, instance: usize, scope: usize) -> Option<usize>;
 
     /// Whether it may send to a server at all now.
-    fn may(&self, instance: usize, server: usize) -> bool;
+    fn may_send(&self, instance: usize, server: usize) -> bool;
 }
 
 #[derive(Debug, Clone, Default)]
 pub struct Stats {
     /// Time that no instance could serve a scope, by scope.
-    dark: Vec<Duration>,
+    outages: Vec<Duration>,
     /// Scopes that ever had two owners that would run requests at once.
-    doubled: Vec<bool>,
+    had_two_owners: Vec<bool>,
     /// Unavailable key-seconds, of callers spread evenly over domains.
-    missed: f64,
+    unavailable_key_seconds: f64,
     pub moved: usize,
     /// Load of the fullest server over the mean at the end, in percent.
     pub imbalance: u64,
@@ -35,105 +35,115 @@
 impl Stats {
     pub fn new() -> Self {
         Self {
-            dark: vec![Duration::ZERO; SHARDS + 1],
-            doubled: vec![false; SHARDS + 1],
+            outages: vec![Duration::ZERO; SHARD_COUNT + 1],
+            had_two_owners: vec![false; SHARD_COUNT + 1],
             ..Self::default()
         }
     }
 
     /// The worst key's time without any instance that could serve it.
-    pub fn worst(&self) -> f64 {
-        self.dark.iter().max().unwrap().as_secs_f64()
+    pub fn worst_outage(&self) -> f64 {
+        self.outages.iter().max().unwrap().as_secs_f64()
     }
 
     /// Unavailable seconds a key, for the mean key and caller.
-    pub fn mean(&self) -> f64 {
-        self.missed / KEYS as f64
+    pub fn mean_outage(&self) -> f64 {
+        self.unavailable_key_seconds / KEY_COUNT as f64
     }
 
     pub fn overlaps(&self) -> usize {
-        self.doubled.iter().filter(|doubled| **doubled).count()
+        self.had_two_owners
+            .iter()
+            .filter(|had_two_owners| **had_two_owners)
+            .count()
     }
 
     /// Counts one step of a run.
-    pub fn count(
+    pub fn record_step(
         &mut self,
         routes: &impl Routes,
-        way: Way,
-        net: &Net,
-        keys: &Keys,
+        strategy: Strategy,
+        faults: &FaultState,
+        keys: &KeyLoads,
         step: Duration,
     ) {
-        let paths = Paths::new(routes, way, net);
-        for scope in 0..=SHARDS {
-            let served = self.look(routes, &paths, scope);
+        let reachability = Reachability::new(routes, strategy, faults);
+        for scope in 0..=SHARD_COUNT {
+            let served = self.served_shares(routes, &reachability, scope);
             if served.iter().all(|part| *part == 0.0) {
-                self.dark[scope] += step;
+                self.outages[scope] += step;
             }
-            let weight = keys.counts.get(scope).copied().unwrap_or(0) as f64;
+            let weight = keys.keys_per_shard.get(scope).copied().unwrap_or(0) as f64;
             let mean = served.iter().sum::<f64>() / served.len() as f64;
-            self.missed += (1.0 - mean) * weight * step.as_secs_f64();
+            self.unavailable_key_seconds += (1.0 - mean) * weight * step.as_secs_f64();
         }
     }
 
     /// The part of each domain's callers that are served.
-    fn look(&mut self, routes: &impl Routes, paths: &Paths, scope: usize) -> [f64; DOMAINS] {
+    fn served_shares(
+        &mut self,
+        routes: &impl Routes,
+        reachability: &Reachability,
+        scope: usize,
+    ) -> [f64; DOMAINS] {
         let mut served = [0; DOMAINS];
         let mut owner = None;
-        for (instance, path) in paths.instances.iter().enumerate() {
+        for (instance, instance_reach) in reachability.instances.iter().enumerate() {
             let server = routes.owner(instance, scope);
-            let Some(server) = server.filter(|server| path.servers[*server]) else {
+            let Some(server) = server.filter(|server| instance_reach.usable_servers[*server])
+            else {
                 continue;
             };
-            self.doubled[scope] |= owner.is_some_and(|owner| owner != server);
+            self.had_two_owners[scope] |= owner.is_some_and(|owner| owner != server);
             owner = Some(server);
-            for (served, takes) in served.iter_mut().zip(path.takes) {
-                *served += usize::from(takes);
+            for (served, is_served) in served.iter_mut().zip(instance_reach.domains) {
+                *served += usize::from(is_served);
             }
         }
         std::array::from_fn(|domain| {
-            let all = paths.callers[domain];
+            let all = reachability.instances_per_domain[domain];
             served[domain].min(all) as f64 / all.max(1) as f64
         })
     }
 }
 
 /// What one instance reaches and is reached from.
-struct Path {
+struct InstanceReach {
     /// The running servers that it reaches and may send to.
-    servers: Vec<bool>,
+    usable_servers: Vec<bool>,
     /// The domains whose callers it takes.
-    takes: [bool; DOMAINS],
+    domains: [bool; DOMAINS],
 }
 
-struct Paths {
-    instances: Vec<Path>,
+struct Reachability {
+    instances: Vec<InstanceReach>,
     /// The instances that share the callers of each domain.
-    callers: [usize; DOMAINS],
+    instances_per_domain: [usize; DOMAINS],
 }
 
-impl Paths {
-    fn new(routes: &impl Routes, way: Way, net: &Net) -> Self {
-        let path = |instance: usize| {
-            let up = net.instance_up(instance);
-            let reach = |server| up && net.server_up(server) && net.link(server, instance);
-            let servers = 0..=SERVERS;
-            let servers = servers.map(|server| reach(server) && routes.may(instance, server));
-            Path {
-                servers: servers.collect(),
-                takes: std::array::from_fn(|domain| match way.hands_on() {
-                    true => net.link(domain, instance) && !net.is_alone(instance),
+impl Reachability {
+    fn new(routes: &impl Routes, strategy: Strategy, faults: &FaultState) -> Self {
+        let instance_reach = |instance: usize| {
+            let up = faults.is_instance_up(instance);
+            let reach =
+                |server| up && faults.is_server_up(server) && faults.is_connected(server, instance);
+            let servers = 0..=SERVER_COUNT;
+            let servers = servers.map(|server| reach(server) && routes.may_send(instance, server));
+            InstanceReach {
+                usable_servers: servers.collect(),
+                domains: std::array::from_fn(|domain| match strategy.forwards() {
+                    true => faults.is_connected(domain, instance) && !faults.is_isolated(instance),
                     false => domain == instance % DOMAINS,
                 }),
             }
         };
         let own = |domain: usize| {
-            let own = (0..way.instances()).filter(|n| n % DOMAINS == domain);
-            own.filter(|n| net.instance_up(*n)).count()
+            let own = (0..strategy.instance_count()).filter(|n| n % DOMAINS == domain);
+            own.filter(|n| faults.is_instance_up(*n)).count()
         };
         Self {
-            instances: (0..way.instances()).map(path).collect(),
-            callers: std::array::from_fn(|domain| match way.hands_on() {
+            instances: (0..strategy.instance_count()).map(instance_reach).collect(),
+            instances_per_domain: std::array::from_fn(|domain| match strategy.forwards() {
                 true => 1,
                 false => own(domain),
             }),
--- a/crates/core/tests/alternatives/strategy.rs
+++ b/crates/core/tests/alternatives/strategy.rs
@@ -4,48 +4,48 @@
 
 /// How ownership is decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Strategy {
     /// (a) All listed routers of the owner's domain acknowledge, or grace ends.
     /// The production rules as they are.
-    Grace,
+    AllAcknowledge,
     /// (a) whose instances hand a request that they may not route themselves to
     /// one of the owner's domain. The ownership rules are those of (a); the
     /// hand-over exists in this test only.
-    Handing,
+    Forwarding,
     /// (a') A majority of a domain's confirmers. A variant that exists in this
     /// test only: its rounds and its wait are written here.
     Majority,
     /// (b) One router for each backend server, and no other routes to it.
-    Router,
+    RouterPerServer,
     /// (c) No serving past the confirmation: production rules without grace.
     NoGrace,
     /// Plain modulo hashing over the servers that each instance reaches.
     Modulo,
 }
 
-impl Way {
+impl Strategy {
     pub const ALL: [Self; 6] = [
-        Self::Grace,
-        Self::Handing,
+        Self::AllAcknowledge,
+        Self::Forwarding,
         Self::Majority,
-        Self::Router,
+        Self::RouterPerServer,
         Self::NoGrace,
         Self::Modulo,
     ];
 
     pub fn title(self) -> &'static str {
         match self {
-            Self::Grace => "(a) all acknowledge",
-            Self::Handing => "(a) handing on",
+            Self::AllAcknowledge => "(a) all acknowledge",
+            Self::Forwarding => "(a) handing on",
             Self::Majority => "(a') majority",
-            Self::Router => "(b) router a server",
+            Self::RouterPerServer => "(b) router a server",
             Self::NoGrace => "(c) no grace",
             Self::Modulo => "modulo, no lease",
         }
     }
 
     /// The graces to try, in seconds.
-    pub fn graces(self) -> &'static [u64] {
+    pub fn grace_seconds(self) -> &'static [u64] {
         match self {
             Self::NoGrace | Self::Modulo => &[0],
             _ => &[30, 300],
@@ -53,13 +53,13 @@
     }
 
     /// Whether a caller is served if any instance in reach can serve it.
-    pub fn hands_on(self) -> bool {
-        matches!(self, Self::Handing | Self::Router)
+    pub fn forwards(self) -> bool {
+        matches!(self, Self::Forwarding | Self::RouterPerServer)
     }
 
-    pub fn instances(self) -> usize {
+    pub fn instance_count(self) -> usize {
         match self {
-            Self::Router => super::cluster::SERVERS + 1,
+            Self::RouterPerServer => super::cluster::SERVER_COUNT + 1,
             _ => 9,
         }
     }
@@ -69,8 +69,8 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Trial {
     pub scenario: super::scenario::Scenario,
-    pub way: Way,
+    pub strategy: Strategy,
     pub grace: Duration,
     /// Way (a') broken on purpose: an instance's own vote is a majority.
-    pub lone: bool,
+    pub accepts_single_vote: bool,
 }
--- a/crates/core/tests/alternatives/task.rs
+++ b/crates/core/tests/alternatives/task.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        cluster::{DEADLINE, commit, number},
+        cluster::{DEADLINE, commit, parse_number},
         router::Router,
-        scenario::{DOMAINS, Net},
-        strategy::{Trial, Way},
+        scenario::{DOMAINS, FaultState},
+        strategy::{Strategy, Trial},
     },
     citron_core::{
         id::Revision,
@@ -20,24 +20,28 @@
 pub struct Task<R: ProtocolRules> {
     pub mover: Mover<R>,
     /// The old owner.
-    owner: usize,
-    seen: Time,
-    since: Revision,
+    old_owner: usize,
+    observed: Time,
+    release_revision: Revision,
     /// When a majority of the owner's domain's confirmers had acknowledged.
-    majority: Option<Time>,
+    majority_at: Option<Time>,
     /// What the driver has to tell the mover next.
-    pub reply: Option<MoveEvent>,
+    pub pending_event: Option<MoveEvent>,
 }
 
 impl<R: ProtocolRules> Task<R> {
-    pub fn new(mover: Mover<R>, (owner, since): (usize, Revision), seen: Time) -> Self {
+    pub fn new(
+        mover: Mover<R>,
+        (old_owner, release_revision): (usize, Revision),
+        observed: Time,
+    ) -> Self {
         Self {
             mover,
-            owner,
-            seen,
-            since,
-            majority: None,
-            reply: None,
+            old_owner,
+            observed,
+            release_revision,
+            majority_at: None,
+            pending_event: None,
         }
     }
 
@@ -45,20 +49,24 @@
     pub fn acks(
         &mut self,
         trial: &Trial,
-        net: &Net,
+        faults: &FaultState,
         leader: usize,
         routers: &[Router],
         now: Time,
     ) -> Vec<MoveEvent> {
         let missing = self.mover.unacknowledged();
-        let free = trial.way == Way::Majority && self.is_free(routers, net, leader, now);
+        let is_settled = trial.strategy == Strategy::Majority
+            && self.is_majority_wait_over(routers, faults, leader, now);
         let acks = missing.into_iter().filter_map(|member| {
-            let router = &routers[number(member.instance.as_str())];
-            let heard = net.hears(leader, router.instance);
-            let other = trial.way == Way::Router && router.instance != self.owner;
-            let revision = match (free || other, heard) {
-                (true, _) => self.since,
-                (false, true) if router.acked >= self.since => router.acked,
+            let router = &routers[parse_number(member.instance.as_str())];
+            let is_reachable = faults.can_reach(leader, router.instance);
+            let is_other_router =
+                trial.strategy == Strategy::RouterPerServer && router.instance != self.old_owner;
+            let revision = match (is_settled || is_other_router, is_reachable) {
+                (true, _) => self.release_revision,
+                (false, true) if router.acked_revision >= self.release_revision => {
+                    router.acked_revision
+                }
                 _ => return None,
             };
             Some(MoveEvent::Acked(Ack {
@@ -73,40 +81,46 @@
     /// The wait of way (a'): no vote is given under an older revision once a
     /// majority of confirmers has acknowledged, and what was confirmed before
     /// has run out a confirmation later; the last request is given its deadline.
-    fn is_free(&mut self, routers: &[Router], net: &Net, leader: usize, now: Time) -> bool {
-        let domain = self.owner % DOMAINS;
+    fn is_majority_wait_over(
+        &mut self,
+        routers: &[Router],
+        faults: &FaultState,
+        leader: usize,
+        now: Time,
+    ) -> bool {
+        let domain = self.old_owner % DOMAINS;
         let confirmers = routers.iter().filter(|r| r.instance % DOMAINS == domain);
         let confirmers: Vec<&Router> = confirmers.collect();
         let acked = confirmers.iter().filter(|router| {
-            let heard = net.hears(leader, router.instance);
-            heard && router.acked >= self.since
+            let is_reachable = faults.can_reach(leader, router.instance);
+            is_reachable && router.acked_revision >= self.release_revision
         });
         if acked.count() > confirmers.len() / 2 {
-            self.majority.get_or_insert(now);
+            self.majority_at.get_or_insert(now);
         }
         let wait = R::add_clock_margin(LeaseDurations::default().routing) + DEADLINE;
-        let end = self.majority.map(|at| at.max(self.seen) + wait);
+        let end = self.majority_at.map(|at| at.max(self.observed) + wait);
         end.is_some_and(|end| now >= end)
     }
 
     /// Does as the mover says; returns how many moves were done.
-    pub fn act(
+    pub fn apply_actions(
         &mut self,
         actions: Vec<MoveAction>,
-        head: &mut Rc<Table>,
+        platform_table: &mut Rc<Table>,
         routers: &mut [Router],
     ) -> usize {
         let mut done = 0;
         for action in actions {
             match action {
                 MoveAction::RequestAck { instance, .. } => {
-                    routers[number(instance.as_str())].asked = true;
+                    routers[parse_number(instance.as_str())].is_ack_requested = true;
                 }
                 MoveAction::Commit(last) => {
-                    commit(head, last);
-                    self.reply = Some(MoveEvent::CommitEnded);
+                    commit(platform_table, last);
+                    self.pending_event = Some(MoveEvent::CommitEnded);
                 }
-                MoveAction::Reread => self.reply = Some(MoveEvent::Reread),
+                MoveAction::Reread => self.pending_event = Some(MoveEvent::Reread),
                 MoveAction::Done { .. } => done += 1,
                 // Servers that do not check epochs get no orders.
                 MoveAction::Revoke { .. } | MoveAction::Grant { .. } => {}
