--- a/crates/citronproxy/src/edge/traffic/active_request.rs
+++ b/crates/citronproxy/src/edge/traffic/active_request.rs
@@ -170,7 +170,7 @@
     fn fingerprint(&self) -> Fingerprint {
         let head = self.request.head;
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-        let body = self.request.source.buffered();
+        let body = self.request.body.buffered();
         Fingerprint::from_parts(&[head.method.as_str().as_bytes(), path.as_bytes(), &body])
     }
 
--- a/crates/citronproxy/src/edge/traffic/attempt.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -165,7 +165,7 @@
     /// The head, as the caller sent it.
     pub head: &'a Parts,
     /// The body.
-    pub source: &'a Rc<CallerBody>,
+    pub body: &'a Rc<CallerBody>,
     /// How often it may run.
     pub idempotency: Idempotency,
     /// When its answer loses worth.
@@ -326,7 +326,7 @@
     server: &ServerRecord,
     outgoing: &OutgoingRequest<'_>,
 ) -> Request<UpstreamBody> {
-    let mut request = Request::new(UpstreamBody::new(outgoing.source));
+    let mut request = Request::new(UpstreamBody::new(outgoing.body));
     *request.method_mut() = outgoing.head.method.clone();
     *request.uri_mut() = outgoing.head.uri.clone();
     *request.headers_mut() = outgoing.head.headers.clone();
--- a/crates/citronproxy/src/edge/traffic/handler.rs
+++ b/crates/citronproxy/src/edge/traffic/handler.rs
@@ -88,23 +88,23 @@
         return deny(Denial::NoRoute, &head);
     };
     let deadline = started + client_timeout(state, &head).min(rule.timeout);
-    let source = CallerBody::new(body, config.limits.max_body_bytes, REPLAY_BUFFER_BYTES);
-    if source.declared_length() > config.limits.max_body_bytes {
+    let body = CallerBody::new(body, config.limits.max_body_bytes, REPLAY_BUFFER_BYTES);
+    if body.declared_length() > config.limits.max_body_bytes {
         return deny(Denial::BodyTooLarge, &head);
     }
-    if timeout(deadline - started, source.buffer_prefix())
+    if timeout(deadline - started, body.buffer_prefix())
         .await
         .is_err()
     {
         let reason = "its body did not come before its deadline";
         return refuse(state, &head, Some(config.version), reason);
     }
-    if let Some(denial) = body_error(&source) {
+    if let Some(denial) = body_error(&body) {
         return deny(denial, &head);
     }
     prepare_forward(&mut head);
-    let response = forward(state, config, rule, &head, &source, started, deadline).await;
-    match body_error(&source) {
+    let response = forward(state, config, rule, &head, &body, started, deadline).await;
+    match body_error(&body) {
         Some(Denial::BodyTooLarge) => deny(Denial::BodyTooLargeAfterSend, &head),
         Some(denial) => deny(denial, &head),
         None => response,
@@ -129,7 +129,7 @@
     config: &RouteConfig,
     rule: &RouteRule,
     head: &Parts,
-    source: &Rc<CallerBody>,
+    body: &Rc<CallerBody>,
     started: Time,
     deadline: Time,
 ) -> Response<ResponseBody> {
@@ -155,7 +155,7 @@
         key,
         request: OutgoingRequest {
             head,
-            source,
+            body,
             idempotency: rule.idempotency,
             objective: started + rule.latency_objective,
             deadline,
@@ -185,9 +185,9 @@
     head.headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-fn body_error(source: &CallerBody) -> Option<Denial> {
-    match source.is_too_large() {
+fn body_error(body: &CallerBody) -> Option<Denial> {
+    match body.is_too_large() {
         true => Some(Denial::BodyTooLarge),
-        false => source.is_truncated().then_some(Denial::IncompleteBody),
+        false => body.is_truncated().then_some(Denial::IncompleteBody),
     }
 }
--- a/crates/citronproxy/src/edge/traffic/thread.rs
+++ b/crates/citronproxy/src/edge/traffic/thread.rs
@@ -119,8 +119,8 @@
     /// Why the configuration that a request was decided by may be out of date; `None`
     /// for a version if that does not matter.
     pub fn config_stale_reason(&self, decided_by: Option<ConfigVersion>) -> Option<StaleReason> {
-        let standing = self.shared.freshness().config_standing(self.clock.now());
-        if let Some(stale_reason) = standing.stale_reason(&FreshnessTimes::STANDARD) {
+        let staleness = self.shared.freshness().config_standing(self.clock.now());
+        if let Some(stale_reason) = staleness.stale_reason(&FreshnessTimes::STANDARD) {
             return Some(stale_reason);
         }
         // Read last: the standing describes a view that is published before it.
