--- a/crates/citronproxy/src/edge/traffic/active_request.rs
+++ b/crates/citronproxy/src/edge/traffic/active_request.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its answer.
+//! A client's request in progress: selects servers, sends attempts and retries them.
 
 use {
     super::{
@@ -24,64 +24,72 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Longest wait for a free slot before rejecting, as a fraction of the objective.
+/// Longest wait for a server with capacity before the request is rejected, as a divisor
+/// of the latency objective.
 const CAPACITY_WAIT_DIVISOR: u32 = 8;
-/// How often room is looked for, besides whenever a request ends here: others'
-/// loads come with their heartbeats.
+/// Interval at which a waiting request selects a server again. It also does so whenever a
+/// request of this instance ends; the loads that other instances cause become known only
+/// with their heartbeats.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Retry-After for a key that is moving or has no owner.
+/// Retry-After if the key is moving or has no owner, or no server is available.
 const MOVE_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Retry-After for a request that servers have rejected.
+/// Retry-After of a request that servers refused or could not be sent, before it is
+/// scaled by the rejection rate.
 const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// The same for servers that reject nearly everything.
+/// Upper bound of that Retry-After, reached at servers that reject nearly all requests.
 const REJECTED_RETRY_AFTER_MAX: Duration = Duration::from_secs(3);
-/// Jitter of Retry-After: callers rejected together would return together.
+/// Jitter factor of Retry-After. Without it, clients rejected together would return
+/// together.
 const RETRY_JITTER: Range<f64> = 0.85..1.15;
-/// How long a new owner's grant may be behind the map that names it, halved: the
-/// planner sends it some milliseconds after the commit.
+/// Half of the first delay before a request is sent again to an owner that rejected its
+/// key. The planner sends a grant some milliseconds after it commits the map that names
+/// the new owner. The delay doubles with each such rejection.
 const GRANT_DELAY: Duration = Duration::from_millis(20);
-/// Owners that did not have the key, after which the caller comes back later.
+/// Rejections by owners without the key after which the same owner is still tried again.
+/// After one more, the request is sent only to another owner or under a later epoch.
 const MISDIRECTED_MAX: u32 = 3;
-/// Servers that could not be sent a request, after which its caller comes back later.
+/// Servers to which the request could not be sent, after which the client is told to
+/// retry later.
 const UNSENT_MAX: u32 = 4;
-/// Less than this is no time for another try.
+/// Least time left to the deadline with which another attempt is made.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(60);
 
-/// A request under way.
+/// A client's request in progress.
 #[derive(Debug)]
 pub struct ActiveRequest<'a> {
-    /// The thread's state.
+    /// State of the traffic thread.
     pub state: &'a TrafficState,
-    /// What the operator set.
+    /// Route of the request, as configured by the operator.
     pub rule: &'a RouteRule,
-    /// The service that the rule's split gave.
+    /// Service that the traffic split of the route selected.
     pub service: &'a ServiceName,
-    /// The key.
+    /// Key of the request; `None` if the service has no keys.
     pub key: Option<RangeKey>,
-    /// What is sent.
+    /// The request as it is sent to servers.
     pub request: OutgoingRequest<'a>,
-    /// When the request came.
+    /// Time at which the request was received.
     pub started: Time,
-    /// Its id, for logs.
+    /// Id of the request, for logs.
     pub request_id: &'a str,
-    /// Servers that have had it, or could not be reached.
+    /// Servers that an attempt failed at, other than owners that did not hold the key.
     pub tried: Vec<ServerName>,
-    /// How many of them could not: they count as no tries.
+    /// Number of `tried` servers to which the request could not be sent. They do not
+    /// count against the attempts that the route allows.
     pub unsent: u32,
-    /// The owner that did not have the key.
+    /// Last owner that rejected the request because it did not hold the key.
     pub stale_owner: Option<StaleOwner>,
-    /// How often an owner did not.
+    /// Number of rejections by owners without the key.
     pub misdirected: u32,
-    /// Whether one of the tries that have ended may have run.
+    /// Whether an attempt that has ended may have run the request.
     pub has_uncertain_attempt: bool,
-    /// How often it was sent.
+    /// Number of attempts, for metrics.
     pub attempts: u32,
-    /// What its caller is told.
+    /// Outcome that the response reports to the client.
     pub outcome: Cell<Outcome>,
 }
 
 impl ActiveRequest<'_> {
-    /// Runs it to its answer, or to its deadline.
+    /// Runs the request until it has a response or its deadline passes.
     pub async fn run(mut self) -> Response<ResponseBody> {
         let remaining = self.request.deadline - self.state.clock.now();
         let result = timeout(remaining, self.retry_loop()).await;
@@ -96,6 +104,7 @@
         response
     }
 
+    /// Sends attempts until one of them yields the response.
     async fn retry_loop(&mut self) -> Response<ResponseBody> {
         loop {
             let server = match self.wait_for_server().await {
@@ -115,7 +124,7 @@
         }
     }
 
-    /// Learns from a try; the answer if it is the last one.
+    /// Handles the end of an attempt. Returns the response if no further attempt follows.
     fn on_attempt_end(
         &mut self,
         server: Arc<ServerRecord>,
@@ -130,7 +139,8 @@
             AttemptResult::Lost(_) => {
                 self.has_uncertain_attempt = true;
                 crash::detect_crash(self.state, &server.entry, self.fingerprint(), &self.request);
-                // What may run once only takes nothing from the budget.
+                // A request that must not run twice is not retried and takes no token
+                // from the retry budget.
                 self.request.idempotency == Idempotency::Idempotent && self.may_retry(name)
             }
         };
@@ -140,7 +150,8 @@
         }
     }
 
-    /// A server's own failure is asked for again where that does no harm.
+    /// Returns the response to forward; `None` if the request is retried. Server errors
+    /// are retried if the request is idempotent.
     fn on_response(
         &mut self,
         server: ServerName,
@@ -160,13 +171,14 @@
             return None;
         }
         Some(match means_not_run(response.status()) {
-            // Without the server's word these would promise what nobody knows.
+            // Clients take these statuses to mean that the request has not run. The
+            // server did not guarantee it, so that the response must not claim it.
             true => self.respond_unknown("the server failed"),
             false => response,
         })
     }
 
-    /// What the same request sent again has in common with this one.
+    /// Fingerprint that is equal for the same request sent again.
     fn fingerprint(&self) -> Fingerprint {
         let head = self.request.head;
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -174,7 +186,7 @@
         Fingerprint::from_parts(&[head.method.as_str().as_bytes(), path.as_bytes(), &body])
     }
 
-    /// How much longer requests like this one are kept from servers.
+    /// Remaining quarantine of requests with this fingerprint; `None` if there is none.
     fn quarantine_left(&self) -> Option<Duration> {
         let crashes = self.state.shared.crashes();
         if crashes.is_empty() {
@@ -183,32 +195,39 @@
         crashes.refused_for(self.fingerprint(), self.state.clock.now())
     }
 
-    /// Counts a try, and takes another from the budget.
+    /// Counts an attempt at `server`. Whether the request may be retried; takes a token
+    /// from the retry budget if the route and the deadline allow a retry.
     fn may_retry(&mut self, server: ServerName) -> bool {
         self.tried.push(server);
         let attempts = self.tried.len() - self.unsent as usize;
         attempts < self.max_attempts() && self.has_time() && self.state.take_retry(self.service)
     }
 
-    /// Whether another server is asked after one that the request did not reach. It
-    /// costs the service nothing, and takes nothing from the budget.
+    /// Records a server to which the request could not be sent. Whether another server
+    /// may be tried: this causes no load at the service, so that it takes no token from
+    /// the retry budget.
     fn may_try_another(&mut self, unreached: ServerName) -> bool {
         self.tried.push(unreached);
         self.unsent += 1;
         self.unsent < UNSENT_MAX && self.has_time()
     }
 
+    /// Whether enough time is left to the deadline for another attempt.
     fn has_time(&self) -> bool {
         self.request.deadline - self.state.clock.now() > RETRY_TIME_MIN
     }
 
-    /// Whether an owner is asked again after one that did not have the key. It has
-    /// not run, and does not count as one of the tries: a move takes a release, a
-    /// commit and a grant, and each of them may be overtaken by a request.
+    /// Records a rejection by an owner that did not hold the key. Whether the request may
+    /// be sent to an owner again.
+    ///
+    /// The request has not run, and the rejection does not count against the attempts
+    /// that the route allows: a move consists of a release, a commit and a grant, and the
+    /// request may arrive before any of them.
     fn may_retry_owner(&mut self, owner: ServerName) -> bool {
         self.misdirected += 1;
         let now = self.state.clock.now();
-        // In the end only news of another owner helps.
+        // Beyond the limit, only a map or a notice that names another owner, or a later
+        // epoch, ends the wait.
         let retry_at = match self.misdirected <= MISDIRECTED_MAX {
             true => now + GRANT_DELAY * (1 << self.misdirected.min(4)),
             false => self.request.deadline,
@@ -222,27 +241,31 @@
         may_ask && self.state.take_retry(self.service)
     }
 
+    /// Attempts that the route allows.
     fn max_attempts(&self) -> usize {
         self.rule.max_attempts as usize
     }
 
+    /// Epoch of the key's slice; 0 if it is unknown.
     fn epoch(&self) -> Epoch {
         self.slice().map_or(Epoch(0), |slice| slice.epoch)
     }
 
-    /// The owner of the key, for logs; `-` if there is none.
+    /// Name of the owner of the key, for logs; `-` if there is none.
     fn owner_label(&self) -> String {
         let owner = self.slice().and_then(|slice| slice.owner);
         owner.map_or("-".to_string(), |owner| owner.to_string())
     }
 
+    /// Slice of the map that contains the key.
     fn slice(&self) -> Option<Slice> {
         let view = self.state.shared.view()?;
         let map = view.maps.get(self.service)?;
         map.slice(self.key?).cloned()
     }
 
-    /// Waits for a server with room.
+    /// Selects a server, and waits if none has capacity or the key is moving. Returns a
+    /// rejection if the wait exceeds its limit.
     async fn wait_for_server(&self) -> Result<Arc<ServerRecord>, Response<ResponseBody>> {
         let state = self.state;
         let mut view_updates = state.shared.subscribe_views();
@@ -280,7 +303,7 @@
         }
     }
 
-    /// Notes that the owner had no room.
+    /// Records for the owner of the key that a request was rejected for lack of capacity.
     fn record_owner_rejection(&self) {
         let owner = self.slice().and_then(|slice| slice.owner);
         if let Some(owner) = owner {
@@ -288,6 +311,7 @@
         }
     }
 
+    /// Selects a server by the given view.
     fn select(&self, view: &Arc<View>) -> Target {
         let query = TargetQuery {
             service: self.service,
@@ -301,22 +325,24 @@
         select_target(self.state, view, &query)
     }
 
-    /// Whether it may be running, or have run.
+    /// Whether the request may be running, or may have run.
     fn may_have_run(&self) -> bool {
         self.has_uncertain_attempt || self.request.may_be_sent.get()
     }
 
+    /// Time since the request was received.
     fn elapsed(&self) -> Duration {
         self.state.clock.now() - self.started
     }
 
-    /// A move takes about as long as the requests on its keys, so that most who
-    /// wait for one are still answered within their objective.
+    /// Longest wait for a moving key. A move takes about as long as the requests in
+    /// progress on its keys. The limit is set so that most requests that wait for a move
+    /// still meet their latency objective.
     fn move_wait_max(&self) -> Duration {
         self.rule.latency_objective.mul_f64(0.8)
     }
 
-    /// Not run, and never will be.
+    /// 503 response to a request that has not run and will not run.
     fn refuse(&self, retry_after: Duration, reason: &str) -> Response<ResponseBody> {
         if self.may_have_run() {
             return self.give_up(reason);
@@ -336,7 +362,8 @@
         not_run_response(retry_after, reason)
     }
 
-    /// When a caller comes back that servers have refused.
+    /// Retry-After for a request that servers refused or could not be sent. It grows with
+    /// the rejection rate of the last server.
     fn rejection_retry_after(&self) -> Duration {
         let loads = self.state.shared.loads();
         let last = self.tried.last();
@@ -346,6 +373,8 @@
         retry_after.min(REJECTED_RETRY_AFTER_MAX)
     }
 
+    /// Response to a request that is not tried any further: 503 if it cannot have run,
+    /// 502 or 504 otherwise.
     fn give_up(&self, reason: &str) -> Response<ResponseBody> {
         if !self.may_have_run() {
             return self.refuse(self.rejection_retry_after(), reason);
@@ -354,7 +383,7 @@
         self.respond_unknown(reason)
     }
 
-    /// Told to the caller of a request that may have run.
+    /// Response to a request that may have run: 504 after the deadline, 502 before it.
     fn respond_unknown(&self, reason: &str) -> Response<ResponseBody> {
         log::info!(
             "{} id={} route={} service={} server={} waited={:?} tried={} {}: {reason}",
@@ -374,6 +403,7 @@
         }
     }
 
+    /// Logs an attempt that failed. Other responses are not logged.
     fn log_attempt(&self, server: &ServerRecord, result: &AttemptResult) {
         if let AttemptResult::Responded(response) = result
             && !response.status().is_server_error()
@@ -391,7 +421,7 @@
     }
 }
 
-/// Statuses that say: not run, and never will be.
+/// Whether clients take the status to mean that the request has not run and will not run.
 fn means_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/citronproxy/src/edge/traffic/attempt.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! One request on one connection to one server.
+//! One attempt: a request sent to one server on one connection.
 
 use {
     super::{
@@ -34,70 +34,77 @@
     },
 };
 
-/// How long a new connection may take: servers are a millisecond away, and one
-/// that is overloaded or dark takes none.
+/// Time limit for opening a connection. Servers are about a millisecond away, and an
+/// overloaded or unreachable server accepts no connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a request waits on a new connection to a server that may close it at once:
-/// a round trip between failure domains, and some.
+/// Time for which a request is held back on a new connection that the server may reset at
+/// once: one round trip between failure domains, and a margin.
 const RESET_WAIT: Duration = Duration::from_millis(4);
-/// A new connection that breaks so soon tells of a server with no room for it; one
-/// that is gone takes none at all.
+/// A new connection that fails within this time shows that the server's connection limit
+/// is reached. A server that is down accepts no connection at all.
 const IMMEDIATE_RESET_MAX: Duration = Duration::from_millis(20);
-/// How long a kept connection may have been quiet for a request that may be sent
-/// again, if the server does not tell how long it keeps it.
+/// Longest idle time of a connection that an idempotent request may reuse if the server
+/// announces no keep-alive timeout.
 const DEFAULT_IDLE_MAX: Duration = Duration::from_secs(6);
-/// Answers up to this size are read whole before anything of them is passed on,
-/// so that one that breaks off can be asked for again.
+/// Responses up to this size are buffered completely before any of it is forwarded, so
+/// that the request can be retried if the connection fails in between.
 const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1_024;
 
-/// What became of one try.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// An answer to pass on.
+    /// The server sent a response, which can be forwarded.
     Responded(Response<ResponseBody>),
-    /// The server promised that it has not run the request.
+    /// The server guaranteed that the request has not run.
     Refused,
-    /// Another start has the address, or another server the key; not run.
+    /// The address belongs to another start of the server, or the server does not own the
+    /// key. The request has not run.
     Misdirected,
-    /// The server has surely seen nothing.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It closed a new connection before anything was sent: it has as many as it takes.
+    /// The server closed a new connection before anything was sent on it: its connection
+    /// limit is reached.
     Closed,
-    /// The request may have run.
+    /// The request was sent, and it is unknown whether it has run.
     Lost(String),
 }
 
 impl fmt::Display for AttemptResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Responded(response) => write!(f, "answered {}", response.status()),
+            Self::Responded(response) => {
+                write!(f, "server responded with status {}", response.status())
+            }
             Self::Refused => f.write_str("refused, not run"),
             Self::Misdirected => f.write_str("not the owner, not run"),
             Self::NotSent(reason) => write!(f, "not sent: {reason}"),
-            Self::Closed => f.write_str("not sent: a new connection was closed"),
+            Self::Closed => f.write_str("not sent: server closed the new connection"),
             Self::Lost(reason) => write!(f, "lost: {reason}"),
         }
     }
 }
 
-/// A request's place at a server, counted until it is dropped.
+/// Counts a request as in flight at a server until it is dropped, and records the
+/// outcome.
 #[derive(Debug)]
 pub struct InFlightGuard {
     shared: Arc<SharedState>,
     capacity_freed: Rc<Notify>,
     server: ServerName,
     started: Time,
-    /// Whether its connection is a new one.
+    /// Whether the connection was opened for this attempt.
     is_new_connection: bool,
-    /// The part of its time there that it runs.
+    /// Fraction of the attempt during which the request is expected to run, rather than
+    /// to wait for a slot of the server.
     run_fraction: f64,
     outcome: AttemptOutcome,
     clock: crate::clock::Clock,
-    /// Where any server of the service would do.
+    /// Permit of the service's concurrency limit; `None` if the request has a key.
     permit: Option<ConcurrencyPermit>,
-    /// How long it was planned to take; nothing if it was sent late.
+    /// Time within which a response counts as on time; `None` if the latency objective
+    /// had already passed.
     response_limit: Option<Duration>,
-    /// What the server said of its load.
+    /// Load that the server reported with its response.
     reported_load: Option<ReportedLoad>,
 }
 
@@ -126,18 +133,19 @@
         }
     }
 
-    /// Ends it with a whole answer.
+    /// Ends the guard after the response was read to its end.
     pub fn complete(mut self) {
         self.outcome = AttemptOutcome::Ran;
     }
 
-    /// What its end tells of the service's room.
+    /// Timeliness of the attempt, by which the concurrency limit is adjusted.
     fn timeliness(&self, elapsed: Duration) -> Timeliness {
         let is_late = self.response_limit.map(|limit| elapsed > limit);
         match (self.outcome, is_late) {
             (AttemptOutcome::Full | AttemptOutcome::Closed, _) => Timeliness::Late,
             (AttemptOutcome::Ran, Some(false)) => Timeliness::OnTime,
-            // No answer by then, or given up by the caller, tells the same.
+            // A request without a response by then counts the same, also if the client
+            // canceled it.
             (AttemptOutcome::Ran | AttemptOutcome::Other, Some(true)) => Timeliness::Late,
             _ => Timeliness::Unknown,
         }
@@ -159,27 +167,27 @@
     }
 }
 
-/// What is sent.
+/// A client's request as it is sent to servers.
 #[derive(Debug)]
 pub struct OutgoingRequest<'a> {
-    /// The head, as the caller sent it.
+    /// Head of the request, prepared for forwarding.
     pub head: &'a Parts,
-    /// The body.
+    /// Body of the request.
     pub body: &'a Rc<CallerBody>,
-    /// How often it may run.
+    /// Whether the request may run more than once.
     pub idempotency: Idempotency,
-    /// When its answer loses worth.
+    /// Time by which the latency objective expects the response.
     pub objective: Time,
-    /// When the caller waits no longer.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
-    /// Whether it goes to the owner of its key.
+    /// Whether the request has a key and therefore goes to the owner of the key.
     pub is_keyed: bool,
-    /// Whether a try is under way that may have reached its server: until a connection
-    /// is there, it has not.
+    /// Whether an attempt is in progress whose request may have reached its server. It is
+    /// false until the attempt has a connection.
     pub may_be_sent: Cell<bool>,
 }
 
-/// Sends a message to a server and reads its answer.
+/// Sends a request to a server and reads the response.
 pub async fn send(
     state: &TrafficState,
     server: &ServerRecord,
@@ -188,7 +196,8 @@
     let mut in_flight = InFlightGuard::new(state, server, outgoing);
     let result = exchange(state, server, outgoing, &mut in_flight).await;
     in_flight.outcome = match &result {
-        // A streamed answer has taken the slot over, and this one counts nothing.
+        // A streamed response takes the guard over and sets the outcome at the end of its
+        // body. Until then the outcome is `Other`, which says nothing about the server.
         ExchangeResult::Complete(response) if response.status().is_server_error() => {
             AttemptOutcome::Failed
         }
@@ -200,7 +209,8 @@
         }
         ExchangeResult::Failed(AttemptResult::Refused) => AttemptOutcome::Full,
         ExchangeResult::Failed(AttemptResult::Closed) => AttemptOutcome::Closed,
-        // A server that takes connections and closes them at once is there, and full.
+        // A server that accepts a connection and closes it at once is running, and has
+        // reached its connection limit.
         ExchangeResult::Failed(AttemptResult::Lost(_))
             if in_flight.is_new_connection
                 && state.clock.now() - in_flight.started < IMMEDIATE_RESET_MAX =>
@@ -222,12 +232,18 @@
     }
 }
 
+/// Result of an exchange on a connection.
 enum ExchangeResult {
+    /// The response was received completely.
     Complete(Response<ResponseBody>),
+    /// The response is larger than [`BUFFERED_BODY_MAX_BYTES`]; the rest of its body
+    /// follows.
     Streaming(http::response::Parts, Box<StreamingBody>),
+    /// There is no response to forward.
     Failed(AttemptResult),
 }
 
+/// Opens or reuses a connection, sends the request and reads the response.
 async fn exchange(
     state: &TrafficState,
     server: &ServerRecord,
@@ -244,7 +260,7 @@
         Ok(Ok(connection)) => connection,
         Ok(Err(error)) if error.is_reset() => return ExchangeResult::Failed(AttemptResult::Closed),
         Ok(Err(error)) => return not_sent(error.to_string()),
-        Err(_) => return not_sent("no connection in time".to_string()),
+        Err(_) => return not_sent("timed out connecting to the server".to_string()),
     };
     in_flight.started = state.clock.now();
     in_flight.is_new_connection = !connection.reused;
@@ -287,10 +303,13 @@
     }
 }
 
-/// Whether a server closes a new connection before the request goes out. A server with
-/// all the connections that it takes accepts one more and resets it within a round trip:
-/// what was written by then may have run, for all that is known. Requests that may run
-/// again wait only where the server has refused or lost some lately.
+/// Whether the server closes a new connection before the request is sent.
+///
+/// A server at its connection limit accepts one more connection and resets it within a
+/// round trip. A request that was already written by then may have run, as far as this
+/// instance can tell. Requests that must not run twice therefore always wait for
+/// [`RESET_WAIT`]; idempotent ones wait only if the server has refused or lost requests
+/// lately.
 async fn is_closed_at_once(
     state: &TrafficState,
     server: &ServerRecord,
@@ -305,7 +324,7 @@
     should_wait && connection.sender.is_closed()
 }
 
-/// Which kept connections a request may go on.
+/// Idle connections that a request may reuse.
 pub fn reuse_policy(
     state: &TrafficState,
     service: &ServiceName,
@@ -321,6 +340,8 @@
     ExchangeResult::Failed(AttemptResult::NotSent(reason))
 }
 
+/// The request for the server, with the remaining time and the name of the server start
+/// in its headers.
 fn build_request(
     state: &TrafficState,
     server: &ServerRecord,
@@ -342,7 +363,8 @@
     request
 }
 
-/// What a server says of its load; figures that cannot be are counted and left.
+/// Load that the server reported in its response. An invalid value is counted and
+/// ignored.
 fn parse_load(state: &TrafficState, headers: &HeaderMap) -> Option<ReportedLoad> {
     let value = headers.get(&state.headers.load)?;
     let load = value.to_str().ok().and_then(|text| text.parse().ok());
@@ -352,6 +374,7 @@
     load
 }
 
+/// Checks the response head, and reads the body up to the size that is buffered.
 async fn read_response(
     state: &TrafficState,
     outgoing: &OutgoingRequest<'_>,
@@ -361,15 +384,17 @@
     let (mut head, body) = response.into_parts();
     pooled.connection_mut().keep_alive = keep_alive_timeout(&head.headers);
     if !is_response_to(state, outgoing, &head) {
-        // A late or doubled answer, or bytes behind one: this request's may come
-        // after it, or never.
+        // This is a late or duplicate response, or it was parsed from excess bytes behind
+        // one. The response to this request may still follow, or never come.
         return ExchangeResult::Failed(AttemptResult::Lost(
-            "not this request's answer".to_string(),
+            "received the response to another request".to_string(),
         ));
     }
-    // Nobody asked for it: `Upgrade` is not passed on.
+    // `Upgrade` is not forwarded, so that no server has a reason to switch protocols.
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
-        return ExchangeResult::Failed(AttemptResult::Lost("a switch of protocols".to_string()));
+        return ExchangeResult::Failed(AttemptResult::Lost(
+            "unexpected 101 Switching Protocols".to_string(),
+        ));
     }
     if is_refusal(state, &head) {
         let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
@@ -383,6 +408,7 @@
     read_body(head, body, pooled).await
 }
 
+/// Whether the response belongs to this request, by the echoed request id.
 fn is_response_to(
     state: &TrafficState,
     outgoing: &OutgoingRequest<'_>,
@@ -392,18 +418,18 @@
     let sent = outgoing.head.headers.get(name);
     match head.headers.get(name) {
         Some(echoed) => Some(echoed) == sent,
-        // Refusals need not name their request, but answers do.
+        // Refusals need not echo the request id, but other responses must.
         None => sent.is_none() || is_refusal(state, head),
     }
 }
 
-/// Whether the server says that it has not run the request.
+/// Whether the server guarantees that it has not run the request.
 fn is_refusal(state: &TrafficState, head: &http::response::Parts) -> bool {
     let is_not_run = head.headers.contains_key(&state.headers.not_run);
     is_not_run || head.status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Reads the short body of a refusal, so that the connection can be kept.
+/// Reads the short body of a refusal, so that the connection can be reused.
 async fn drain_body(pooled: PooledConnection, body: Incoming) {
     let result = http_body_util::Limited::new(body, BUFFERED_BODY_MAX_BYTES)
         .collect()
@@ -413,6 +439,8 @@
     }
 }
 
+/// Buffers a small body completely. A larger one is streamed after its buffered first
+/// part.
 async fn read_body(
     head: http::response::Parts,
     mut body: Incoming,
@@ -442,7 +470,8 @@
 }
 
 fn buffered_response(mut head: http::response::Parts, body: BytesMut) -> Response<ResponseBody> {
-    // Answers to HEAD and 304s tell the length of a body that they do not have.
+    // Responses to HEAD and those with status 304 give the length of a body that they do
+    // not carry.
     if !body.is_empty() {
         head.headers.remove(header::CONTENT_LENGTH);
     }
--- a/crates/citronproxy/src/edge/traffic/concurrency.rs
+++ b/crates/citronproxy/src/edge/traffic/concurrency.rs
@@ -1,4 +1,4 @@
-//! Limits of this instance's requests, by service.
+//! Concurrency limits of this instance, by service.
 
 use {
     citron_core::{
@@ -9,14 +9,14 @@
     std::{cell::RefCell, collections::BTreeMap, rc::Rc},
 };
 
-/// A [`ConcurrencyLimit`] for each service that was asked.
+/// A [`ConcurrencyLimit`] for each service that has had a request.
 #[derive(Debug, Default)]
 pub struct ConcurrencyLimits {
     services: RefCell<BTreeMap<ServiceName, ConcurrencyLimit>>,
 }
 
 impl ConcurrencyLimits {
-    /// Whether one more request may go to a service.
+    /// Whether one more request may be sent to `service`.
     pub fn admits(&self, service: &ServiceName) -> bool {
         let random = rand::rng().random();
         let services = self.services.borrow();
@@ -25,7 +25,7 @@
             .is_none_or(|limit| limit.admits(random))
     }
 
-    /// Counts a request until the answer is dropped.
+    /// Counts a request of `service` as in flight until the permit is dropped.
     pub fn begin(self: &Rc<Self>, service: &ServiceName) -> ConcurrencyPermit {
         let mut services = self.services.borrow_mut();
         services.entry(service.clone()).or_default().begin();
@@ -37,12 +37,13 @@
     }
 }
 
-/// A request that is counted.
+/// Guard of one request that counts as in flight at its service. Its drop adjusts the
+/// limit of the service.
 #[derive(Debug)]
 pub struct ConcurrencyPermit {
     limits: Rc<ConcurrencyLimits>,
     service: ServiceName,
-    /// What its end tells.
+    /// Timeliness of the response; [`Timeliness::Unknown`] until it is set.
     pub timeliness: Timeliness,
 }
 
--- a/crates/citronproxy/src/edge/traffic/crash.rs
+++ b/crates/citronproxy/src/edge/traffic/crash.rs
@@ -1,4 +1,4 @@
-//! Whether a server that broke off has crashed.
+//! Detects whether a server that closed a connection has crashed.
 
 use {
     super::{attempt::OutgoingRequest, thread::TrafficState},
@@ -11,16 +11,18 @@
     },
 };
 
-/// How long after the break the server is asked: a process that dies closes its
-/// connections one after the other, and its listener among them.
+/// Delay of the probe after the connection failed. A process that exits closes its
+/// connections one after the other, and its listening socket among them.
 const PROBE_DELAY: Duration = Duration::from_millis(20);
-/// How long it may take to answer. No answer is no proof of a crash.
+/// Time limit of the probe. A probe without an answer does not prove a crash.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Counts a crash against requests like the one that was lost, if the server's
-/// machine says that nobody listens there any more. A reset alone says nothing:
-/// connections are reset on the way, too, and requests that were merely lost
-/// must not be refused for it.
+/// Probes a server that lost a request and records a crash for the fingerprint of that
+/// request if the connection is refused, which shows that no process listens at the
+/// address any more.
+///
+/// A reset alone proves nothing: connections are also reset by the network, and requests
+/// that were lost that way must not be refused as the cause of a crash.
 pub fn detect_crash(
     state: &TrafficState,
     server: &ServerEntry,
--- a/crates/citronproxy/src/edge/traffic/denial.rs
+++ b/crates/citronproxy/src/edge/traffic/denial.rs
@@ -1,4 +1,6 @@
-//! Requests that are denied: their callers are told not to try again.
+//! Responses to denied requests, and to requests that a stale configuration would deny.
+//!
+//! A denied request gets a 4xx status and is not to be retried.
 
 use {
     super::{
@@ -14,25 +16,26 @@
     thiserror::Error,
 };
 
-/// Why a request is denied.
+/// Reason for which a request is denied. The text is sent in the body of the response.
 #[derive(Debug, Clone, Copy, Error)]
 pub enum Denial {
-    /// Its message breaks a rule of the protocol.
+    /// The message violates the protocol.
     #[error("{0}")]
     InvalidMessage(Refusal),
-    /// The configuration has no route for it.
+    /// The configuration has no route for the host and path.
     #[error("no route")]
     NoRoute,
-    /// Its body is larger than the configuration allows.
+    /// The body is larger than the configuration allows.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The same, found when a part of the body had been sent to a server.
+    /// The body is larger than the configuration allows, which was detected after part of
+    /// it had been sent to a server.
     #[error("the body is too large, and a part of it was sent")]
     BodyTooLargeAfterSend,
-    /// Its body ended before its end.
+    /// The body is malformed or ended early.
     #[error("the body is malformed or cut short")]
     IncompleteBody,
-    /// It goes to a service with keys and has none.
+    /// The service has keys, and the request has none.
     #[error("the request has no key")]
     NoKey,
 }
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Whether another configuration could allow the request.
+    /// Whether a different configuration could allow the request.
     fn depends_on_config(self) -> bool {
         matches!(
             self,
@@ -59,9 +62,11 @@
         )
     }
 
-    /// The answer to a request that is denied by a configuration, or without one. While
-    /// the configuration may be out of date its caller is told to come back: a newer
-    /// one may allow what this one denies.
+    /// Response to the request. `version` is the configuration that denied it, if any.
+    ///
+    /// If a configuration denied the request and may be out of date, the client is told
+    /// to retry: a newer configuration may allow the request. A request that was partly
+    /// sent to a server gets a 502 instead, as it may have run.
     pub fn response(
         self,
         state: &TrafficState,
@@ -89,10 +94,12 @@
         }
     }
 
+    /// Reason text for a denial by a configuration that may be out of date.
     fn stale_config_reason(self, stale_reason: StaleReason) -> String {
         format!("the configuration may be out of date ({stale_reason}): {self}")
     }
 
+    /// Logs and counts the denial and returns its 4xx response.
     fn deny(
         self,
         state: &TrafficState,
@@ -107,7 +114,7 @@
     }
 }
 
-/// The answer to a request that has not run, and may be allowed soon.
+/// 503 response to a request that has not run and may be allowed soon.
 pub fn refuse(
     state: &TrafficState,
     head: &Parts,
@@ -119,7 +126,7 @@
     not_run_response(STALE_CONFIG_RETRY_AFTER, reason)
 }
 
-/// The answer to a request of which a server may have run what it got.
+/// 502 response to a request of which a server received a part, which it may have run.
 fn respond_unknown(
     state: &TrafficState,
     head: &Parts,
@@ -131,6 +138,7 @@
     local_response(StatusCode::BAD_GATEWAY, reason)
 }
 
+/// Logs an event of a request for which this instance generated the response.
 fn log_request(
     event: Event,
     state: &TrafficState,
--- a/crates/citronproxy/src/edge/traffic/handler.rs
+++ b/crates/citronproxy/src/edge/traffic/handler.rs
@@ -1,4 +1,4 @@
-//! What a request asks for.
+//! Handles a client's request: finds its route, reads its body and forwards it.
 
 use {
     super::{
@@ -29,18 +29,19 @@
     tokio::time::timeout,
 };
 
-/// How much of a body is read before anything is sent, so that it can be sent
-/// to another server, and so that a server which answers early cannot leave the
-/// caller with its half of the message unsent. Larger than the uploads of today.
+/// Bytes of a body that are buffered before anything is sent. A buffered body can be sent
+/// to another server, and a server that responds early cannot leave the client with half
+/// of its message unsent. The limit is larger than the uploads that clients send today.
 const REPLAY_BUFFER_BYTES: usize = 512 * 1_024;
-/// How long after its start an instance usually has its first view.
+/// Time after the start within which an instance usually has its first view.
 const FIRST_VIEW_TIME: Duration = Duration::from_millis(1_500);
-/// How long a request waits for it at most.
+/// Longest time for which a request waits for the first view.
 const FIRST_VIEW_WAIT_MAX: Duration = Duration::from_millis(400);
-/// How long before a caller with unknown patience is given up.
+/// Timeout of a request whose client sends no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers a caller's request.
+/// Returns the response to a client's request. While the instance is leaving, the
+/// response also closes the client's connection.
 pub async fn handle_request(
     state: Rc<TrafficState>,
     head: Parts,
@@ -54,9 +55,10 @@
     response
 }
 
-/// Whether a request may be answered while one before it on its connection is not:
-/// it may run again where a connection ends before its answer, and the instance
-/// does not leave, which ends connections soon.
+/// Whether a request may start before the response to the previous request on its
+/// connection is sent. It may have to run again if the connection closes before its
+/// response is sent, so that it has to be idempotent. The instance must not be leaving,
+/// as it then closes connections soon.
 pub fn can_pipeline(state: &TrafficState, head: &Parts) -> bool {
     let view = state.shared.view();
     let rule = view
@@ -66,6 +68,8 @@
     is_idempotent && !*state.leaving.borrow()
 }
 
+/// Finds the route of a request and forwards it, or returns the response that this
+/// instance generates.
 async fn route_request(
     state: &TrafficState,
     mut head: Parts,
@@ -111,19 +115,20 @@
     }
 }
 
-/// The view in force. For as long as the first one may come any moment it is waited for:
-/// callers who are refused come back once only, and later.
+/// The current view. Shortly after the start, waits for the first one: clients that are
+/// refused retry only once, and late.
 async fn wait_for_view(state: &TrafficState) -> Option<Arc<View>> {
     let mut view_updates = state.shared.subscribe_views();
     if let Some(view) = state.shared.view() {
         return Some(view);
     }
     let remaining = FIRST_VIEW_TIME.saturating_sub(state.clock.now() - state.started);
-    // Without one in time there is none.
+    // A timeout has the same effect as no view.
     let _ = timeout(remaining.min(FIRST_VIEW_WAIT_MAX), view_updates.changed()).await;
     state.shared.view()
 }
 
+/// Selects the service, reads the key and runs the request.
 async fn forward(
     state: &TrafficState,
     config: &RouteConfig,
@@ -175,16 +180,18 @@
     active.run().await
 }
 
-/// How long the caller goes on waiting.
+/// Time for which the client waits for the response.
 fn client_timeout(state: &TrafficState, head: &Parts) -> Duration {
     let timeout_ms = parse_header::<u64>(head, &state.headers.deadline);
     timeout_ms.map_or(DEFAULT_TIMEOUT, Duration::from_millis)
 }
 
+/// Value of a header; `None` if it is missing or cannot be parsed.
 fn parse_header<T: FromStr>(head: &Parts, name: &HeaderName) -> Option<T> {
     head.headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
+/// Denial for a body that is too large or incomplete.
 fn body_error(body: &CallerBody) -> Option<Denial> {
     match body.is_too_large() {
         true => Some(Denial::BodyTooLarge),
--- a/crates/citronproxy/src/edge/traffic/idle_limits.rs
+++ b/crates/citronproxy/src/edge/traffic/idle_limits.rs
@@ -1,15 +1,15 @@
-//! How long idle connections are trusted, by service.
+//! Limits on the idle time of reused connections, by service.
 
 use {
     citron_core::{dispatch::IdleLimit, id::ServiceName, time::Time},
     std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// A connection that breaks so soon after a request was sent on it was dead before:
-/// servers that break one off have worked on the request first.
+/// A connection that fails within this time after a request was sent on it was already
+/// dead: a server that closes a connection by itself first spends time on the request.
 const IMMEDIATE_FAILURE_MAX: Duration = Duration::from_millis(20);
-/// A request that got no answer for so long, and was given up, may have gone on a
-/// connection that is dead without a word.
+/// A request that is canceled after this time without a response may have been sent on a
+/// dead connection whose end was never signaled.
 const SILENT_FAILURE_MIN: Duration = Duration::from_millis(500);
 
 /// An [`IdleLimit`] for each service.
@@ -19,7 +19,8 @@
 }
 
 impl IdleLimits {
-    /// How long a connection may have been idle for what may run only once.
+    /// Longest idle time of a connection that a request that must not run twice may
+    /// reuse.
     pub fn limit(&self, service: &ServiceName) -> Duration {
         let services = self.services.borrow();
         let idle_limit = services.get(service);
@@ -32,7 +33,8 @@
     }
 }
 
-/// A request on a connection that was idle; dropped without an end, it was given up.
+/// Records for [`IdleLimits`] whether a reused connection still worked. A drop without a
+/// recorded result means that the request was canceled.
 #[derive(Debug)]
 pub struct ReuseRecorder {
     idle_limits: Rc<IdleLimits>,
@@ -44,7 +46,8 @@
 }
 
 impl ReuseRecorder {
-    /// A request goes now on a connection that was idle for so long.
+    /// Starts the record of a request that is sent now on a connection that had been idle
+    /// for `idle`.
     pub fn start(
         idle_limits: &Rc<IdleLimits>,
         service: &ServiceName,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// The head of an answer has come.
+    /// Records that a response head was received: the connection worked.
     pub fn record_response(mut self) {
         self.is_recorded = true;
         self.idle_limits.update(&self.service, |idle_limit| {
@@ -69,7 +72,8 @@
         });
     }
 
-    /// The connection broke.
+    /// Records that the connection failed, which counts as a dead connection if it failed
+    /// within [`IMMEDIATE_FAILURE_MAX`].
     pub fn record_disconnect(mut self) {
         self.is_recorded = true;
         if self.clock.now() - self.sent_at < IMMEDIATE_FAILURE_MAX {
--- a/crates/citronproxy/src/edge/traffic/mod.rs
+++ b/crates/citronproxy/src/edge/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic thread: callers on one side, backend servers on the other.
+//! The traffic thread: forwards clients' requests to backend servers.
 
 mod active_request;
 mod attempt;
--- a/crates/citronproxy/src/edge/traffic/pooled_connection.rs
+++ b/crates/citronproxy/src/edge/traffic/pooled_connection.rs
@@ -1,12 +1,14 @@
-//! A connection to a server, while an answer comes on it.
+//! Connection to a backend server, checked out of the pool for one exchange.
 
 use {
     crate::traffic::pool::{Connection, Pool},
     std::net::SocketAddr,
 };
 
-/// Goes back to the pool once its answer was read whole; dropped before that,
-/// the connection is reset.
+/// Connection of a pool with one exchange in progress.
+///
+/// It returns to the pool once the response has been read to its end. Dropped before
+/// that, it is reset.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Pool,
@@ -15,7 +17,7 @@
 }
 
 impl PooledConnection {
-    /// A connection of a pool.
+    /// Wraps `connection`, which was taken from `pool` for the server at `address`.
     pub fn new(pool: &Pool, address: SocketAddr, connection: Connection) -> Self {
         Self {
             pool: pool.clone(),
@@ -24,13 +26,13 @@
         }
     }
 
-    /// The connection.
+    /// The connection, to send the request and to read the response.
     pub fn connection_mut(&mut self) -> &mut Connection {
         &mut self.connection
     }
 
-    /// Back to the pool. What is left of the request is written on: the pool
-    /// gives a connection away only after that.
+    /// Returns the connection to the pool. If part of the request is still being written,
+    /// the pool hands the connection out only after the write has ended.
     pub fn return_to_pool(self) {
         self.pool.release(self.address, self.connection);
     }
--- a/crates/citronproxy/src/edge/traffic/readiness.rs
+++ b/crates/citronproxy/src/edge/traffic/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether balancers should send callers here.
+//! Readiness check for load balancers.
 
 use {
     crate::edge::{
@@ -8,7 +8,9 @@
     http::StatusCode,
 };
 
-/// The answer to a balancer that asked for a path.
+/// Response to a health check of a load balancer: 200 while this instance accepts
+/// requests, 503 before the first view is published and once the instance is leaving, 404
+/// for any path other than `readiness_path`.
 pub fn readiness_response(
     shared: &SharedState,
     readiness_path: &str,
--- a/crates/citronproxy/src/edge/traffic/target.rs
+++ b/crates/citronproxy/src/edge/traffic/target.rs
@@ -1,4 +1,4 @@
-//! Where a request goes next.
+//! Selection of the server to which a request is sent next.
 
 use {
     super::{attempt::reuse_policy, thread::TrafficState},
@@ -15,36 +15,38 @@
     std::{fmt, sync::Arc, time::Duration},
 };
 
-/// Retry-After for a request over the limit of its service: about the time in which one
-/// of those under way ends.
+/// Retry-After of a request above the concurrency limit of its service: about the time
+/// until one of the requests in flight ends.
 const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Retry-After where all servers are cold and have what they take, at most.
+/// Upper bound of Retry-After if all servers are cold and have received their share of
+/// requests.
 const COLD_RETRY_AFTER_MAX: Duration = Duration::from_millis(500);
 
-/// Servers of a service up to which each is weighed for a request.
+/// Number of servers of a service up to which all are compared for each request. Of more
+/// servers, a sample is compared.
 const SAMPLE_MAX: usize = 128;
 
-/// Where a request goes.
+/// Result of the selection.
 #[derive(Debug)]
 pub enum Target {
-    /// To this server.
+    /// Send the request to this server.
     Server(Arc<ServerRecord>),
-    /// To none now, with Retry-After.
+    /// Reject the request with this Retry-After.
     Reject(Duration, Overload),
-    /// The key is changing hands.
+    /// The key is moving to another server.
     KeyMoving,
-    /// No server can have the key soon, or there is none at all.
+    /// No server of the service is available, or none will own the key soon.
     Unavailable,
 }
 
-/// Why a request is rejected.
+/// Reason for which a request is rejected. The text is sent in the body of the response.
 #[derive(Debug, Clone, Copy)]
 pub enum Overload {
-    /// The servers have no room.
+    /// No server has capacity.
     Servers(RejectReason),
-    /// This instance's limit of requests at the service is reached.
+    /// The concurrency limit of this instance at the service is reached.
     ConcurrencyLimit,
-    /// Its share of the requests to cold servers is used up.
+    /// This instance's share of the requests to cold servers is used up.
     ColdServers,
 }
 
@@ -58,37 +60,39 @@
     }
 }
 
-/// What a server is selected by.
+/// Properties of a request by which its server is selected.
 #[derive(Debug)]
 pub struct TargetQuery<'a> {
-    /// The service.
+    /// Service that the route selected.
     pub service: &'a ServiceName,
-    /// The key, if the service's servers hold keys.
+    /// Key of the request; `None` if the service has no keys.
     pub key: Option<RangeKey>,
-    /// When its answer loses worth.
+    /// Time by which the latency objective expects the response.
     pub objective: Time,
-    /// When its caller waits no longer.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
-    /// How often it may run.
+    /// Whether the request may run more than once.
     pub idempotency: Idempotency,
-    /// Servers that have had it.
+    /// Servers at which an attempt failed.
     pub tried: &'a [ServerName],
-    /// The owner that did not have the key.
+    /// Owner that rejected the request because it did not hold the key.
     pub stale_owner: Option<&'a StaleOwner>,
 }
 
-/// An owner that rejected a key: it has released it, or was not granted it yet.
+/// Owner that rejected a request for its key: it has released the key, or its grant has
+/// not arrived yet.
 #[derive(Debug)]
 pub struct StaleOwner {
-    /// The owner.
+    /// Name of the server.
     pub owner: ServerName,
-    /// The epoch under which it should have had the key.
+    /// Epoch of the map entry that named the server as the owner.
     pub epoch: Epoch,
-    /// When it may be asked again under that epoch.
+    /// Time at which the request may be sent to the server again under the same epoch.
     pub retry_at: Time,
 }
 
-/// Selects the server for a request.
+/// Selects the server for a request: the owner of its key, or the best server of the
+/// service if the request has no key.
 pub fn select_target(state: &TrafficState, view: &View, query: &TargetQuery<'_>) -> Target {
     match query.key {
         Some(key) => select_owner(state, view, query, key),
@@ -96,6 +100,7 @@
     }
 }
 
+/// Selects the owner of the key if it may get the request now.
 fn select_owner(
     state: &TrafficState,
     view: &View,
@@ -140,6 +145,8 @@
     select_by_load(state, view, query, [server].into_iter())
 }
 
+/// Selects a server of a service without keys. Servers that were not tried yet are
+/// preferred.
 fn select_any(state: &TrafficState, view: &View, query: &TargetQuery<'_>) -> Target {
     let servers = view.servers(query.service).iter();
     let available: Vec<&Arc<ServerRecord>> =
@@ -175,8 +182,9 @@
     select_by_load(state, view, query, candidates.into_iter())
 }
 
-/// The servers that are weighed, some of many: of the same failure domain and of others, and
-/// those to which a connection is kept.
+/// Servers to compare for a request. Of more than [`SAMPLE_MAX`] servers, these are some
+/// with an idle connection in this instance's failure domain, a random part of the others
+/// in the domain, and a random part of those in other domains.
 fn sample_servers<'a>(
     state: &TrafficState,
     query: &TargetQuery<'_>,
@@ -202,7 +210,8 @@
     sample
 }
 
-/// Whether a server may get a request, if it is cold.
+/// Whether the server is warm, or its cold-start limit allows another request from this
+/// instance.
 fn admits_if_cold(
     state: &TrafficState,
     view: &View,
@@ -230,10 +239,13 @@
     limiter.admits(&entry.name, share, now)
 }
 
+/// Rejection because the servers are cold. `remaining` is the time until the first of
+/// them is warm.
 fn reject_cold(remaining: Duration) -> Target {
     Target::Reject(remaining.min(COLD_RETRY_AFTER_MAX), Overload::ColdServers)
 }
 
+/// Selects the server that should respond first, by its load.
 fn select_by_load<'a>(
     state: &TrafficState,
     view: &View,
@@ -246,8 +258,8 @@
         deadline: query.deadline - now,
         sample_size: sample_size(view.report_interval),
     };
-    // Owners of keys, and servers of other failure domains, get requests from
-    // instances that do not report here.
+    // Owners of keys, and servers in other failure domains, also get requests from
+    // instances that do not report their loads to this one.
     let remote_load_factor = view.instance_count as f64 / view.reporting_count.max(1) as f64;
     let reuse_policy = reuse_policy(state, query.service, query.idempotency);
     let candidates = servers.clone().map(|server| {
--- a/crates/citronproxy/src/edge/traffic/thread.rs
+++ b/crates/citronproxy/src/edge/traffic/thread.rs
@@ -1,4 +1,4 @@
-//! The thread's state, its listener, and its end.
+//! State of the traffic thread, its listeners and its shutdown.
 
 use {
     super::{
@@ -41,67 +41,69 @@
     },
 };
 
-/// Where metrics are read.
+/// Path at which metrics are served.
 const METRICS_PATH: &str = "/metrics";
-/// How long a leaving instance takes new connections: balancers ask once a
-/// second and go by two answers in a row.
+/// Time for which a leaving instance still accepts connections. Load balancers check
+/// readiness once a second and act on two equal results in a row.
 const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(2_700);
-/// Part of the time to leave that is kept for the end of the process: a tenth of a
-/// core needs some hundred milliseconds to close what is open, and to notice the time.
-/// A process that is not gone by then is killed, and its last answers with it.
+/// Part of the shutdown timeout that is reserved for the exit of the process, as a
+/// divisor. With a tenth of a core, it takes some hundred milliseconds to notice the
+/// timeout and to close what is open. A process that has not exited by then is killed,
+/// and its last responses are lost.
 const LEAVE_MARGIN_DIVISOR: u32 = 8;
-/// Pause after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A caller's connection without a request is kept for longer than callers are
-/// told, so that none is closed while a request crosses.
+/// Factor on the configured idle timeout of client connections. They are kept open for
+/// longer than clients are told, so that none is closed while a request is on its way.
 const IDLE_TIMEOUT_FACTOR: u32 = 3;
-/// Part of the allowance for retries that is used: instances count for
-/// themselves, and callers are spread unevenly.
+/// Fraction of the configured retry allowance that is used. Each instance counts for
+/// itself, and clients are spread unevenly over the instances.
 const BUDGET_SHARE: f64 = 0.8;
 
 /// State of the traffic thread.
 #[derive(Debug)]
 pub struct TrafficState {
-    /// What is shared with control.
+    /// State shared with the control thread.
     pub shared: Arc<SharedState>,
-    /// The settings.
+    /// Settings of this instance.
     pub settings: EdgeSettings,
-    /// The clock.
+    /// Clock of this instance.
     pub clock: Clock,
-    /// When the thread was started.
+    /// Time at which the thread was started.
     pub started: Time,
-    /// Headers of callers and servers.
+    /// Names of the headers exchanged with clients and servers.
     pub headers: HeaderNames,
-    /// Connections to servers.
+    /// Idle connections to servers.
     pub pool: Pool,
-    /// Told whenever a request ends.
+    /// Notified whenever a request ends.
     pub capacity_freed: Rc<Notify>,
-    /// Whether the instance leaves.
+    /// Whether the instance is leaving.
     pub leaving: watch::Receiver<bool>,
-    /// Limits at services whose servers share the work.
+    /// Concurrency limits of services whose servers can all run any request.
     pub concurrency_limits: Rc<ConcurrencyLimits>,
-    /// How long idle connections are trusted.
+    /// Limits on the idle time of reused connections.
     pub idle_limits: Rc<IdleLimits>,
-    /// What cold servers get from this instance.
+    /// Limits on the requests that this instance sends to cold servers.
     pub cold_limiter: RefCell<SlowStartLimiter>,
-    /// How long owners may get requests that leave or are evacuated.
+    /// How long owners that are draining or evacuated may still get requests.
     pub send_bounds: SendBounds,
-    /// Requests counted since the metrics were last read.
+    /// Counts since the metrics were last read.
     pub local_metrics: RefCell<LocalMetrics>,
     metrics: Metrics,
     budgets: RefCell<BTreeMap<ServiceName, RetryBudget>>,
 }
 
-/// What the platform calls things that traffic deals with.
+/// Names that the platform defines.
 #[derive(Debug)]
 pub struct PlatformNames {
-    /// Headers of callers and servers.
+    /// Names of the headers exchanged with clients and servers.
     pub headers: HeaderNames,
-    /// The path that balancers ask for.
+    /// Path of the readiness check of load balancers.
     pub readiness_path: String,
 }
 
 impl TrafficState {
+    /// Metrics in text form, for the metrics path.
     fn metrics_page(&self, path: &str) -> HttpResponse {
         if path != METRICS_PATH {
             return response(StatusCode::NOT_FOUND, "");
@@ -111,40 +113,43 @@
         response(StatusCode::OK, self.metrics.to_text())
     }
 
-    /// How old what requests are decided by is.
+    /// Ages of the tables by which requests are routed.
     pub fn table_ages(&self) -> TableAges {
         self.shared.freshness().ages(self.clock.now())
     }
 
-    /// Why the configuration that a request was decided by may be out of date; `None`
-    /// for a version if that does not matter.
+    /// Reason for which the configuration may be out of date; `None` if it is current. A
+    /// configuration older than the one in force is out of date as well; `decided_by` is
+    /// `None` if the version does not matter.
     pub fn config_stale_reason(&self, decided_by: Option<ConfigVersion>) -> Option<StaleReason> {
         let staleness = self.shared.freshness().config_standing(self.clock.now());
         if let Some(stale_reason) = staleness.stale_reason(&FreshnessTimes::STANDARD) {
             return Some(stale_reason);
         }
-        // Read last: the standing describes a view that is published before it.
+        // Read after the staleness, which describes a view that was published before it.
         let current_version = self.shared.view()?.config.version;
         let is_replaced = decided_by.is_some_and(|version| version < current_version);
         is_replaced.then_some(StaleReason::Lagging)
     }
 
-    /// The id of a request, for logs; `-` if it has none.
+    /// Id of the request, for logs; `-` if it has none.
     pub fn request_id<'a>(&self, head: &'a Parts) -> &'a str {
         let id = head.headers.get(&self.headers.request_id);
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// Counts a request for the retry budget of its service.
+    /// Adds a request to the retry budget of its service.
     pub fn count_request(&self, service: &ServiceName) {
         self.with_budget(service, RetryBudget::deposit);
     }
 
-    /// Takes a retry from the budget.
+    /// Takes a token from the retry budget of the service; `false` if there is none.
     pub fn take_retry(&self, service: &ServiceName) -> bool {
         self.with_budget(service, RetryBudget::take)
     }
 
+    /// Calls `f` with the retry budget of the service, adjusted to the current number of
+    /// instances.
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let instances = self.shared.view().map_or(1, |view| view.instance_count);
         let retries = self.settings.retry_budget;
@@ -158,10 +163,10 @@
     }
 }
 
-/// Serves callers until the instance has left.
+/// Serves clients until the instance has left.
 ///
 /// # Errors
-/// If an address cannot be listened on.
+/// Returns an error if the traffic or readiness address cannot be listened on.
 pub async fn run(
     shared: Arc<SharedState>,
     settings: EdgeSettings,
@@ -203,8 +208,8 @@
     Ok(())
 }
 
-/// Callers matter more than counts: without the address for metrics the instance
-/// runs on.
+/// Serves metrics. If their address cannot be listened on, the error is only logged:
+/// serving clients matters more than metrics.
 async fn serve_metrics(state: &Rc<TrafficState>) {
     let Some(address) = state.settings.metrics_address else {
         return;
@@ -220,12 +225,14 @@
     }
 }
 
+/// Accepts connections until the instance leaves, then closes them once their requests
+/// have ended or the shutdown timeout is reached.
 async fn accept_until_leaving(state: &Rc<TrafficState>, listener: TcpListener) {
     let (open_connections, mut all_closed) = mpsc::channel::<()>(1);
     let (close, closing) = watch::channel(false);
     let mut leaving = state.leaving.clone();
     let notice_period = async {
-        // The sender lives in the board, as long as the process.
+        // The sender is part of the shared state and lives as long as the process.
         let _ = leaving.wait_for(|leaving| *leaving).await;
         sleep(LEAVE_NOTICE_TIME).await;
     };
@@ -233,8 +240,8 @@
         () = notice_period => {}
         () = accept_connections(state, &listener, &open_connections, &closing) => {}
     }
-    // Connections that the kernel has completed already: closing the listener
-    // would reset them, and requests that are on their way.
+    // Accept connections that the kernel has already established: closing the listener
+    // would reset them, along with requests on their way.
     while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
         spawn_connection(state, stream, &open_connections, &closing);
     }
@@ -246,12 +253,13 @@
         leave_timeout.saturating_sub(LEAVE_NOTICE_TIME + leave_timeout / LEAVE_MARGIN_DIVISOR);
     if timeout(remaining, all_closed.recv()).await.is_err() {
         log::warn!(
-            "{} requests are cut off at the end of the time to leave",
+            "{} shutdown timeout reached: open requests were aborted",
             events::STOPPED
         );
     }
 }
 
+/// Accepts connections and serves each in a task of its own.
 async fn accept_connections(
     state: &Rc<TrafficState>,
     listener: &TcpListener,
@@ -269,6 +277,7 @@
     }
 }
 
+/// Starts the task that serves a connection.
 fn spawn_connection(
     state: &Rc<TrafficState>,
     stream: TcpStream,
@@ -284,6 +293,8 @@
     ));
 }
 
+/// Serves a connection until it is closed. The shutdown waits until all clones of
+/// `_open_connection` are dropped.
 async fn serve_connection(
     state: Rc<TrafficState>,
     stream: TcpStream,
@@ -295,7 +306,7 @@
     connection::serve(stream, limits, closing, RequestHandler(state)).await;
 }
 
-/// Answers callers.
+/// Handles the requests of client connections.
 #[derive(Clone)]
 struct RequestHandler(Rc<TrafficState>);
 
@@ -318,8 +329,8 @@
     }
 }
 
-/// What a caller may take up, by the configuration at its connection's begin. How
-/// large a head may be is asked again for each.
+/// Limits of a client connection, by the configuration in force when the connection is
+/// accepted. The limit on the size of a request head is read again for each request.
 fn connection_limits(state: &TrafficState) -> Limits {
     let mut limits = Limits::default();
     if let Some(view) = state.shared.view() {
