--- a/crates/citronproxy/src/edge/traffic/active_request.rs
+++ b/crates/citronproxy/src/edge/traffic/active_request.rs
@@ -131,7 +131,7 @@
         result: AttemptResult,
     ) -> Option<Response<ResponseBody>> {
         let name = server.entry.name.clone();
-        let retry = match result {
+        let should_retry = match result {
             AttemptResult::Responded(response) => return self.on_response(name, response),
             AttemptResult::NotSent(_) | AttemptResult::Closed => self.may_try_another(name),
             AttemptResult::Refused => self.may_retry(name),
@@ -144,7 +144,7 @@
                 self.request.idempotency == Idempotency::Idempotent && self.may_retry(name)
             }
         };
-        match retry {
+        match should_retry {
             true => None,
             false => Some(self.give_up("no try is left")),
         }
@@ -237,8 +237,8 @@
             epoch: self.epoch(),
             retry_at,
         });
-        let may_ask = self.misdirected <= MISDIRECTED_MAX + 1 && self.has_time();
-        may_ask && self.state.take_retry(self.service)
+        let may_resend = self.misdirected <= MISDIRECTED_MAX + 1 && self.has_time();
+        may_resend && self.state.take_retry(self.service)
     }
 
     /// Attempts that the route allows.
