--- a/crates/wire/schema/peer.capnp
+++ b/crates/wire/schema/peer.capnp
@@ -1,25 +1,25 @@
-# Calls between instances. Regenerate the Rust code as docs/DEVELOPING.md says.
+# Calls between instances. docs/DEVELOPING.md describes how to regenerate the Rust code.
 @0xb4f1c3d29a6e7081;
 
-# Where an instance stands. Durations are in microseconds and count from when
-# the answer is written; an asker anchors them at the time it sent the question.
+# Status of an instance. Durations are in microseconds and relative to the time at which
+# the response is written; the caller counts them from the time it sent the request.
 struct Status {
   instance @0 :Text;
   incarnation @1 :UInt64;
   domain @2 :Text;
-  # The revision that its traffic is routed by.
+  # Revision by which the instance routes requests.
   revision @3 :UInt64;
-  # How much longer it may route to servers in any failure domain.
+  # Remaining time for which the instance may route to servers in any failure domain.
   remaining @4 :UInt64;
-  # How long ago the platform read that it rests on was begun.
+  # Time since the start of the platform read that `remaining` is based on.
   age @5 :UInt64;
-  # Whether it rests on any; remaining and age mean nothing otherwise.
+  # Whether there is such a read; otherwise remaining and age are not valid.
   confirmed @6 :Bool;
   leaving @7 :Bool;
 }
 
-# One row. The value is the row's JSON as the platform stores it, so that rows
-# have one encoding only; an empty value stands for a deleted row.
+# One changed row. The value is the row's JSON as the platform stores it, so that rows have
+# only one encoding; an empty value means that the row was deleted.
 struct Change {
   key @0 :Text;
   version @1 :UInt64;
@@ -32,20 +32,20 @@
   rows @2 :List(Change);
 }
 
-# Who asks, so that the answerer knows whom it lent its confirmation to.
+# Sender of a call. The receiver records which instances rely on its confirmation.
 struct Asker {
   instance @0 :Text;
   incarnation @1 :UInt64;
 }
 
-# Requests of one instance for one backend server, a second.
+# Request rates of one instance for one backend server, per second.
 struct Demand {
   server @0 :Text;
   arrivals @1 :Float64;
   answers @2 :Float64;
 }
 
-# Crashes that one instance counted for requests of one fingerprint.
+# Crashes counted by one instance for requests of one fingerprint.
 struct CrashCount {
   fingerprint @0 :UInt64;
   # Method and path, for operators.
@@ -55,19 +55,19 @@
   age @3 :UInt64;
 }
 
-# Crashes up to some time that do not count any more.
+# Time up to which crashes of one fingerprint no longer count.
 struct Lift {
   fingerprint @0 :UInt64;
-  # Microseconds since.
+  # Microseconds since that time.
   age @1 :UInt64;
 }
 
-# All that one start of an instance knows of its demand and of crashes; a later
-# report replaces an earlier one.
+# Demand and crash counts of one incarnation of an instance. A later report replaces an
+# earlier one.
 struct Report {
   sender @0 :Asker;
   demands @1 :List(Demand);
-  # Counts the reports of one start.
+  # Sequence number of the report within its incarnation.
   number @2 :UInt64;
   crashes @3 :List(CrashCount);
   lifts @4 :List(Lift);
@@ -76,18 +76,18 @@
 interface Peer {
   status @0 () -> (status :Status);
 
-  # Answers once the revision is in force and no request that was routed under
-  # an older one can reach the backend server or run there; `settled` is false
-  # if that was not so in time.
+  # Responds once the revision is in force and no request that was routed under an older
+  # one can reach the backend server or run there. `settled` is false if the time-out
+  # expired before.
   acknowledge @1 (server :Text, revision :UInt64)
       -> (incarnation :UInt64, settled :Bool);
 
-  # Rows after a revision together with the confirmation that covers them.
+  # Returns the rows after a revision, and the status whose confirmation covers them.
   changes @2 (asker :Asker, since :UInt64) -> (status :Status, changes :Changes);
 
-  # Says that the table has reached a revision, so that it is read at once.
+  # Announces that the table has reached a revision, so that the receiver reads it at once.
   announce @3 (revision :UInt64) -> ();
 
-  # Hands over the sender's demand and crash counts.
+  # Sends the demand and crash counts of the sender.
   report @4 (report :Report) -> ();
 }
--- a/crates/wire/src/admin/edits.rs
+++ b/crates/wire/src/admin/edits.rs
@@ -1,4 +1,4 @@
-//! What operators send.
+//! Request bodies of the admin API.
 
 use {
     crate::{
@@ -13,39 +13,39 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What one row is to be.
+/// Edit of one row.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowEditWire {
-    /// The row's key, `kind/name`.
+    /// Key of the row, `kind/name`.
     pub key: String,
-    /// The version that was seen; 0 adds.
+    /// Version that the row must have; 0 adds a row that does not exist yet.
     pub version: u64,
-    /// The new row; null deletes.
+    /// New row; null deletes it.
     pub row: Option<RowWire>,
 }
 
-/// Rows that change together or not at all.
+/// An atomic edit: all of its rows change, or none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditWire {
-    /// The rows.
+    /// Edits of the rows.
     pub rows: Vec<RowEditWire>,
 }
 
-/// A move of one shard, or of one key out of its shard, to a server.
+/// Request to move a shard, or a single key of a shard, to another backend server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MoveWire {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The shard's number.
+    /// Number of the shard, if a shard is moved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shard: Option<u32>,
-    /// The key, as requests carry it.
+    /// Key as requests carry it, if a single key is moved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// The server that is to own it.
+    /// Name of the server that becomes the owner.
     pub to: String,
 }
 
--- a/crates/wire/src/admin/mod.rs
+++ b/crates/wire/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin API as JSON; `docs/ADMIN-API.md` lists the calls.
+//! JSON of the admin API; `docs/ADMIN-API.md` lists the calls.
 
 mod edits;
 mod refused;
@@ -12,5 +12,5 @@
     status::{OwnerWire, RowsWire, StatusWire},
 };
 
-/// Request header: who makes an edit.
+/// Request header with the name of the operator who makes an edit.
 pub const HEADER_OPERATOR: &str = "citron-operator";
--- a/crates/wire/src/admin/refused.rs
+++ b/crates/wire/src/admin/refused.rs
@@ -1,36 +1,37 @@
-//! Requests that crashed servers.
+//! JSON of requests that are refused because they crashed backend servers.
 
 use {
     citron_core::crash::CrashEntry,
     serde::{Deserialize, Serialize},
 };
 
-/// Requests of one kind.
+/// Crashes counted for requests of one fingerprint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CrashEntryWire {
-    /// What makes them the same, 16 hexadecimal digits.
+    /// Fingerprint of the requests, 16 hexadecimal digits.
     pub fingerprint: String,
     /// Method and path.
     pub label: String,
-    /// Crashes that this instance knows of.
+    /// Number of crashes known to this instance.
     pub crashes: u32,
-    /// How much longer they are refused, in milliseconds; missing if they are not.
+    /// Remaining time for which such requests are refused, in milliseconds; absent if they
+    /// are not refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused_ms: Option<u64>,
 }
 
-/// Requests that crashed servers, as one instance knows of them.
+/// Crashes known to one instance, by fingerprint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RefusedWire {
-    /// The requests.
+    /// Entries, one per fingerprint.
     pub requests: Vec<CrashEntryWire>,
 }
 
-/// Lets requests through again.
+/// Request to end the refusal of requests with a fingerprint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LiftWire {
-    /// Which.
+    /// Fingerprint of the requests, 16 hexadecimal digits.
     pub fingerprint: String,
 }
 
--- a/crates/wire/src/admin/responses.rs
+++ b/crates/wire/src/admin/responses.rs
@@ -1,4 +1,4 @@
-//! What operators get back.
+//! Response bodies of the admin API.
 
 use {
     crate::{
@@ -12,12 +12,12 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A row with its key and version.
+/// A row of the table with its key and version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VersionedRowWire {
-    /// The row's key, `kind/name`.
+    /// Key of the row, `kind/name`.
     pub key: String,
-    /// The version that an edit has to name.
+    /// Version of the row, which an edit of the row must name.
     pub version: u64,
     /// The row.
     pub row: RowWire,
@@ -33,38 +33,38 @@
     }
 }
 
-/// An accepted edit's revision.
+/// Response to an accepted edit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RevisionWire {
-    /// The revision.
+    /// Revision that the edit created.
     pub revision: u64,
 }
 
-/// Why a call was refused.
+/// Response to a rejected or failed call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorWire {
-    /// A fixed word for machines.
+    /// Error code for programs; one of a fixed set.
     pub code: String,
-    /// A sentence for people.
+    /// Error message for operators.
     pub message: String,
-    /// The row at fault.
+    /// Key of the row that caused the error.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// After a lost race: the row as it is now; missing if it is not there.
+    /// On a version conflict, the current row; absent if the row does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<VersionedRowWire>,
 }
 
-/// An accepted edit.
+/// An accepted edit in the history.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HistoryEntryWire {
-    /// The revision that it made.
+    /// Revision that the edit created.
     pub revision: u64,
-    /// Who made it.
+    /// Author of the edit.
     pub by: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the edit, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What changed.
+    /// Changed rows.
     pub changes: Vec<RowChangeWire>,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// Accepted edits, oldest first.
+/// One page of the history of accepted edits, oldest first.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HistoryPageWire {
     /// The edits.
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! What an instance says of itself and of the table.
+//! JSON of an instance's status and of the rows that it knows.
 
 use {
     super::VersionedRowWire,
@@ -6,58 +6,59 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Rows as of a revision.
+/// Rows of the table as of a revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RowsWire {
-    /// The revision.
+    /// Revision of the table.
     pub revision: u64,
-    /// Whether the platform was just read; if not, the rows are the last ones
-    /// that this instance knows.
+    /// Whether the rows were just read from the platform. Otherwise they are the last ones
+    /// known to this instance.
     pub fresh: bool,
-    /// The rows, in the order of their keys.
+    /// Rows, sorted by key.
     pub rows: Vec<VersionedRowWire>,
 }
 
-/// An instance's own account.
+/// Status of an instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusWire {
-    /// The instance's name.
+    /// Name of the instance.
     pub instance: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// The revision that requests are routed by here.
+    /// Revision by which this instance routes requests.
     pub revision: u64,
-    /// The last revision of the table that this instance knows of.
+    /// Latest revision of the table known to this instance.
     pub latest: u64,
-    /// Whether the platform was just read for `latest` and `instances`.
+    /// Whether `latest` and `instances` were just read from the platform.
     pub fresh: bool,
-    /// Instances of the table; their revisions are those of the time when they
-    /// wrote their rows.
+    /// All instances in the table. Their revisions date from when each of them wrote its
+    /// row.
     pub instances: Vec<InstanceWire>,
 }
 
-/// Who owns a key, and why.
+/// Owner of a key, with the row that determines it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OwnerWire {
-    /// The revision that this is the answer of.
+    /// Revision of the table that the result is based on.
     pub revision: u64,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The key's hash, 16 hexadecimal digits.
+    /// Hash of the key, 16 hexadecimal digits.
     pub hash: String,
-    /// `shard:NUMBER`, or `key:HASH` if the key was taken out of its shard.
+    /// Scope that contains the key: `shard:NUMBER`, or `key:HASH` if the key has an
+    /// assignment of its own.
     pub scope: String,
-    /// The row that says so.
+    /// Key of the row that holds the assignment.
     pub row: String,
-    /// The version of that row.
+    /// Version of that row.
     pub version: u64,
-    /// The owner.
+    /// Name of the server that owns the key.
     pub owner: String,
-    /// The owner's fencing token.
+    /// Fencing token of the owner.
     pub epoch: u64,
-    /// The next owner, while the scope is being released.
+    /// Next owner, while the scope is being released.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<String>,
-    /// The above in a sentence.
+    /// Summary of the other fields in a sentence, for operators.
     pub why: String,
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,34 +1,34 @@
-//! Errors of turning wire types into core types.
+//! Errors of converting wire types to core types.
 
 use {citron_core::id::ParseIdError, thiserror::Error};
 
-/// Why a wire value is not valid.
+/// Error of converting a wire value to a core type.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// A name or number that does not parse.
+    /// A name or number cannot be parsed.
     #[error("{field}: {source}")]
     InvalidId {
-        /// The field at fault.
+        /// Name of the invalid field.
         field: String,
-        /// What is wrong with it.
+        /// Error of the parser.
         source: ParseIdError,
     },
-    /// Any other value outside what is allowed.
+    /// A field has a value that is not allowed.
     #[error("{field} is '{found}'; allowed: {allowed}")]
     InvalidValue {
-        /// The field at fault.
+        /// Name of the invalid field.
         field: String,
-        /// What it holds.
+        /// Value of the field.
         found: String,
-        /// What it may hold.
+        /// Description of the allowed values.
         allowed: String,
     },
-    /// A message between instances that is damaged.
+    /// A message between instances is malformed.
     #[error("damaged message: {0}")]
     MalformedMessage(String),
 }
 
-/// Parses one field, naming it in the error.
+/// Parses the text of a field. The error names the field.
 pub(crate) fn parse_field<T>(field: &str, text: &str) -> Result<T, WireError>
 where
     T: std::str::FromStr<Err = ParseIdError>,
@@ -39,7 +39,7 @@
     })
 }
 
-/// An error that names a field, what it holds and what it may hold.
+/// Creates an error that names a field, its value and the allowed values.
 pub(crate) fn invalid_value(field: &str, found: impl ToString, allowed: &str) -> WireError {
     WireError::InvalidValue {
         field: field.to_string(),
--- a/crates/wire/src/grant/grant_wire.rs
+++ b/crates/wire/src/grant/grant_wire.rs
@@ -1,4 +1,4 @@
-//! Orders and answers.
+//! JSON of grant orders and of the replies of backend servers.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
     std::time::Duration,
 };
 
-/// Reads a scope as [`Scope`] displays it.
+/// Parses the text form of a [`Scope`], as its `Display` writes it.
 ///
 /// # Errors
 /// [`WireError`] if it is neither `shard:NUMBER` nor `key:HASH`.
@@ -25,17 +25,17 @@
     }
 }
 
-/// One grant.
+/// Grant or revocation of a scope.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantWire {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// `shard:NUMBER` or `key:HASH`.
+    /// Scope, `shard:NUMBER` or `key:HASH`.
     pub scope: String,
-    /// The fencing token.
+    /// Fencing token.
     pub epoch: u64,
-    /// Whether it takes instead of giving.
+    /// Whether this revokes the scope instead of granting it.
     #[serde(default)]
     pub revoke: bool,
 }
@@ -68,13 +68,13 @@
     }
 }
 
-/// A lease on the server's own clock.
+/// A lease whose end is a reading of the server's own clock.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseWire {
-    /// The server's start.
+    /// Id of the server process.
     pub boot: u64,
-    /// The end, in microseconds since the origin of the server's clock.
+    /// End of the lease, in microseconds since the origin of the server's clock.
     pub until_us: u64,
 }
 
@@ -96,41 +96,41 @@
     }
 }
 
-/// What a server is told. Without grants and lease it only tells its clock.
+/// Order to a server. An order without grants and lease only reads the server's clock.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantOrderWire {
-    /// The start that the order is meant for; any, if absent. A server of
-    /// another start refuses all of it.
+    /// Id of the server process that the order is meant for; any process if absent.
+    /// Another process rejects the whole order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boot: Option<u64>,
-    /// The grants.
+    /// Grants and revocations.
     #[serde(default)]
     pub grants: Vec<GrantWire>,
-    /// The new end of the lease, if it is to be extended.
+    /// New lease; absent if the lease is not extended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<LeaseWire>,
 }
 
-/// What a server makes of one grant.
+/// Result of one grant at a server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantResultWire {
-    /// Whether it is in force.
+    /// Whether the server has applied the grant.
     pub accepted: bool,
-    /// The highest epoch the server has seen of the scope.
+    /// Highest epoch that the server has received for the scope.
     pub seen: u64,
 }
 
-/// A server's answer.
+/// Reply of a server to an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantReplyWire {
-    /// The server's start.
+    /// Id of the server process.
     pub boot: u64,
-    /// Its clock, in microseconds since its origin.
+    /// Reading of the server's clock, in microseconds since the clock's origin.
     pub clock_us: u64,
-    /// One result a grant.
+    /// One result per grant, in the order of the grants.
     pub results: Vec<GrantResultWire>,
 }
 
--- a/crates/wire/src/heartbeat/crashes.rs
+++ b/crates/wire/src/heartbeat/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers.
+//! Crash counts in a heartbeat.
 
 use {
     super::byte_budget::ByteBudget,
@@ -7,22 +7,24 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// What an instance knows of requests that crash servers.
+/// Crash counts and lifts that an instance knows, by request fingerprint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CrashesWire {
     number: u64,
     counts: Vec<CrashWire>,
-    /// Fingerprint, and milliseconds since.
+    /// Fingerprint, and milliseconds since the lift.
     lifts: Vec<(u64, u64)>,
 }
 
-/// The part of a heartbeat that either may take.
+/// Share of the remaining space of a heartbeat that crash counts may take.
 const COUNTS_SHARE: f64 = 0.25;
+/// Share of the space that then remains that lifts may take.
 const LIFTS_SHARE: f64 = 0.25;
 
 impl CrashesWire {
-    /// What fits of it: the counts that are nearest to a refusal, and the newest lifts,
-    /// as others have heard of the older ones; nothing if there is nothing to say.
+    /// Keeps as many entries as fit into a share of the budget: the counts that are
+    /// closest to a refusal, and the newest lifts, as older ones have already been sent.
+    /// Returns `None` if nothing is left.
     pub(super) fn truncate_to(mut self, budget: &mut ByteBudget) -> Option<Self> {
         self.counts
             .sort_by_key(|count| (Reverse(count.crashes), count.age));
@@ -42,7 +44,7 @@
     fingerprint: u64,
     label: String,
     crashes: u32,
-    /// Milliseconds since the last one.
+    /// Milliseconds since the last crash.
     age: u64,
 }
 
--- a/crates/wire/src/heartbeat/datagram.rs
+++ b/crates/wire/src/heartbeat/datagram.rs
@@ -1,41 +1,42 @@
-//! What one datagram carries.
+//! Datagrams between instances.
 
 use {
     super::{Heartbeat, MovesWire},
     serde::{Deserialize, Serialize},
 };
 
-/// The largest datagram sent: below what a link carries in one piece.
+/// Largest size of a datagram, in bytes. It is below the usual MTU, so that datagrams are
+/// not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// A datagram between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A heartbeat.
+    /// Heartbeat, sent to all instances.
     Heartbeat(Heartbeat),
-    /// Keys that callers asked for, to the planner.
+    /// Keys of recent requests, sent to the planner.
     Keys(Vec<KeysWire>),
-    /// Keys on their way, from the planner.
+    /// Moves of keys, sent by the planner.
     Moves(MovesWire),
 }
 
-/// Keys of one service.
+/// Keys of recent requests for one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeysWire {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// A key for each request.
+    /// One key per request.
     pub keys: Vec<u16>,
 }
 
 impl Datagram {
-    /// As bytes; `None` if it does not fit into one datagram.
+    /// Encodes the datagram; `None` if it is larger than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(self).ok()?;
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// From bytes; `None` if they are not understood.
+    /// Decodes a datagram; `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/wire/src/heartbeat/load.rs
+++ b/crates/wire/src/heartbeat/load.rs
@@ -1,16 +1,16 @@
-//! Loads of servers.
+//! Server loads in a heartbeat.
 
 use {
     citron_core::{dispatch::PeerLoad, id::ParseIdError},
     serde::{Deserialize, Serialize},
 };
 
-/// What an instance says of a server.
+/// Load that an instance causes at a backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadWire {
     server: String,
     busy: u32,
-    /// Run time of a request in milliseconds; 0 if none was seen.
+    /// Run time of a request in milliseconds; 0 if unknown.
     run: u32,
 }
 
--- a/crates/wire/src/heartbeat/message.rs
+++ b/crates/wire/src/heartbeat/message.rs
@@ -1,4 +1,4 @@
-//! A heartbeat.
+//! The heartbeat of an instance.
 
 use {
     super::{CrashesWire, Datagram, LoadWire, MAX_DATAGRAM_BYTES, byte_budget::ByteBudget},
@@ -6,41 +6,42 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The most bytes by which the number of loads is longer than that of none.
+/// Largest number of extra bytes that the encoded length of the load list takes, compared
+/// with that of an empty list.
 const MAX_COUNT_BYTES: usize = 4;
 
-/// Sent at fixed times, with what others need to know.
+/// State of an instance, sent to all other instances at a fixed interval.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the sender.
     pub instance: String,
-    /// Its start.
+    /// Incarnation of the sender.
     pub start: u64,
-    /// Its failure domain.
+    /// Failure domain of the sender.
     pub domain: String,
-    /// Its part of a processor, in percent.
+    /// CPU share of the sender, in percent of one core.
     pub cpu: u32,
-    /// Whether it is about to end.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
-    /// Whether it acts as the planner.
+    /// Whether the sender acts as the planner.
     pub planning: bool,
-    /// Whether the store answers it.
+    /// Whether the store responds to the sender.
     pub store: bool,
-    /// Versions of its tables, in the order in which instances watch them.
+    /// Versions of the sender's tables, in the order in which instances watch them.
     pub versions: [u64; 3],
-    /// How old they are.
+    /// Ages of these tables.
     pub ages: [AgeWire; 3],
-    /// Version of the row that names the planner it follows; 0 for none.
+    /// Version of the row that names the planner the sender follows; 0 if there is none.
     pub leadership: u64,
-    /// What it has at servers.
+    /// Loads that the sender causes at backend servers.
     pub loads: Vec<LoadWire>,
-    /// Requests that crashed servers, if it knows of any.
+    /// Crash counts, if the sender knows any.
     pub crashes: Option<CrashesWire>,
 }
 
 impl Heartbeat {
-    /// As a datagram, with as much as fits of what it says of crashes and loads, the
-    /// first of each first. What it says of its sender always fits.
+    /// Encodes the heartbeat as one datagram. Crash counts and loads that do not fit are
+    /// dropped from the end of their lists; the state of the sender itself always fits.
     pub fn encode_truncated(mut self) -> Option<Vec<u8>> {
         let crashes = self.crashes.take();
         let loads = std::mem::take(&mut self.loads);
--- a/crates/wire/src/heartbeat/mod.rs
+++ b/crates/wire/src/heartbeat/mod.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other several times a second.
+//! Datagrams between instances, most of which are heartbeats sent several times per second.
 
 mod byte_budget;
 mod crashes;
--- a/crates/wire/src/heartbeat/moves.rs
+++ b/crates/wire/src/heartbeat/moves.rs
@@ -1,4 +1,4 @@
-//! Keys on their way.
+//! Moves of keys, as announced by the planner.
 
 use {
     citron_core::{
@@ -8,16 +8,17 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Keys of one service.
+/// Moves of one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MovesWire {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// What is told of its keys.
+    /// The moves.
     pub moves: Vec<MoveWire>,
 }
 
-/// First and last key, epoch, and the owner; none while the former one gives them up.
+/// First and last key, epoch, and new owner; no owner while the previous one releases the
+/// keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MoveWire(u16, u16, u64, Option<String>);
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! Wire types of citronproxy: JSON of the platform, of the admin API and of
-//! backend server grants, and messages between instances. They convert to and from the types of `citron-core`,
-//! so that no decision depends on how something is written.
+//! Wire types of citronproxy: JSON of the platform, of the admin API and of backend server
+//! grants, and messages between instances. They convert to and from the types of
+//! `citron-core`, so that no decision depends on an encoding.
 
 pub mod admin;
 pub mod grant;
@@ -13,7 +13,7 @@
 
 mod error;
 
-/// Code generated from `schema/peer.capnp`; `docs/DEVELOPING.md` says how.
+/// Code generated from `schema/peer.capnp`; `docs/DEVELOPING.md` describes how.
 #[allow(missing_docs, clippy::all, reason = "generated")]
 pub mod peer_capnp;
 
--- a/crates/wire/src/peer/changes.rs
+++ b/crates/wire/src/peer/changes.rs
@@ -1,4 +1,4 @@
-//! Changed rows as a message.
+//! Encoding of changed rows in a message.
 
 use {
     super::requests::read_text,
@@ -16,11 +16,11 @@
 
 type ChangedRow = (RowKey, Revision, Option<Row>);
 
-/// Writes changes into a message.
+/// Writes changes to a message.
 ///
 /// # Errors
-/// [`WireError`] if a row cannot be encoded; an empty text instead would tell
-/// the reader that the row was deleted.
+/// [`WireError`] if a row cannot be encoded. An empty text in its place would mean that the
+/// row was deleted.
 pub fn write_changes(core: &Changes, mut builder: changes::Builder<'_>) -> Result<(), WireError> {
     builder.set_since(core.since.0);
     builder.set_revision(core.revision.0);
@@ -49,7 +49,7 @@
 /// Reads changes from a message.
 ///
 /// # Errors
-/// [`WireError`] names the first row that is not valid; nothing is taken then.
+/// [`WireError`] for the first row that is not valid.
 pub fn read_changes(reader: changes::Reader<'_>) -> Result<Changes, WireError> {
     let rows = reader
         .get_rows()
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -1,5 +1,5 @@
-//! Calls between instances: `schema/peer.capnp`, whose generated code is
-//! [`crate::peer_capnp`].
+//! Messages of the calls between instances. The schema is `schema/peer.capnp`, its generated
+//! code [`crate::peer_capnp`].
 
 mod changes;
 mod report;
--- a/crates/wire/src/peer/report.rs
+++ b/crates/wire/src/peer/report.rs
@@ -1,4 +1,4 @@
-//! Demand and crashes of an instance as a message.
+//! Encoding of an instance's demand and crash counts in a message.
 
 use {
     super::requests::{Asker, read_text},
@@ -16,7 +16,7 @@
     std::time::Duration,
 };
 
-/// Writes a report into a message.
+/// Writes a report to a message.
 pub fn write_report(core: &InstanceReport, mut builder: report::Builder<'_>) {
     Asker::from(&core.sender).write(builder.reborrow().init_sender());
     let mut demands = builder.reborrow().init_demands(core.demands.len() as u32);
@@ -51,7 +51,7 @@
 /// Reads a report from a message.
 ///
 /// # Errors
-/// [`WireError`] names the first value that is not valid; nothing is taken then.
+/// [`WireError`] for the first value that is not valid.
 pub fn read_report(reader: report::Reader<'_>) -> Result<InstanceReport, WireError> {
     let demands = reader.get_demands().map_err(malformed)?;
     let counts = reader.get_crashes().map_err(malformed)?;
@@ -77,7 +77,8 @@
     Ok((server, demand))
 }
 
-/// A rate that is not a number would make every part of a sum of them none.
+/// Validates a rate. A NaN would turn every sum of rates, and all shares computed from it,
+/// into NaN.
 fn read_rate(field: &str, rate: f64) -> Result<Rate, WireError> {
     match rate.is_finite() && rate >= 0.0 {
         true => Ok(Rate(rate)),
--- a/crates/wire/src/peer/requests.rs
+++ b/crates/wire/src/peer/requests.rs
@@ -1,4 +1,4 @@
-//! Questions between instances, and the answer to an acknowledgement.
+//! Sender of a call, and the request and response of an acknowledgement.
 
 use {
     crate::{WireError, error::parse_field, peer_capnp},
@@ -8,17 +8,17 @@
     },
 };
 
-/// Who asks for changes.
+/// Instance that sends a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Asker {
-    /// The asking instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Which start of it.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
 impl Asker {
-    /// Writes the asker into a message.
+    /// Writes the sender to a message.
     pub fn write(&self, mut builder: peer_capnp::asker::Builder<'_>) {
         builder.set_instance(self.instance.as_str());
         builder.set_incarnation(self.incarnation.0);
@@ -54,17 +54,18 @@
     }
 }
 
-/// Asks whether a revision is settled for one backend server.
+/// Request to acknowledge that a revision is settled for a backend server: that the revision
+/// is in force, and that no request routed under an older one can still run at the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcknowledgeRequest {
-    /// The server that scopes are moving away from.
+    /// Server that releases scopes.
     pub server: ServerName,
-    /// The revision that stopped them.
+    /// Revision since which requests for these scopes are no longer routed to the server.
     pub revision: Revision,
 }
 
 impl AcknowledgeRequest {
-    /// Writes the question into a message.
+    /// Writes the request to a message.
     pub fn write(&self, mut builder: peer_capnp::peer::acknowledge_params::Builder<'_>) {
         builder.set_server(self.server.to_string());
         builder.set_revision(self.revision.0);
@@ -84,17 +85,19 @@
     }
 }
 
-/// The answer; it counts only for the start of the instance that is listed.
+/// Response to an [`AcknowledgeRequest`]. It is valid only if its incarnation is the one
+/// listed in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcknowledgeResponse {
-    /// Which start of the instance answers.
+    /// Incarnation of the responding instance.
     pub incarnation: Incarnation,
-    /// Whether the revision is in force and nothing older is in flight.
+    /// Whether the revision is in force and no request routed under an older one is in
+    /// flight to the server.
     pub settled: bool,
 }
 
 impl AcknowledgeResponse {
-    /// Writes the answer into a message.
+    /// Writes the response to a message.
     pub fn write(&self, mut builder: peer_capnp::peer::acknowledge_results::Builder<'_>) {
         builder.set_incarnation(self.incarnation.0);
         builder.set_settled(self.settled);
@@ -110,7 +113,7 @@
     }
 }
 
-/// A text field of a message.
+/// Reads a text field of a message.
 pub(crate) fn read_text(field: capnp::Result<capnp::text::Reader<'_>>) -> Result<&str, WireError> {
     let read = field.and_then(|text| text.to_str().map_err(capnp::Error::from));
     read.map_err(|error| WireError::MalformedMessage(error.to_string()))
--- a/crates/wire/src/peer/status.rs
+++ b/crates/wire/src/peer/status.rs
@@ -1,4 +1,4 @@
-//! The status of an instance as a message.
+//! Encoding of an instance's status in a message.
 
 use {
     super::requests::read_text,
@@ -10,7 +10,7 @@
     std::time::Duration,
 };
 
-/// Writes a status into a message.
+/// Writes a status to a message.
 pub fn write_status(core: &InstanceStatus, mut builder: status::Builder<'_>) {
     builder.set_instance(core.instance.as_str());
     builder.set_incarnation(core.incarnation.0);
@@ -27,7 +27,7 @@
 /// Reads a status from a message.
 ///
 /// # Errors
-/// [`WireError`] if a name is not valid or the message is damaged.
+/// [`WireError`] if a name is not valid or the message is malformed.
 pub fn read_status(reader: status::Reader<'_>) -> Result<InstanceStatus, WireError> {
     let remaining = RemainingLease {
         any_domain: Duration::from_micros(reader.get_remaining()),
--- a/crates/wire/src/relay/age.rs
+++ b/crates/wire/src/relay/age.rs
@@ -1,4 +1,4 @@
-//! How old a table is.
+//! Encoding of the age of a table.
 
 use {
     citron_core::freshness::Age,
@@ -6,14 +6,13 @@
     std::time::Duration,
 };
 
-/// Milliseconds since the moment as of which a table is known, and one more; 0 if
-/// it was never read.
+/// Age of a table in milliseconds, plus one; 0 if the table was never read.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AgeWire(u32);
 
 impl From<Age> for AgeWire {
     fn from(age: Age) -> Self {
-        // Rounded up: an age that seems lower than it is hides a lost answer.
+        // Rounded up, as an understated age would hide a lost response.
         let millis = |age: Duration| u32::try_from(age.as_micros().div_ceil(1_000));
         Self(age.map_or(0, |age| millis(age).unwrap_or(u32::MAX).saturating_add(1)))
     }
--- a/crates/wire/src/relay/body.rs
+++ b/crates/wire/src/relay/body.rs
@@ -1,4 +1,4 @@
-//! Rows as bytes, packed if that is worth it.
+//! Encoding of rows, with compression of long bodies.
 
 use {
     super::{RelayError, TableRowWire},
@@ -7,17 +7,18 @@
     std::io::{Read, Write},
 };
 
-/// Shorter bodies are sent as they are: one or two packets either way.
+/// Smallest size of a body that is compressed, in bytes. A shorter one takes one or two
+/// packets either way.
 pub const COMPRESS_MIN_BYTES: usize = 2 << 10;
-/// How hard to pack, from 1 to 9.
+/// DEFLATE compression level, 1 to 9.
 const COMPRESSION_LEVEL: u32 = 4;
 
-/// The first byte of a body that follows as it is.
+/// First byte of an uncompressed body.
 const PLAIN: u8 = 0;
-/// The first byte of a body that is packed by DEFLATE.
+/// First byte of a body compressed by DEFLATE.
 const DEFLATE: u8 = 1;
 
-/// Writes rows.
+/// Encodes rows, compressed if they are long.
 pub(super) fn encode(rows: &[TableRowWire]) -> Result<Bytes, RelayError> {
     let plain = postcard::to_extend(rows, vec![PLAIN])?;
     if plain.len() < COMPRESS_MIN_BYTES {
@@ -28,17 +29,20 @@
     Ok(encoder.finish()?.into())
 }
 
-/// Reads rows that take `most` bytes at most, as bytes and in memory.
+/// Decodes rows that take at most `max_bytes`, both uncompressed and in memory.
 pub(super) fn decode(body: &[u8], max_bytes: usize) -> Result<Vec<TableRowWire>, RelayError> {
     match body.split_first() {
         Some((&PLAIN, plain)) => decode_rows(plain, max_bytes),
         Some((&DEFLATE, compressed)) => decode_rows(&decompress(compressed, max_bytes)?, max_bytes),
-        Some((other, _)) => Err(RelayError::Malformed(format!("packed by {other}"))),
-        None => Err(RelayError::Malformed("no rows".to_string())),
+        Some((other, _)) => Err(RelayError::Malformed(format!(
+            "unknown compression {other}"
+        ))),
+        None => Err(RelayError::Malformed("missing body".to_string())),
     }
 }
 
-/// Unpacks piece by piece: no length that the sender names is relied on.
+/// Decompresses up to one byte more than the limit. It does not rely on any length given by
+/// the sender.
 fn decompress(compressed: &[u8], max_bytes: usize) -> Result<Vec<u8>, RelayError> {
     let mut plain = Vec::new();
     let mut decoder = DeflateDecoder::new(compressed).take(max_bytes as u64 + 1);
@@ -47,7 +51,7 @@
 }
 
 fn decode_rows(plain: &[u8], max_bytes: usize) -> Result<Vec<TableRowWire>, RelayError> {
-    // An empty row is three bytes, and many times that in memory.
+    // An empty row takes three bytes here, but many times that in memory.
     let (rows, _) = postcard::take_from_bytes::<usize>(plain)?;
     if plain.len() > max_bytes || rows > max_bytes / size_of::<TableRowWire>() {
         return Err(RelayError::TooLarge(max_bytes));
--- a/crates/wire/src/relay/body_cache.rs
+++ b/crates/wire/src/relay/body_cache.rs
@@ -1,23 +1,23 @@
-//! Bodies that are packed once and sent to many.
+//! Cache of encoded bodies, so that each is encoded once for all instances that request it.
 
 use {
     super::{RelayError, RowSelection, TableRowWire, body},
     bytes::Bytes,
 };
 
-/// Bodies kept for each table: most instances ask for the last change, and some, which
-/// are behind, for more.
+/// Number of cached bodies per table. Most instances request the last change; a few that
+/// lag behind request more.
 const MAX_BODIES: usize = 4;
 
-/// The last bodies of `N` tables. Instances that ask for the same rows get the same body,
-/// written and packed once.
+/// Cache of the most recent bodies of `N` tables. Instances that request the same rows get
+/// the same body, which is encoded and compressed once.
 #[derive(Debug)]
 pub struct BodyCache<const N: usize> {
     tables: [TableBodies; N],
     encode_count: u64,
 }
 
-/// Bodies of one table as it is after so many edits.
+/// Cached bodies of one table. They are valid for one edit count of the table.
 #[derive(Debug, Default)]
 struct TableBodies {
     edit_count: u64,
@@ -34,11 +34,11 @@
 }
 
 impl<const N: usize> BodyCache<N> {
-    /// The body with a part of a table that was edited so many times; `rows` is asked
-    /// for it if it is not kept.
+    /// Returns the body with the selected rows of a table, as of the given number of edits
+    /// of the table. If the body is not cached, `rows` provides the rows to encode.
     ///
     /// # Errors
-    /// If the rows could not be written.
+    /// [`RelayError`] if the rows cannot be encoded.
     pub fn get_or_encode(
         &mut self,
         table: usize,
@@ -63,7 +63,7 @@
         Ok(body)
     }
 
-    /// How many bodies were written.
+    /// Returns the number of bodies encoded so far.
     pub fn encode_count(&self) -> u64 {
         self.encode_count
     }
--- a/crates/wire/src/relay/digest.rs
+++ b/crates/wire/src/relay/digest.rs
@@ -1,11 +1,11 @@
-//! What tells copies of a table apart.
+//! Digest for comparing copies of a table.
 
 use {
     std::{fmt, num::ParseIntError, str::FromStr},
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// A hash of the keys and versions of a table's rows.
+/// Hash of the keys and versions of a table's rows.
 ///
 /// ```
 /// use citron_wire::relay::Digest;
@@ -18,7 +18,7 @@
 pub struct Digest(u64);
 
 impl Digest {
-    /// The digest of rows in the order of their keys.
+    /// Computes the digest of rows, which must be sorted by key.
     pub fn from_rows<'a>(rows: impl IntoIterator<Item = (&'a str, u64)>) -> Self {
         let mut hasher = Xxh3::new();
         for (key, version) in rows {
--- a/crates/wire/src/relay/error.rs
+++ b/crates/wire/src/relay/error.rs
@@ -1,18 +1,18 @@
-//! Errors of reading and writing answers.
+//! Errors of encoding and decoding tables.
 
 use thiserror::Error;
 
-/// Why a table could not be read or written.
+/// Error of encoding or decoding a table.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RelayError {
-    /// It was written by an instance of another version.
-    #[error("it is in format {0}, which is not known here")]
+    /// The response was encoded by an instance with another version of the format.
+    #[error("format version {0} is not supported")]
     UnsupportedFormat(u8),
-    /// Unpacked it is longer than allowed.
-    #[error("unpacked it is longer than {0} bytes")]
+    /// The rows are larger than allowed.
+    #[error("the rows take more than {0} bytes")]
     TooLarge(usize),
-    /// It is incomplete or damaged.
-    #[error("it is damaged: {0}")]
+    /// The response is incomplete or malformed.
+    #[error("malformed table: {0}")]
     Malformed(String),
 }
 
--- a/crates/wire/src/relay/mod.rs
+++ b/crates/wire/src/relay/mod.rs
@@ -1,4 +1,5 @@
-//! Tables that one instance hands to another.
+//! Relay of tables: an instance fetches a table from another instance instead of from the
+//! store.
 
 mod age;
 mod body;
--- a/crates/wire/src/relay/query.rs
+++ b/crates/wire/src/relay/query.rs
@@ -1,23 +1,23 @@
-//! What one instance asks another for.
+//! Query for a table, encoded as a request path.
 
 use {
     super::Digest,
     std::{fmt, str::FromStr},
 };
 
-/// How an answer is written.
+/// Encoding of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// With rows that are packed if they are long, at paths `/packed/TABLE/AFTER` or
-    /// `/packed/TABLE/AFTER/DIGEST`.
+    /// With a format version, and with long bodies compressed. The paths are
+    /// `/packed/TABLE/AFTER` and `/packed/TABLE/AFTER/DIGEST`.
     Packed,
-    /// Without packing and without a format number, at paths `/tables/TABLE/AFTER`:
-    /// all that instances before `Packed` know.
+    /// Uncompressed and without a format version, at the path `/tables/TABLE/AFTER`. It is
+    /// the only format of instances that were built before `Packed` existed.
     Plain,
 }
 
 impl Format {
-    /// The one before it.
+    /// Returns the previous format, if there is one.
     pub fn older(self) -> Option<Self> {
         match self {
             Self::Packed => Some(Self::Plain),
@@ -33,21 +33,22 @@
     }
 }
 
-/// Asks for what has changed in a table. Written as the path of a request.
+/// Query for the changes of a table. Its text form is the path of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableQuery {
-    /// How the answer is to be written.
+    /// Requested format of the response.
     pub format: Format,
-    /// The place of the table among those that instances follow.
+    /// Index of the table among the tables that instances watch.
     pub table: usize,
-    /// The version after which changes are asked for.
+    /// Version after which changes are requested.
     pub after: u64,
-    /// The rows that the asker has: it needs none if the other has the same.
+    /// Digest of the rows that the sender of the query has. A receiver with the same rows
+    /// does not send them.
     pub digest: Option<Digest>,
 }
 
 impl TableQuery {
-    /// A question in the newest format.
+    /// Creates a query in the newest format.
     ///
     /// ```
     /// use citron_wire::relay::TableQuery;
@@ -64,13 +65,14 @@
         }
     }
 
-    /// The same of an instance that has rows of this digest.
+    /// Adds the digest of the rows that the sender of the query already has.
     pub fn with_digest(self, digest: Digest) -> Self {
         let digest = Some(digest);
         Self { digest, ..self }
     }
 
-    /// The same in the format before, for an instance that does not know this one.
+    /// Returns the query in the previous format, for an instance that does not support the
+    /// current one. The previous format has no digest.
     pub fn older(self) -> Option<Self> {
         let format = self.format.older()?;
         let digest = None;
--- a/crates/wire/src/relay/rows.rs
+++ b/crates/wire/src/relay/rows.rs
@@ -1,20 +1,21 @@
-//! Rows of an answer.
+//! Rows of a response, and their selection.
 
 use serde::{Deserialize, Serialize};
 
-/// Which rows of a table an answer holds.
+/// Selection of the rows of a table that a response holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowSelection {
-    /// All there are.
+    /// All rows of the table.
     All,
-    /// Those changed or removed after a version.
+    /// Rows that were changed or removed after a version.
     After(u64),
 }
 
 impl RowSelection {
-    /// What an instance that asks for the changes after a version needs, if the sender
-    /// read all rows at version `base` and holds rows of these versions. The same for all
-    /// who need the same rows, so that these are packed once.
+    /// Selects the rows to send for a query for the changes after a version. `base` is the
+    /// version at which the sender last read all rows; `versions` are the versions of its
+    /// rows. Queries that need the same rows yield equal selections, so that the rows are
+    /// encoded once.
     ///
     /// ```
     /// use citron_wire::relay::RowSelection;
@@ -32,13 +33,13 @@
     }
 }
 
-/// A row, or the news that it is gone.
+/// A row of a table, or the record of its removal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TableRowWire {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Nothing if the row was removed.
+    /// Value; `None` if the row was removed.
     pub value: Option<Vec<u8>>,
-    /// The version that wrote or removed it.
+    /// Version of the store at which the row was written or removed.
     pub version: u64,
 }
--- a/crates/wire/src/relay/table.rs
+++ b/crates/wire/src/relay/table.rs
@@ -1,4 +1,4 @@
-//! A table as one instance hands it to another.
+//! Encoding of a table in a response to another instance.
 
 use {
     super::{AgeWire, Format, RelayError, TableRowWire, body},
@@ -6,32 +6,34 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The first byte of packed answers. It changes whenever they do, so that an instance
-/// refuses what it would misread; new fields need a new number, too.
+/// Version of the packed format, the first byte of packed responses. Every change of the
+/// format needs a new version, also an added field, so that an instance rejects a response
+/// that it would decode wrongly.
 const PACKED_VERSION: u8 = 2;
 
-/// What changes with each answer; never packed.
+/// Header of a response. It differs between responses with the same rows, so it is never
+/// compressed or cached.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeadWire {
-    /// The version that the sender's questions to the store go on from.
+    /// Version from which the sender continues to poll the store.
     pub version: u64,
-    /// Whether these are all rows there are. The sender has read them all after
-    /// the version asked for, and does not know what was removed before that:
-    /// with the changes alone, a server whose entry was removed would stay listed
-    /// for the receiver and get requests for good.
+    /// Whether the response holds all rows. That is so if the sender last read all rows at
+    /// a later version than the requested one, and therefore does not know which rows were
+    /// removed before. With the changes alone, the receiver would keep a server whose entry
+    /// was removed, and send requests to it indefinitely.
     pub whole: bool,
     /// Version of the newest change.
     pub changed: u64,
-    /// How old it is.
+    /// Age of the table.
     pub age: AgeWire,
 }
 
 impl HeadWire {
-    /// A packed answer: the format's number, this, and a body from
+    /// Encodes a packed response: the version of the format, this header, and a body from
     /// [`BodyCache`](super::BodyCache).
     ///
     /// # Errors
-    /// If it could not be written.
+    /// [`RelayError`] if the header cannot be encoded.
     pub fn encode_packed(&self, body: &[u8]) -> Result<Bytes, RelayError> {
         let mut bytes = postcard::to_extend(self, vec![PACKED_VERSION])?;
         bytes.extend_from_slice(body);
@@ -39,29 +41,30 @@
     }
 }
 
-/// What has changed in a table.
+/// Rows of a table, all or only the changed ones, with their header.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableWire {
-    /// How new it is.
+    /// Header with the versions and the age of the table.
     pub head: HeadWire,
     /// The rows.
     pub rows: Vec<TableRowWire>,
 }
 
 impl TableWire {
-    /// As [`Format::Plain`] has it.
+    /// Encodes the table in [`Format::Plain`].
     ///
     /// # Errors
-    /// If it could not be written.
+    /// [`RelayError`] if the table cannot be encoded.
     pub fn encode_plain(&self) -> Result<Bytes, RelayError> {
         Ok(postcard::to_stdvec(self)?.into())
     }
 
-    /// Reads an answer whose rows take `most` bytes at most. Which format it is in follows
-    /// from the path that was asked; the first byte tells versions of the packed one apart.
+    /// Decodes a response whose rows take at most `max_bytes`. The requested path
+    /// determines the format; the first byte of a packed response is the format's version.
     ///
     /// # Errors
-    /// If it is of another version, too long or damaged.
+    /// [`RelayError`] if the version is not supported, or the response too large or
+    /// malformed.
     pub fn decode(format: Format, bytes: &[u8], max_bytes: usize) -> Result<Self, RelayError> {
         match format {
             Format::Plain => Ok(postcard::from_bytes(bytes)?),
@@ -71,7 +74,7 @@
 }
 
 fn decode_packed(bytes: &[u8], max_bytes: usize) -> Result<TableWire, RelayError> {
-    let empty = || RelayError::Malformed("it is empty".to_string());
+    let empty = || RelayError::Malformed("empty response".to_string());
     let (version, rest) = bytes.split_first().ok_or_else(empty)?;
     if *version != PACKED_VERSION {
         return Err(RelayError::UnsupportedFormat(*version));
--- a/crates/wire/src/row/block.rs
+++ b/crates/wire/src/row/block.rs
@@ -1,4 +1,4 @@
-//! Ownership rows as JSON.
+//! JSON of the rows that assign shards and keys to backend servers.
 
 use {
     crate::{WireError, error::parse_field},
@@ -10,15 +10,15 @@
     serde::{Deserialize, Serialize},
 };
 
-/// An assignment; `to` is there while the shard is being released.
+/// Assignment of a shard or key to a server; `to` is present while the owner releases it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AssignmentWire {
-    /// The owner's name.
+    /// Name of the owner.
     pub owner: String,
-    /// The fencing token.
+    /// Fencing token of the owner.
     pub epoch: u64,
-    /// The next owner's name.
+    /// Name of the next owner.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<String>,
 }
@@ -55,15 +55,15 @@
     }
 }
 
-/// A run of shards.
+/// Assignments of a block of consecutive shards.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BlockWire {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// The block's number.
+    /// Number of the block.
     pub block: u32,
-    /// One assignment a shard.
+    /// One assignment per shard.
     pub shards: Vec<AssignmentWire>,
 }
 
@@ -90,15 +90,15 @@
     }
 }
 
-/// A key taken out of its shard.
+/// Assignment of a single key, which overrides that of its shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverrideWire {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// The key's hash, 16 hexadecimal digits.
+    /// Hash of the key, 16 hexadecimal digits.
     pub key: String,
-    /// Its owner.
+    /// Assignment of the key.
     pub owner: AssignmentWire,
 }
 
--- a/crates/wire/src/row/domain.rs
+++ b/crates/wire/src/row/domain.rs
@@ -1,4 +1,4 @@
-//! Failure domain rows as JSON.
+//! JSON of failure domain rows.
 
 use {
     crate::{WireError, error::parse_field},
@@ -9,26 +9,26 @@
     serde::{Deserialize, Serialize},
 };
 
-/// One confirmer.
+/// An instance whose vote confirms revisions while its failure domain is cut off.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfirmerWire {
-    /// The instance's name.
+    /// Name of the instance.
     pub instance: String,
-    /// The start that may vote.
+    /// Incarnation of the instance that may vote.
     pub incarnation: u64,
 }
 
-/// A failure domain; `lost_by` is there once an operator has declared it lost.
+/// A failure domain; `lost_by` is present if an operator has declared it lost.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DomainWire {
-    /// Its name.
+    /// Name of the failure domain.
     pub name: String,
-    /// Who declared it lost.
+    /// Operator who declared the failure domain lost.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lost_by: Option<String>,
-    /// The instances that vote while it is cut off.
+    /// Instances that vote while the failure domain is cut off from the platform.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub confirmers: Vec<ConfirmerWire>,
 }
--- a/crates/wire/src/row/instance.rs
+++ b/crates/wire/src/row/instance.rs
@@ -1,4 +1,4 @@
-//! Instance rows as JSON.
+//! JSON of instance rows.
 
 use {
     crate::{WireError, error::parse_field},
@@ -10,28 +10,28 @@
     std::net::SocketAddr,
 };
 
-/// One start of one instance.
+/// One incarnation of an instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceWire {
-    /// Its name.
+    /// Name of the instance.
     pub id: String,
-    /// Which start of it.
+    /// Incarnation number, which differs between process starts.
     pub incarnation: u64,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Callers' address.
+    /// Address for requests of callers.
     pub traffic: SocketAddr,
-    /// Other instances' address.
+    /// Address for calls of other instances.
     pub peer: SocketAddr,
-    /// Operators' address.
+    /// Address of the admin API.
     pub admin: SocketAddr,
-    /// Whether it is finishing.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// Whether others have struck it off.
+    /// Whether other instances have expelled it.
     #[serde(default)]
     pub expelled: bool,
-    /// The revision in force there when the row was written.
+    /// Revision in force at the instance when the row was written.
     pub revision: u64,
 }
 
--- a/crates/wire/src/row/key.rs
+++ b/crates/wire/src/row/key.rs
@@ -1,4 +1,4 @@
-//! Row keys as text.
+//! Text form of row keys.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
 
 const KEY_FORMS: &str = "service/NAME, server/NAME, domain/NAME, instance/ID, block/SERVICE/NUMBER, override/SERVICE/HASH";
 
-/// Reads a key as [`RowKey`] displays it.
+/// Parses the text form of a [`RowKey`], as its `Display` writes it.
 ///
 /// ```
 /// let key = citron_wire::row::parse_row_key("block/balances/3").unwrap();
@@ -19,7 +19,7 @@
 /// ```
 ///
 /// # Errors
-/// [`WireError`] if the text has none of the known forms.
+/// [`WireError`] if the text does not have a known form.
 pub fn parse_row_key(text: &str) -> Result<RowKey, WireError> {
     let parts: Vec<&str> = text.split('/').collect();
     Ok(match parts.as_slice() {
--- a/crates/wire/src/row/mod.rs
+++ b/crates/wire/src/row/mod.rs
@@ -1,4 +1,4 @@
-//! Rows of the table as JSON.
+//! JSON of the rows of the table.
 
 mod block;
 mod domain;
--- a/crates/wire/src/row/row_wire.rs
+++ b/crates/wire/src/row/row_wire.rs
@@ -1,4 +1,4 @@
-//! A row of any kind as JSON.
+//! JSON of a row of any kind.
 
 use {
     super::{BlockWire, DomainWire, InstanceWire, OverrideWire, ServerWire, ServiceWire},
@@ -7,7 +7,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A row; the field `kind` tells which.
+/// A row of the table. The field `kind` identifies the variant.
 ///
 /// ```
 /// use {citron_core::table::Row, citron_wire::row::RowWire};
@@ -27,9 +27,9 @@
     Domain(DomainWire),
     /// An instance.
     Instance(InstanceWire),
-    /// A run of shards.
+    /// Assignments of a block of shards.
     Block(BlockWire),
-    /// A key taken out of its shard.
+    /// Assignment of a single key.
     Override(OverrideWire),
 }
 
--- a/crates/wire/src/row/server.rs
+++ b/crates/wire/src/row/server.rs
@@ -1,4 +1,4 @@
-//! Backend server rows as JSON.
+//! JSON of backend server rows.
 
 use {
     crate::{
@@ -17,24 +17,24 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerWire {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// The service it serves.
+    /// Name of the service that the server belongs to.
     pub service: String,
-    /// Its failure domain.
+    /// Failure domain of the server.
     pub domain: String,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its share of the load, 0 to 10000.
+    /// Relative share of the load, 0 to 10000.
     pub weight: u32,
-    /// Requests a second it may get.
+    /// Rate limit, in requests per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cap: Option<u32>,
-    /// Requests it runs at a time.
+    /// Largest number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Connections it bears.
+    /// Largest number of connections to the server.
     pub connections: u32,
-    /// Whether it checks fencing tokens.
+    /// Whether the server verifies fencing tokens.
     pub fenced: bool,
     /// `active`, `draining` or `retired`.
     pub state: String,
--- a/crates/wire/src/row/service.rs
+++ b/crates/wire/src/row/service.rs
@@ -1,4 +1,4 @@
-//! Service rows as JSON.
+//! JSON of service rows.
 
 use {
     crate::{
@@ -13,38 +13,38 @@
     std::time::Duration,
 };
 
-/// A service. Times are in milliseconds.
+/// A service and its settings. Durations are in milliseconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceWire {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// The operator it belongs to.
+    /// Operator that the service belongs to.
     pub operator: String,
-    /// Host names it answers to; any host if empty.
+    /// Host names that are routed to the service; any host if empty.
     #[serde(default)]
     pub hosts: Vec<String>,
-    /// Paths it answers to begin with this.
+    /// Path prefix that is routed to the service.
     pub prefix: String,
-    /// `header:NAME` or `segment:NUMBER`.
+    /// Source of a request's key: `header:NAME`, or `segment:NUMBER` for a path segment.
     pub key: String,
-    /// Methods whose requests may run more than once.
+    /// Methods whose requests may be retried after they may have run.
     pub idempotent: Vec<String>,
-    /// Base-two logarithm of the shard count.
+    /// Base-two logarithm of the number of shards.
     pub shard_bits: u8,
-    /// Time a request may take.
+    /// Time limit of a request.
     pub deadline_ms: u64,
-    /// How long a cut-off domain goes on serving.
+    /// Duration for which a failure domain that is cut off continues to serve requests.
     pub grace_ms: u64,
-    /// Shards a minute that may move for balance.
+    /// Largest number of shards that are moved per minute to balance load.
     pub moves_minute: u32,
-    /// Load of the fullest server over the mean, in percent, that begins a move.
+    /// Load of the most loaded server, in percent of the mean, above which a move starts.
     pub moves_threshold: u32,
-    /// Requests per million that may fail.
+    /// Service-level objective: allowed failed requests per million.
     pub slo_failures: u32,
-    /// Latency that counts as good.
+    /// Service-level objective: latency up to which a request counts as fast.
     pub slo_latency_ms: u64,
-    /// Requests per million that may be slower.
+    /// Service-level objective: allowed requests per million above that latency.
     pub slo_slower: u32,
 }
 
--- a/crates/wire/src/slo/record_wire.rs
+++ b/crates/wire/src/slo/record_wire.rs
@@ -1,4 +1,4 @@
-//! Records and their conversions.
+//! Records, pages and their conversions.
 
 use {
     crate::{WireError, error::parse_field},
@@ -10,57 +10,57 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Counts of one service over a minute. Times are in milliseconds.
+/// Counts and durations of one service over a minute. Durations are in milliseconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TallyWire {
-    /// Minutes since the Unix epoch.
+    /// Minute, counted from the Unix epoch.
     pub minute: u64,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Requests.
+    /// Number of requests that got a response.
     pub total: u64,
-    /// Those that failed.
+    /// Number of failed requests.
     pub failed: u64,
-    /// Those that were slow.
+    /// Number of requests slower than the latency objective.
     pub slow: u64,
-    /// Time that shards could not be reached, as a mean over shards.
+    /// Time for which shards were unreachable, as a mean over all shards.
     pub closed_ms: u64,
-    /// Time over which that was watched.
+    /// Time over which `closed_ms` was observed.
     pub watched_ms: u64,
-    /// Shards whose owner changed.
+    /// Number of shards whose owner changed.
     pub moved: u64,
-    /// Slot time by server.
+    /// Time for which requests occupied slots, by server.
     pub busy_ms: BTreeMap<String, u64>,
 }
 
 /// Counts by minute and service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RecordWire {
-    /// In the order of minute and service.
+    /// Entries, sorted by minute and service.
     pub entries: Vec<TallyWire>,
 }
 
-/// One instance's record of one hour, as kept in the object store.
+/// Record of one instance for one hour, an object in the object store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PageWire {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Hours since the Unix epoch.
+    /// Hour, counted from the Unix epoch.
     pub hour: u64,
-    /// What it counted.
+    /// Counts of the instance.
     pub record: RecordWire,
 }
 
-/// What all instances counted.
+/// Records of all instances, from which the burn rate of error budgets is computed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BurnWire {
-    /// The current minute, since the Unix epoch.
+    /// Current minute, counted from the Unix epoch.
     pub minute: u64,
-    /// Instances whose pages were read.
+    /// Names of the instances whose pages were read.
     pub instances: Vec<String>,
-    /// Pages that could not be read.
+    /// Number of pages that could not be read.
     pub unread: u32,
-    /// What they counted.
+    /// Sum of the records in these pages.
     pub record: RecordWire,
 }
 
--- a/crates/wire/src/table/mod.rs
+++ b/crates/wire/src/table/mod.rs
@@ -1,13 +1,13 @@
-//! The platform's table service as JSON.
+//! JSON of the platform's table service.
 //!
-//! | call | answer |
+//! | call | response |
 //! |---|---|
 //! | `GET /v1/changes?since=N` | [`ChangesWire`]: rows changed after revision N |
 //! | `POST /v1/commit` with [`CommitWire`] | [`CommitResponseWire`] |
 //! | `GET /v1/row?key=K` | [`StoredRowWire`] or 404 |
 //! | `GET /v1/log?after=N&limit=M` | [`LogWire`]: history after revision N |
 //!
-//! The service knows keys, versions and conditions; what a value means is ours.
+//! The service handles keys, versions and preconditions. It does not interpret values.
 
 mod table_wire;
 
@@ -16,7 +16,8 @@
     StoredRowWire, WriteWire,
 };
 
-/// Keys under this prefix are the history; they are left out of changes.
+/// Key prefix of history rows, which are not included in changes.
 pub const LOG_PREFIX: &str = "log/";
-/// Keys under this prefix hold each writer's last commit; left out of changes.
+/// Key prefix of the rows that hold the sequence number of each writer's last commit. They
+/// are not included in changes.
 pub const WRITER_PREFIX: &str = "lane/";
--- a/crates/wire/src/table/table_wire.rs
+++ b/crates/wire/src/table/table_wire.rs
@@ -1,4 +1,4 @@
-//! What the table service takes and gives. Values are opaque to it.
+//! Requests and responses of the table service. Values are opaque to the service.
 
 use {
     crate::{
@@ -14,65 +14,65 @@
     std::time::Duration,
 };
 
-/// A stored value; `value` is null for a deleted row.
+/// A stored row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredRowWire {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// The revision of the commit that wrote it.
+    /// Revision of the commit that wrote or deleted the row.
     pub version: u64,
-    /// What was written.
+    /// Value; null if the row was deleted.
     pub value: Option<Value>,
 }
 
-/// Rows that changed.
+/// Rows that changed after a revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChangesWire {
-    /// The revision asked for.
+    /// Requested revision.
     pub since: u64,
-    /// The last commit.
+    /// Revision of the last commit.
     pub revision: u64,
-    /// The rows changed in between.
+    /// Rows that changed between the two revisions.
     pub rows: Vec<StoredRowWire>,
 }
 
-/// One conditional write.
+/// A conditional write of one row.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WriteWire {
-    /// The key.
+    /// Key of the row.
     pub key: String,
-    /// The version it must have; 0 if it must not exist.
+    /// Version that the row must have; 0 if it must not exist.
     pub expect: u64,
-    /// The new value; null deletes.
+    /// New value; null deletes the row.
     pub value: Option<Value>,
 }
 
-/// The version that a row the commit leaves alone must have.
+/// Precondition on a row that a commit depends on but does not write.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CheckWire {
-    /// The key.
+    /// Key of the row.
     pub key: String,
-    /// The version; 0 if the row must not exist.
+    /// Version that the row must have; 0 if it must not exist.
     pub expect: u64,
 }
 
-/// Writes that take effect together or not at all.
+/// An atomic commit: all of its writes take effect, or none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommitWire {
-    /// The writes.
+    /// Writes, each with its precondition.
     pub writes: Vec<WriteWire>,
-    /// Compared after the writes' own conditions.
+    /// Further preconditions, evaluated after those of the writes.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub checks: Vec<CheckWire>,
 }
 
-/// What became of a commit: `revision` if it took effect, else `lost`.
+/// Response to a commit: `revision` if it took effect, `lost` if it conflicted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommitResponseWire {
-    /// The new revision.
+    /// Revision that the commit created.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// The first row whose version was another; version 0 if it is not there.
+    /// First row that did not have its expected version; version 0 if it does not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lost: Option<StoredRowWire>,
 }
@@ -80,26 +80,26 @@
 /// A row before and after an edit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RowChangeWire {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// What it was.
+    /// Row before the edit; null if it did not exist.
     pub before: Option<RowWire>,
-    /// What it became.
+    /// Row after the edit; null if it was deleted.
     pub after: Option<RowWire>,
 }
 
-/// An accepted edit.
+/// Value of a history row: an accepted edit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HistoryWire {
-    /// Who made it.
+    /// Author of the edit.
     pub by: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the edit, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What changed.
+    /// Changed rows.
     pub changes: Vec<RowChangeWire>,
 }
 
-/// History rows, oldest first; their version gives their order.
+/// History rows, sorted by version, oldest first.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogWire {
     /// The rows.
