--- a/crates/ports/tests/checks.rs
+++ b/crates/ports/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Commits that rest on rows they leave alone.
+//! Commits with preconditions on rows that they do not write.
 
 use {
     citron_core::{
@@ -25,8 +25,8 @@
     }
 }
 
-/// Two writers each read the other's row, then change their own. Had both
-/// commits taken effect, each would rest on a row that is no longer so.
+/// Guards against write skew: two writers each read the other's row and change their own.
+/// If both commits took effect, each would depend on a row version that is outdated.
 #[tokio::test]
 async fn a_commit_is_lost_if_a_row_that_it_rests_on_has_changed() {
     let memory = MemoryPlatform::default();
--- a/crates/ports/tests/grants.rs
+++ b/crates/ports/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Contract of grants to backend servers, with late and lost orders.
+//! Grants to backend servers with delayed and lost orders, and health probes.
 
 use {
     citron_core::{
@@ -62,7 +62,7 @@
     results.collect::<Vec<_>>().join("; ")
 }
 
-/// One sequence of orders for one shard.
+/// A sequence of orders for one shard.
 struct Case {
     name: &'static str,
     orders: &'static [(GrantKind, u64)],
@@ -74,7 +74,7 @@
         orders: &[(OWN, 1)],
     },
     Case {
-        name: "own twice, as after a lost answer",
+        name: "own twice, as after a lost reply",
         orders: &[(OWN, 1), (OWN, 1)],
     },
     Case {
@@ -98,7 +98,7 @@
         orders: &[(OWN, 1), (REVOKE, 2), (OWN, 3)],
     },
     Case {
-        name: "told of a release that goes to this server, then owner",
+        name: "revoked by the release that moves the shard to this server, then owner",
         orders: &[(REVOKE, 1), (OWN, 2)],
     },
     Case {
@@ -126,9 +126,9 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// An order to an older start of the server arrives late, after a restart. It
-/// is refused whole: its grants would give back what the earlier start had
-/// already given up, and its lease is a reading of another clock.
+/// Guards against a delayed order that arrives after the server has restarted. Its grants
+/// could restore ownership that the previous process had already released, and the end of
+/// its lease is a reading of another clock. The server rejects the whole order.
 #[tokio::test]
 async fn an_order_to_an_older_start_is_refused_whole() {
     let server = server().await;
@@ -152,13 +152,14 @@
     assert_eq!(format_reply(&own.unwrap()), "accepted");
 }
 
-/// The answer to an order is lost, or the server's connection goes silent. The
-/// order is not known to be in force, and the next one goes through.
+/// Guards against an order that counts as applied although its reply was lost or the
+/// connection stopped responding, and against a client that then fails for good: the next
+/// order succeeds.
 #[tokio::test]
 async fn a_lost_answer_is_an_error_and_the_next_order_goes_through() {
     type Fault = fn(&Link);
     let cases: [(&str, Fault, Fault); 3] = [
-        ("torn", |link| link.truncate_replies(1, 20), |_| {}),
+        ("truncated", |link| link.truncate_replies(1, 20), |_| {}),
         ("cut", Link::cut, Link::heal),
         ("silent connection", Link::stall_connections, |_| {}),
     ];
@@ -167,8 +168,8 @@
         let link = Link::start(server.address).await.unwrap();
         let client = ServerClient::default();
         let row = row(link.address);
-        // The connection of the first order is kept, but for the torn answer.
-        if name != "torn" {
+        // The faulty call reuses this connection; the truncated reply is the first of its link.
+        if name != "truncated" {
             client.send_order(&row, None, &[], None).await.unwrap();
         }
         fault(&link);
@@ -183,10 +184,10 @@
     }
 }
 
-/// A probe tells whether the server itself answers: a frozen one still accepts
-/// connections, and must not pass for alive.
+/// Guards against a frozen server that counts as up: its kernel still accepts connections,
+/// but the process does not respond.
 #[tokio::test]
-async fn probes_tell_up_draining_and_frozen() {
+async fn probes_distinguish_up_draining_and_frozen_servers() {
     let server = server().await;
     let client = ServerClient::default();
     assert_eq!(client.probe(server.address).await.unwrap(), ProbeResult::Up);
@@ -201,5 +202,8 @@
     );
     server.crash();
     assert!(client.probe(server.address).await.is_err(), "crashed");
-    assert!(server.executions.all().is_empty(), "a probe runs nothing");
+    assert!(
+        server.executions.all().is_empty(),
+        "a probe must not run a request"
+    );
 }
--- a/crates/ports/tests/http_client.rs
+++ b/crates/ports/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls over kept connections: what is certain when there is no answer.
+//! The HTTP client: outcome of failed calls, reuse of connections and read limits.
 
 use {
     bytes::Bytes,
@@ -18,9 +18,10 @@
     Request::new(Bytes::new())
 }
 
-/// Nobody listens. The caller may send the same elsewhere: nothing was seen.
+/// A refused connection must be reported as not sent, so that the caller can safely send the
+/// request to another address.
 #[tokio::test]
-async fn a_call_to_nobody_was_not_sent() {
+async fn a_refused_connection_is_reported_as_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -30,9 +31,9 @@
     assert!(matches!(ended, Err(CallError::NotSent(_))), "{ended:?}");
 }
 
-/// The other side takes the call and is silent. After its time the call is reset,
-/// so that an order which is still held up cannot be carried out later: a lease is
-/// counted from the latest moment at which its grant can arrive.
+/// Guards against an order that takes effect after its call has timed out. A lease is
+/// counted from the latest time at which its grant can arrive, so the connection must be
+/// reset, which discards a delayed request.
 #[tokio::test]
 async fn a_call_without_an_answer_is_reset_when_its_time_is_over() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -51,7 +52,7 @@
     assert!(seen.is_err(), "the connection ended without a reset");
 }
 
-/// A connection that the other side has closed is not used again.
+/// Guards against the reuse of a pooled connection that the peer has closed.
 #[tokio::test]
 async fn a_connection_that_was_closed_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -80,7 +81,8 @@
     served.await.unwrap();
 }
 
-/// Answers with a body in so many parts, a tenth of [`SPAN`] apart, and then nothing.
+/// Sends the given number of parts of a response body, a tenth of [`TIMEOUT`] apart, and
+/// then stalls.
 async fn send_parts(listener: TcpListener, length: usize, parts: usize) {
     let (mut stream, _) = listener.accept().await.unwrap();
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
@@ -92,7 +94,8 @@
     tokio::time::sleep(TIMEOUT * 100).await;
 }
 
-/// Guards against a long answer that is cut off while it comes, and asked for anew.
+/// Guards against a long response that is aborted while data still arrives, and then
+/// requested again.
 #[tokio::test]
 async fn an_answer_that_keeps_coming_is_read_to_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -103,7 +106,7 @@
     assert_eq!(answer.body().len(), 100);
 }
 
-/// Guards against a wait for the rest of an answer whose sender stands still.
+/// Guards against a client that waits for the rest of a response whose sender has stalled.
 #[tokio::test]
 async fn an_answer_that_stops_coming_is_given_up() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -117,7 +120,7 @@
     );
 }
 
-/// Guards against an answer that uses up the memory of who reads it.
+/// Guards against a response that exhausts the memory of the client.
 #[tokio::test]
 async fn an_answer_that_is_too_long_is_given_up() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/ports/tests/objects.rs
+++ b/crates/ports/tests/objects.rs
@@ -1,5 +1,5 @@
-//! Contract of the object store and of the instance list, in memory and over
-//! HTTP with faults.
+//! Contract of the object store and of the machine list, in memory and over HTTP with
+//! faults.
 
 use {
     citron_fakes::{link::Link, platform::PlatformServer},
@@ -52,8 +52,8 @@
     check_machines(&server.memory, HttpPlatform::new(server.address)).await;
 }
 
-/// A read during an outage fails; it never looks like an empty store, which
-/// would have the reader take every server for gone.
+/// Guards against an outage that reads as an empty store: the reader would conclude that all
+/// servers are gone.
 #[tokio::test]
 async fn an_outage_is_an_error_and_not_an_empty_answer() {
     type Fault = fn(&PlatformServer, &Link);
@@ -64,8 +64,10 @@
         ("too slow", |server, _| {
             server.faults.update(|t| t.delay = Duration::from_secs(9))
         }),
-        ("torn in the body", |_, link| link.truncate_replies(3, 70)),
-        ("cut silently", |_, link| link.cut()),
+        ("truncated in the body", |_, link| {
+            link.truncate_replies(3, 70)
+        }),
+        ("silent partition", |_, link| link.cut()),
     ];
     for (name, fault) in cases {
         let server = server().await;
@@ -75,7 +77,7 @@
         let link = Link::start(server.address).await.unwrap();
         let client = HttpPlatform::new(link.address);
         client
-            .put("a", b"long enough to be torn".to_vec())
+            .put("a", b"long enough to be truncated".to_vec())
             .await
             .unwrap();
         fault(&server, &link);
--- a/crates/ports/tests/table.rs
+++ b/crates/ports/tests/table.rs
@@ -53,7 +53,7 @@
 fn committed(answer: Result<CommitOutcome, PlatformError>) -> Revision {
     match answer {
         Ok(CommitOutcome::Committed(revision)) => revision,
-        other => panic!("not done: {other:?}"),
+        other => panic!("commit failed: {other:?}"),
     }
 }
 
@@ -63,7 +63,7 @@
         .unwrap()
 }
 
-/// What every table service owes, whatever it runs on.
+/// Contract of every implementation of the table service. Returns the observed results.
 async fn contract(service: impl TableService) -> String {
     let store = IdempotentStore::new(service, "writer-1".to_string());
     let first = committed(store.commit(write(domain("a", ""), Revision(0))).await);
@@ -117,7 +117,7 @@
     insta::assert_snapshot!(memory);
 }
 
-/// One way that a commit's answer goes missing.
+/// A fault that loses a commit or its response, and whether the commit still takes effect.
 struct Case {
     name: &'static str,
     fault: fn(&PlatformServer, &Link),
@@ -131,32 +131,32 @@
         effect: true,
     },
     Case {
-        name: "answer lost after effect",
+        name: "response lost after the commit",
         fault: |server, _| server.faults.update(|t| t.lost_replies = 1),
         effect: true,
     },
     Case {
-        name: "three answers lost, the first after effect",
+        name: "three responses lost, the first after the commit",
         fault: |server, _| server.faults.update(|t| t.lost_replies = 3),
         effect: true,
     },
     Case {
-        name: "cut off before effect",
+        name: "connection closed before the commit",
         fault: |server, _| server.faults.update(|t| t.dropped_commits = 2),
         effect: true,
     },
     Case {
-        name: "answer torn in its head",
+        name: "response truncated in its head",
         fault: |_, link| link.truncate_replies(1, 9),
         effect: true,
     },
     Case {
-        name: "answer torn in its body",
+        name: "response truncated in its body",
         fault: |_, link| link.truncate_replies(2, 90),
         effect: true,
     },
     Case {
-        name: "slow, but in time",
+        name: "slow, but within the time-out",
         fault: |server, _| {
             server
                 .faults
@@ -165,16 +165,15 @@
         effect: true,
     },
     Case {
-        name: "down throughout",
+        name: "platform down",
         fault: |server, _| server.faults.update(|t| t.is_down = true),
         effect: false,
     },
 ];
 
-/// The writer adds one to a row and the answer goes missing in one of several
-/// ways. A resend finds the versions that the commit itself made; the writer
-/// must still learn that it took effect, exactly once, and never hear of a lost
-/// race that it won. Where nothing took effect it must not hear of success.
+/// Guards against a wrong outcome of a commit whose response is lost. A resend conflicts
+/// with the versions that the commit itself wrote; it must still be reported as committed,
+/// and take effect exactly once. A commit without effect must be reported as an error.
 #[tokio::test]
 async fn a_missing_answer_is_settled_and_nothing_is_applied_twice() {
     for case in CASES {
@@ -201,17 +200,19 @@
             }
         }
         assert_eq!(changes.revision, row.version, "{}", case.name);
-        // The lane goes on: the next commit is neither lost nor taken for done.
+        // The next commit of the writer takes effect, and neither conflicts nor counts as
+        // already committed.
         let version = Revision(row.version);
         let next = store.commit(write(domain("a", "next"), version)).await;
         assert_eq!(committed(next), Revision(version.0 + 1), "{}", case.name);
     }
 }
 
-/// Two writers race for one row, and the winner's answer is lost. The loser
-/// hears of the race with the winner's row; the winner hears that it won.
+/// Guards against confusing a conflict with a lost response. Two writers commit to one row,
+/// and the response to the first is lost: the first must be reported as committed, the
+/// second as a conflict with the first one's row.
 #[tokio::test]
-async fn a_lost_race_and_a_lost_answer_are_told_apart() {
+async fn a_conflict_and_a_lost_response_are_distinguished() {
     let server = server().await;
     let store = |name: &str| {
         let service = HttpPlatform::new(server.address);
@@ -225,7 +226,7 @@
     assert_eq!(format_outcome(lost), format!("lost, domain/a is at {won}"));
 }
 
-/// Sends a table in so many parts, the whole of which takes longer than a part may.
+/// Sends a table in 30 parts. The whole takes longer than the time-out of one part.
 async fn send_slowly(listener: TcpListener) {
     const PARTS: usize = 30;
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -241,7 +242,8 @@
     let _ = stream.read_to_end(&mut Vec::new()).await;
 }
 
-/// Guards against a table that is begun to be read anew for ever behind a narrow link.
+/// Guards against a table that is never read completely over a slow link, because every read
+/// is aborted and started again.
 #[tokio::test]
 async fn a_table_that_keeps_coming_is_read_to_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/ports/tests/tables.rs
+++ b/crates/ports/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Tables fetched from instances of this version and of the one before.
+//! Tables fetched from instances of the current and of the previous version.
 
 use {
     bytes::Bytes,
@@ -17,6 +17,7 @@
 
 const MAX_BYTES: usize = 1 << 20;
 
+/// Time limit that never expires in these tests.
 #[derive(Debug)]
 struct FixedTimeout;
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// What an instance answers.
+/// Returns the response of an instance of the current version.
 fn packed(path: &str) -> Option<Bytes> {
     let wire = wire();
     let query: TableQuery = path.parse().ok()?;
@@ -59,12 +60,12 @@
     }
 }
 
-/// What one of the version before answers.
+/// Returns the response of an instance of the previous version.
 fn plain(path: &str) -> Option<Bytes> {
     packed(path.strip_prefix("/tables").map(|_| path)?)
 }
 
-/// Fetches a table; the answer, and the paths that were asked.
+/// Fetches a table. Returns the response and the requested paths.
 async fn fetch(answer: fn(&str) -> Option<Bytes>) -> (TableResponse, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = HttpClient::new(listener.local_addr().unwrap(), MAX_BYTES);
@@ -101,7 +102,7 @@
     assert_eq!(asked, ["/packed/0/5"]);
 }
 
-/// During an upgrade newer instances get no table from older ones.
+/// Guards against an upgrade during which new instances cannot fetch tables from old ones.
 #[tokio::test]
 async fn an_older_instance_is_asked_in_its_format() {
     let (answer, asked) = fetch(plain).await;
@@ -109,7 +110,7 @@
     assert_eq!(asked, ["/packed/0/5", "/tables/0/5"]);
 }
 
-/// An instance that has no such table is asked over and over.
+/// Guards against endless requests to an instance that does not have the table.
 #[tokio::test]
 async fn a_table_that_is_not_there_is_asked_for_once_in_each_format() {
     let (answer, asked) = fetch(|_| None).await;
--- a/crates/wire/tests/heartbeat.rs
+++ b/crates/wire/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between instances, as datagrams.
+//! Heartbeats that do not fit into one datagram.
 
 use {
     citron_core::{
@@ -33,8 +33,8 @@
     }
 }
 
-/// What an instance says of servers of which it has lately used `used`, and has a request
-/// at every tenth.
+/// Returns the loads of an instance that has recently used `used` servers and has a request
+/// in flight at every tenth of them.
 fn loads(used: usize) -> Vec<PeerLoad> {
     let mut tracker = LoadTracker::default();
     for number in 0..used {
@@ -54,10 +54,10 @@
     tracker.local_loads(NOW)
 }
 
-/// Guards against loads that nobody hears of: an instance that has lately used a hundred
-/// servers or more has more to say than a datagram carries, and would say nothing.
+/// Guards against loads that are never sent: those of an instance that has recently used a
+/// hundred servers or more do not fit into a datagram, and all would be dropped.
 #[test]
-fn requests_under_way_are_told_whatever_else_there_is() {
+fn loads_with_requests_in_flight_are_sent_first() {
     for used in [0, 10, 60, 100, 381, 1_000] {
         let bytes = heartbeat(loads(used)).encode_truncated().unwrap();
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
@@ -80,11 +80,10 @@
     }
 }
 
-/// Guards against an instance that is taken for lost while it is well: after a few hundred
-/// lost connections what it says of crashes is longer than a datagram, and nothing at all
-/// of it was sent.
+/// Guards against an instance that is considered lost while it is healthy: after a few
+/// hundred lost connections its crash counts exceeded a datagram, and no heartbeat was sent.
 #[test]
-fn an_instance_is_heard_whatever_it_knows_of_crashes() {
+fn a_heartbeat_is_sent_however_many_crashes_it_reports() {
     let mut tracker = CrashTracker::new(CrashConfig::PER_START);
     let server: ServerName = "i-1".parse().unwrap();
     for number in 0..200_u32 {
--- a/crates/wire/tests/relay.rs
+++ b/crates/wire/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Tables handed from one instance to another: what is written, packed and refused.
+//! Relay of tables between instances: encoding, compression, caching and rejection of
+//! malformed responses.
 
 use {
     bytes::Bytes,
@@ -62,7 +63,7 @@
         prop_assert_eq!(&plain, &wire);
     }
 
-    /// A process that ends for a damaged answer.
+    /// Guards against a panic on a malformed response.
     #[test]
     fn any_bytes_are_read_or_refused(mut bytes in vec(any::<u8>(), 0..4_000), coding in 0..3u8) {
         let _ = read(&bytes);
@@ -72,7 +73,7 @@
     }
 
     #[test]
-    fn a_question_is_a_path(table: usize, after: u64) {
+    fn a_query_is_a_path(table: usize, after: u64) {
         let query = TableQuery::new(table, after);
         let older = query.older().unwrap();
         prop_assert_eq!(query.to_string().parse(), Ok(query));
@@ -82,9 +83,9 @@
     }
 }
 
-/// Guards against a table that is handed over whole to an instance that has it.
+/// Guards against sending a whole table to an instance that already has its rows.
 #[test]
-fn a_question_tells_which_rows_the_asker_has() {
+fn a_query_names_the_rows_that_its_sender_has() {
     let rows = |version| Digest::from_rows([("a", 4), ("b", version)]);
     let query = TableQuery::new(1, 5).with_digest(rows(7));
     assert_eq!(query.to_string().parse(), Ok(query));
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn other_paths_are_no_questions() {
+fn other_paths_are_no_queries() {
     for path in [
         "",
         "/",
@@ -111,7 +112,8 @@
     }
 }
 
-/// Short tables gain nothing from packing, long ones most of their bytes.
+/// Short tables are sent uncompressed, as compression saves them no packet; long ones shrink
+/// to a fraction of their size.
 #[test]
 fn only_long_tables_are_packed() {
     let short = [row("a", Some(vec![7; COMPRESS_MIN_BYTES / 2]))];
@@ -120,7 +122,8 @@
     assert!(packed(&long).len() < COMPRESS_MIN_BYTES / 2);
 }
 
-/// An answer of a few kilobytes that unpacks to gigabytes uses up the receiver's memory.
+/// Guards against a decompression bomb: a response of a few kilobytes that decompresses to
+/// gigabytes would exhaust the receiver's memory.
 #[test]
 fn an_answer_that_unpacks_beyond_the_limit_is_refused() {
     let fits = packed(&[row("a", Some(vec![0; MAX_BYTES - 100]))]);
@@ -128,20 +131,21 @@
     let longer = packed(&[row("a", Some(vec![0; 16 * MAX_BYTES]))]);
     assert!(longer.len() < MAX_BYTES / 4, "{} bytes", longer.len());
     assert_eq!(read(&longer), Err(RelayError::TooLarge(MAX_BYTES)));
-    // Nothing beyond the limit is unpacked: it is not even known that the end is missing.
+    // Decompression stops at the limit, so the missing end is not even detected.
     let cut = &longer[..longer.len() / 2];
     assert_eq!(read(cut), Err(RelayError::TooLarge(MAX_BYTES)));
 }
 
-/// Empty rows take some twenty times as much memory as bytes.
+/// Guards against exhausting memory with empty rows, which take about twenty times as much
+/// memory as encoded bytes.
 #[test]
 fn an_answer_of_too_many_empty_rows_is_refused() {
     let many = packed(&vec![row("", None); MAX_BYTES / 8]);
     assert_eq!(read(&many), Err(RelayError::TooLarge(MAX_BYTES)));
 }
 
-/// An answer of another version that is read as if it were of this one: the table would
-/// take in rows that nobody wrote.
+/// Guards against decoding a response in another version of the format: the table would get
+/// rows that were never written.
 #[test]
 fn an_answer_of_another_version_is_refused() {
     let rows = [row("a", Some(vec![7; 9]))];
@@ -156,7 +160,7 @@
     assert_eq!(read(&older), Err(RelayError::UnsupportedFormat(older[0])));
 }
 
-/// An answer whose end is missing must not pass for a shorter table.
+/// Guards against a truncated response that decodes as a shorter table.
 #[test]
 fn an_answer_that_was_cut_is_refused() {
     for size in [9, 20 * COMPRESS_MIN_BYTES] {
@@ -167,7 +171,7 @@
     }
 }
 
-/// What instances before the packed format write and read.
+/// Response as instances from before the packed format encode and decode it.
 #[derive(Debug, Serialize)]
 struct OlderWire {
     version: u64,
@@ -177,7 +181,8 @@
     rows: Vec<(String, Option<Vec<u8>>, u64)>,
 }
 
-/// During an upgrade older instances read nothing from newer ones, or the reverse.
+/// Guards against an upgrade during which old and new instances cannot decode each other's
+/// tables.
 #[test]
 fn the_plain_format_is_that_of_older_instances() {
     let older = OlderWire {
@@ -197,9 +202,10 @@
     );
 }
 
-/// Forty instances that fetch the same change cost the sender's processor forty packings.
+/// Guards against compressing the same change once for each of forty instances that fetch
+/// it.
 #[test]
-fn a_change_is_packed_once_for_all_who_ask() {
+fn a_change_is_encoded_once_for_all_queries() {
     let mut cache = BodyCache::<2>::default();
     let rows = || vec![row("a", Some(vec![7; 20 * COMPRESS_MIN_BYTES]))];
     let answers: Vec<Bytes> = (0..40)
@@ -211,16 +217,16 @@
         })
         .collect();
     assert_eq!(cache.encode_count(), 1);
-    // Each tells the age as it was then.
+    // The header of each response still has its own age.
     for (age, answer) in (0..).zip(&answers) {
         assert_eq!(read(answer).unwrap().head, head(age));
     }
 }
 
-/// Instances that are behind and some that are not take turns, and each answer is packed
-/// anew.
+/// Guards against a cache that each query evicts: instances that lag behind and others that
+/// do not alternate, and each response would be encoded again.
 #[test]
-fn instances_that_ask_in_turns_share_what_was_packed() {
+fn alternating_queries_share_encoded_bodies() {
     let mut cache = BodyCache::<1>::default();
     for _ in 0..10 {
         for part in [
@@ -234,10 +240,10 @@
     assert_eq!(cache.encode_count(), 3);
 }
 
-/// An instance gets the rows of another question, of another table or from before the last
-/// change, and takes them for what it asked for.
+/// Guards against a cached body that belongs to another query, to another table or to a
+/// state before the last change.
 #[test]
-fn each_question_gets_its_own_rows() {
+fn each_query_gets_its_own_rows() {
     let mut cache = BodyCache::<2>::default();
     let mut seen = Vec::new();
     for _ in 0..2 {
@@ -262,7 +268,8 @@
 }
 
 proptest! {
-    /// A version that is rounded down to a change must leave out no row and add none.
+    /// Guards against a selection that omits or adds rows: rounding the requested version
+    /// down to that of a known change must select the same rows.
     #[test]
     fn a_part_holds_what_is_newer(versions in vec(0..50u64, 0..10), after in 0..50u64, base in 0..50u64) {
         match RowSelection::since(after, base, versions.iter().copied()) {
--- a/crates/wire/tests/tables.rs
+++ b/crates/wire/tests/tables.rs
@@ -1,4 +1,4 @@
-//! The example tables of both deployments are valid rows.
+//! The example tables of both deployments contain only valid rows.
 
 use {
     citron_core::table::Row,
@@ -18,7 +18,7 @@
         .collect()
 }
 
-/// Servers by service, slots of one, and failure domains.
+/// Counts services, failure domains, and servers by service and number of slots.
 fn summary(rows: &[Row]) -> String {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for row in rows {
@@ -26,7 +26,7 @@
             Row::Domain(_) => "failure domains".to_string(),
             Row::Service(row) => format!("service {}", row.name),
             Row::Server(row) => format!("{} with {} slots", row.service, row.slots),
-            other => panic!("{} is the system's own", other.key()),
+            other => panic!("{} is written by the router, not by operators", other.key()),
         };
         *counts.entry(kind).or_default() += 1;
     }
