--- a/crates/citronproxy/src/control/admin_view.rs
+++ b/crates/citronproxy/src/control/admin_view.rs
@@ -1,4 +1,4 @@
-//! What the admin API sees of the control thread.
+//! The admin API's access to the control thread.
 
 use {
     super::Node,
@@ -36,8 +36,8 @@
             .send_crash_event(&CrashEvent::Lift(fingerprint));
     }
 
-    /// Reads the edit back, then tells the other instances. The operator's answer
-    /// does not wait for it: the edit is accepted whatever becomes of this.
+    /// Reads the edit back and announces it to the other instances, in a task of its own:
+    /// the edit has been accepted, so the operator's response does not wait for either.
     fn on_edit_accepted(&self) {
         let node = self.clone();
         spawn_local(async move {
--- a/crates/citronproxy/src/control/batch.rs
+++ b/crates/citronproxy/src/control/batch.rs
@@ -1,4 +1,4 @@
-//! Several decisions about the table as one commit.
+//! Batches of commits to the table.
 
 use {
     citron_core::{
@@ -8,10 +8,11 @@
     std::collections::BTreeMap,
 };
 
-/// Collects commits that are made one upon the other.
+/// A batch of commits, each planned on the result of the previous ones, that is written
+/// as one commit.
 ///
-/// A block is one row: two moves of its shards, each committed by itself, would
-/// lose the race against each other again and again.
+/// The assignments of several shards share one row (a block). Two moves of shards in one
+/// block, committed separately, would conflict with each other repeatedly.
 #[derive(Debug)]
 pub struct CommitBatch {
     draft: Table,
@@ -19,7 +20,7 @@
 }
 
 impl CommitBatch {
-    /// An empty batch upon a table.
+    /// Creates an empty batch on top of a table.
     pub fn new(table: &Table) -> Self {
         Self {
             draft: table.clone(),
@@ -27,17 +28,18 @@
         }
     }
 
-    /// The table with the batch so far; its rows keep the versions they have in
-    /// the platform, as those are what the commit is conditional on. It must not
-    /// be taken for what the platform holds.
+    /// The table with the changes of the batch so far. Its rows keep the versions that
+    /// they have in the platform, because the commit is conditional on those. It is a
+    /// draft and must not be used as the state of the platform.
     pub fn draft(&self) -> &Table {
         &self.draft
     }
 
-    /// Adds a commit that was made from [`Self::draft`].
+    /// Adds a commit that was planned on [`Self::draft`].
     ///
     /// # Errors
-    /// [`TableError`] if it does not fit; the batch is not to be used then.
+    /// [`TableError`] if the commit does not apply to the draft. The batch must not be
+    /// used afterwards.
     pub fn add(&mut self, commit: Commit) -> Result<(), TableError> {
         let rows = commit.writes.iter();
         let rows = rows.map(|write| (write.key.clone(), write.expect, write.row.clone()));
@@ -55,7 +57,7 @@
         Ok(())
     }
 
-    /// The one commit; `None` if nothing was added.
+    /// The combined commit; `None` if nothing was added.
     pub fn into_commit(self) -> Option<Commit> {
         let writes: Vec<Write> = self.writes.into_values().collect();
         let history = None;
--- a/crates/citronproxy/src/control/config.rs
+++ b/crates/citronproxy/src/control/config.rs
@@ -1,4 +1,4 @@
-//! What control needs to know at its start.
+//! Configuration of the control thread.
 
 use {
     citron_core::{
@@ -9,27 +9,28 @@
     std::net::SocketAddr,
 };
 
-/// Who this instance is and where it is reached.
+/// Identity and addresses of an instance.
 #[derive(Debug, Clone)]
 pub struct ControlConfig {
-    /// This start of this instance; the incarnation is fresh at each start.
+    /// Instance id and incarnation; the incarnation is new at each start.
     pub member: Member,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Where it takes callers' requests.
+    /// Address at which clients send requests.
     pub traffic: SocketAddr,
-    /// Where it takes other instances' calls; port 0 for any.
+    /// Listening address for calls from other instances; port 0 picks a free port.
     pub peer: SocketAddr,
-    /// Where other instances reach it, if not there.
+    /// Address at which other instances reach this one, if it differs from `peer`.
     pub advertise: Option<SocketAddr>,
-    /// Where it takes operators' requests.
+    /// Address of the admin API.
     pub admin: SocketAddr,
-    /// Some other instances, asked for the table while the platform is down.
+    /// Peer addresses of some other instances, which are asked for the table while the
+    /// platform is unavailable.
     pub seeds: Vec<SocketAddr>,
 }
 
 impl ControlConfig {
-    /// The row that lists this start.
+    /// The row that lists this incarnation in the table.
     pub(super) fn instance_row(&self) -> InstanceRow {
         InstanceRow {
             id: self.member.instance.clone(),
--- a/crates/citronproxy/src/control/error.rs
+++ b/crates/citronproxy/src/control/error.rs
@@ -1,4 +1,4 @@
-//! Errors of control.
+//! Errors of the control thread.
 
 use {
     citron_core::id::{Incarnation, InstanceId},
@@ -6,18 +6,18 @@
     thiserror::Error,
 };
 
-/// Why an instance cannot go on.
+/// A failure that stops the instance.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// The address for other instances cannot be bound.
-    #[error("peer address {address}: {source}")]
+    /// The peer address cannot be bound.
+    #[error("cannot listen on peer address {address}: {source}")]
     Bind {
-        /// The address.
+        /// The peer address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Two instances were given one id.
+    /// Another live instance has the same id.
     #[error(
         "instance {instance} is already running at {address} as incarnation {incarnation}; \
          give each instance an id of its own"
@@ -25,9 +25,9 @@
     Taken {
         /// The id.
         instance: InstanceId,
-        /// Where the other one answers other instances.
+        /// Peer address of the other instance.
         address: SocketAddr,
-        /// The start of the other one.
+        /// Incarnation of the other instance.
         incarnation: Incarnation,
     },
 }
--- a/crates/citronproxy/src/control/follower.rs
+++ b/crates/citronproxy/src/control/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the table: from the platform, or by relay from other instances.
+//! Follows the table: by reading the platform, or by relay from other instances.
 
 use {
     super::{ControlMetrics, Node},
@@ -9,19 +9,20 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The pause between two reads.
+/// Pause between two reads of the platform.
 const READ_INTERVAL: Duration = Duration::from_millis(400);
-/// The pause after a failed read, even if a newer revision is waited for.
+/// Pause after a failed read. It is kept even when a refresh is requested.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The pause between two looks at whether a relay is needed.
+/// Pause between two checks whether a relay is needed.
 const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A confirmation that rests on an older read is renewed by relay.
+/// Age of the read that the routing lease is based on from which the lease is renewed by
+/// relay.
 const MAX_READ_AGE: Duration = Duration::from_millis(700);
-/// How many instances are asked at a time; each of their answers may be as old
-/// as our own.
+/// Number of instances asked at a time. Several are asked because each of their answers
+/// may be as old as this instance's own.
 const RELAY_FANOUT: usize = 3;
 
-/// Reads the platform again and again; ends only with its task.
+/// Reads the platform periodically and on request. Runs until its task is aborted.
 pub async fn follow<S: TableStore + 'static>(node: Node<S>) {
     let mut is_reachable = true;
     loop {
@@ -40,8 +41,8 @@
     }
 }
 
-/// Asks other instances while the platform does not confirm; ends only with its
-/// task.
+/// Asks other instances for the table and a lease while the platform does not renew the
+/// routing lease. Runs until its task is aborted.
 pub async fn relay<S: TableStore + 'static>(node: Node<S>) {
     let mut next_peer = 0;
     let mut is_relaying = false;
@@ -77,7 +78,7 @@
     }
 }
 
-/// All other instances: those that the table lists, or else the settings' seeds.
+/// Peer addresses of all other listed instances, followed by the seeds of the settings.
 fn peer_addresses<S: TableStore + 'static>(node: &Node<S>) -> Vec<SocketAddr> {
     let mut peer_addresses: Vec<SocketAddr> = node
         .other_instances()
--- a/crates/citronproxy/src/control/granting.rs
+++ b/crates/citronproxy/src/control/granting.rs
@@ -12,13 +12,13 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The pause between two orders; a third of a lease, so that one may be lost.
+/// Pause between two orders: a third of a lease, so that one lost order does not end it.
 const RENEW_INTERVAL: Duration = Duration::from_millis(333);
-/// The pause after a failed order, or until a new start may be given grants.
+/// Pause after a failed order, and before a server that has restarted is given grants.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Runs one task for each server that checks grants, so that one that does not
-/// answer delays no other; ends only with its task.
+/// Runs one task for each server that checks grants, so that a server that does not
+/// answer delays no other. Runs until its task is aborted.
 pub async fn grant_servers<S, B>(node: Node<S>, servers: Rc<B>)
 where
     S: TableStore + 'static,
@@ -63,13 +63,15 @@
             granter.record_reply(&order, reply, node.now());
         }
         let (is_failed, is_known) = (answer.is_err(), order.boot.is_some());
-        // A first order names every scope of the service; kept for the pause by
-        // each server's task, it would be most of what control holds.
+        // A first order names every scope of the service. If each server's task kept its
+        // order during the pause, the orders would be most of the control thread's
+        // memory.
         drop((order, answer));
         if is_failed {
             sleep(RETRY_DELAY).await;
         } else if !is_known {
-            // A new start gets grants only under a read begun after it was seen.
+            // A server that has restarted gets grants only under a platform read that
+            // started after its new boot was seen.
             node.request_refresh();
             sleep(RETRY_DELAY).await;
         } else {
--- a/crates/citronproxy/src/control/loads.rs
+++ b/crates/citronproxy/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! How much work each shard makes, as far as this instance sees.
+//! Load of each shard, estimated from what this instance measures.
 
 use {
     crate::traffic::LoadSample,
@@ -6,24 +6,24 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a change of load takes to show for the most part.
+/// Time constant of the exponential smoothing: most of a change in load shows after it.
 const SMOOTHING_TIME: Duration = Duration::from_secs(10);
-/// Below this much work of a service, in microseconds of slot time a second,
-/// all shards count as equal: a few requests would look like an imbalance.
+/// Total load of a service, in microseconds of slot time per second, below which the load
+/// of each scope counts as 0. Otherwise a few requests would look like an imbalance.
 const MIN_LOAD_MICROS_PER_SECOND: u64 = 200_000;
 
 #[derive(Debug, Default)]
 struct Rate {
-    /// Microseconds of slot time a second.
+    /// Microseconds of slot time per second.
     busy_micros: f64,
-    /// Requests a second.
+    /// Requests per second.
     requests: f64,
 }
 
-/// Smoothed rates of all scopes.
+/// Smoothed load of all scopes.
 ///
-/// The balancer spreads callers over all instances, so that what one of them
-/// sees is a sample of the whole; it is scaled up by their number.
+/// The load balancer in front spreads clients over all instances, so each instance sees a
+/// sample of the whole load. The sample is scaled up by the number of instances.
 ///
 /// ```
 /// use {citronproxy::control::Loads, std::time::Duration};
@@ -40,7 +40,7 @@
 }
 
 impl Loads {
-    /// Takes what was measured over a span.
+    /// Adds the samples that were measured over `span`.
     pub fn record(&mut self, samples: Vec<LoadSample>, span: Duration) {
         let seconds = span.as_secs_f64();
         if seconds <= 0.0 {
@@ -57,7 +57,7 @@
             rate.busy_micros += weight * sample.busy_time.as_micros() as f64 / seconds;
             rate.requests += weight * sample.count as f64 / seconds;
         }
-        // What is left of a scope that is idle or gone counts for nothing.
+        // Drops scopes that are idle or no longer exist.
         self.rates.retain(|_, rate| rate.busy_micros >= 1.0);
         self.totals.clear();
         for ((service, _), rate) in &self.rates {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Load and requests a second of a scope, if `instances` share the callers.
+    /// Load and requests per second of a scope, scaled to `instances` instances that
+    /// share the clients.
     pub fn scope_load(&self, service: &ServiceName, scope: Scope, instances: u32) -> (Load, u32) {
         let scale = f64::from(instances);
         let total = self.totals.get(service).copied().unwrap_or(0.0) * scale;
--- a/crates/citronproxy/src/control/membership.rs
+++ b/crates/citronproxy/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps this instance listed, and takes lost ones off the list.
+//! Keeps this instance listed in the table, and expels instances that do not answer.
 
 use {
     super::{ControlError, Node},
@@ -13,23 +13,24 @@
     tokio::time::sleep,
 };
 
-/// The pause between two looks at the own row.
+/// Pause between two checks of this instance's own row.
 const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// The pause between two rounds of questions to neighbours.
+/// Pause between two rounds of status calls to neighbours.
 const WATCH_INTERVAL: Duration = Duration::from_secs(2);
-/// How many reachable instances after this one, in the order of their ids, are
-/// watched: everyone is watched by as many, at a cost that does not grow with
+/// Number of answering instances that each instance watches, the next ones in the order
+/// of their ids. Every instance is watched by as many, at a cost that does not grow with
 /// the number of instances.
 const WATCHED_NEIGHBOURS: usize = 3;
-/// An instance that has not answered for so long is expelled.
+/// Time without an answer after which an instance is expelled.
 const EXPEL_AFTER: Duration = Duration::from_secs(10);
-/// How much later the next watcher acts than the one before it.
+/// Additional wait before expelling per position between the watcher and the instance, so
+/// that several watchers do not act at once.
 const RANK_DELAY: Duration = Duration::from_secs(5);
 
-/// Lists this start if that is possible now.
+/// Lists this incarnation in the table if that is possible now.
 ///
 /// # Errors
-/// [`ControlError::Taken`] if another instance has the id and answers.
+/// [`ControlError::Taken`] if another incarnation has the id and answers.
 pub async fn join<S: TableStore + 'static>(node: &Node<S>) -> Result<(), ControlError> {
     let now = node.now();
     let row = node.config().instance_row();
@@ -54,9 +55,12 @@
     }
 }
 
-/// Another start holds the id: it is alive, or it is to be expelled. This one
-/// is listed once the other's leave has run out, and routes on relayed leave
-/// until then; the other may be paused and wake up as if nothing had happened.
+/// Handles a row with this instance's id but another incarnation. If the other
+/// incarnation answers, starting is an error; otherwise it is expelled.
+///
+/// This incarnation is listed only after the former one's lease has ended, and routes by
+/// relayed leases until then, because the former process may be paused and resume
+/// routing.
 async fn expel_former<S: TableStore + 'static>(
     node: &Node<S>,
     former: &Member,
@@ -87,7 +91,7 @@
     node.commit(commit).await;
 }
 
-/// Keeps this start listed; ends only if another instance has its id.
+/// Keeps this incarnation listed. Returns only if another instance has the same id.
 pub async fn keep_joined<S: TableStore + 'static>(node: Node<S>) -> ControlError {
     loop {
         if let Err(error) = join(&node).await {
@@ -97,7 +101,7 @@
     }
 }
 
-/// Takes this start off the list; it must have stopped routing.
+/// Removes this incarnation from the table. It must have stopped routing.
 pub async fn leave_table<S: TableStore + 'static>(node: &Node<S>) {
     let me = &node.config().member;
     if let Some(commit) = node.with_table(|table| <Membership>::remove(table, me)) {
@@ -105,9 +109,11 @@
     }
 }
 
-/// Expels neighbours that are lost and clears rows whose wait is over; ends
-/// only with its task. While a lost instance is listed, every move of a server
-/// in its domain waits for the whole grace.
+/// Expels neighbours that do not answer, and removes rows of expelled instances after
+/// their wait. Runs until its task is aborted.
+///
+/// While an instance that is down is listed, every move of a server in its failure domain
+/// waits for the whole grace period.
 pub async fn watch_neighbours<S: TableStore + 'static>(node: Node<S>) {
     let mut silent_since: BTreeMap<Member, Time> = BTreeMap::new();
     loop {
@@ -130,8 +136,8 @@
     }
 }
 
-/// Asks neighbours; gives those that are silent, since when, and those that
-/// this instance is to expel.
+/// Calls the neighbours. Returns those that do not answer, each with the time since when,
+/// and those that this instance is to expel.
 async fn probe_neighbours<S: TableStore + 'static>(
     node: &Node<S>,
     silent_since: &BTreeMap<Member, Time>,
@@ -158,8 +164,8 @@
     (still_silent, lost)
 }
 
-/// The other instances in the order of their ids, from this one's on; each with
-/// its distance, as far as it matters.
+/// The other instances in the order of their ids, starting after this one, each with its
+/// distance from this one, limited to [`WATCHED_NEIGHBOURS`].
 fn successors<S: TableStore + 'static>(node: &Node<S>) -> Vec<(Member, InstanceRow, u32)> {
     let me = &node.config().member.instance;
     let mut rows = node.other_instances();
--- a/crates/citronproxy/src/control/metrics.rs
+++ b/crates/citronproxy/src/control/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of control.
+//! Metrics of the control thread.
 
 use {
     crate::metrics::register,
@@ -7,24 +7,24 @@
     prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry},
 };
 
-/// What control counts.
+/// Counters and gauges of the control thread.
 #[derive(Debug, Clone)]
 pub struct ControlMetrics {
-    /// The revision in force here.
+    /// Revision of the table in this instance.
     pub revision: IntGauge,
     /// Reads of the platform, by result.
     pub reads: IntCounterVec,
-    /// Commits, by result: `done`, `lost` to another writer, or `unanswered`.
+    /// Commits, by result: `done`, `lost` to a conflicting write, or `unanswered`.
     pub commits: IntCounterVec,
-    /// Answers of other instances that brought leave to route.
+    /// Relay answers of other instances that included a routing lease.
     pub relays: IntCounter,
     /// Orders to backend servers, by result.
     pub orders: IntCounterVec,
-    /// Moves that this instance brought to their end.
+    /// Moves that this instance completed.
     pub ended_moves: IntCounter,
-    /// Moves under way now.
+    /// Moves that this instance tracks now.
     pub open_moves: IntGauge,
-    /// Servers that this instance cannot reach.
+    /// Backend servers that do not answer this instance's probes.
     pub unreachable_servers: IntGauge,
 }
 
@@ -32,7 +32,7 @@
     /// Registers all metrics.
     ///
     /// # Errors
-    /// If one of the names is taken.
+    /// If a metric of the same name is already registered.
     pub fn new(registry: &Registry) -> prometheus::Result<Self> {
         let by_result = |name: &str, help: &str| {
             let counter = IntCounterVec::new(Opts::new(name, help), &["result"])?;
@@ -47,25 +47,31 @@
             commits: by_result("citron_commits_total", "Commits to the table")?,
             relays: register(
                 registry,
-                IntCounter::new("citron_relays_total", "Relayed confirmations taken")?,
+                IntCounter::new("citron_relays_total", "Routing leases received by relay")?,
+            )?,
+            orders: by_result(
+                "citron_grant_orders_total",
+                "Grant orders to backend servers",
             )?,
-            orders: by_result("citron_grant_orders_total", "Orders to backend servers")?,
             ended_moves: register(
                 registry,
-                IntCounter::new("citron_moves_total", "Moves ended by this instance")?,
+                IntCounter::new("citron_moves_total", "Moves completed by this instance")?,
             )?,
             open_moves: register(
                 registry,
-                IntGauge::new("citron_moves_open", "Moves under way")?,
+                IntGauge::new("citron_moves_open", "Moves tracked by this instance")?,
             )?,
             unreachable_servers: register(
                 registry,
-                IntGauge::new("citron_servers_unreachable", "Servers that do not answer")?,
+                IntGauge::new(
+                    "citron_servers_unreachable",
+                    "Backend servers that do not answer",
+                )?,
             )?,
         })
     }
 
-    /// Counts what became of a commit.
+    /// Counts a commit by its outcome.
     pub(super) fn count_commit(&self, answer: &Result<CommitOutcome, PlatformError>) {
         let result = match answer {
             Ok(CommitOutcome::Committed(_)) => "done",
--- a/crates/citronproxy/src/control/mod.rs
+++ b/crates/citronproxy/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread: follows the table, publishes what traffic routes by,
-//! grants, and moves scopes between backend servers.
+//! The control thread: follows the table, publishes routing snapshots to the traffic
+//! threads, sends grants to backend servers, and moves scopes between them.
 
 mod admin_view;
 mod batch;
--- a/crates/citronproxy/src/control/move_driver.rs
+++ b/crates/citronproxy/src/control/move_driver.rs
@@ -1,5 +1,5 @@
-//! Brings moves to their end: those that this instance began, and those that
-//! another one left.
+//! Drives moves to completion, both those that this instance began and those that another
+//! instance left unfinished.
 
 use {
     super::{ACTIVE_RANKS, CommitBatch, Node, ReleasingScopes, ScopeKey, TaskResult, TrackedMove},
@@ -24,19 +24,20 @@
     },
 };
 
-/// The pause between two steps while something moves.
+/// Pause between two steps while a move is tracked.
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause while nothing moves.
+/// Pause while no move is tracked.
 const IDLE_INTERVAL: Duration = Duration::from_millis(400);
-/// The pause after a question that got no answer.
+/// Pause after a call that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How much later the next instance takes a move over than the one before it.
+/// Delay per rank before an instance takes over a move. Lower ranks act first.
 const RANK_DELAY: Duration = Duration::from_millis(600);
 
-/// A question that is under way.
+/// An acknowledgement request in progress: the old owner, the instance asked and the
+/// revision.
 type AckRequest = (ServerName, Member, Revision);
 
-/// The moves that this instance follows.
+/// The driver of all moves that this instance tracks.
 #[derive(Debug)]
 pub struct MoveDriver<S, B> {
     node: Node<S>,
@@ -44,6 +45,7 @@
     moves: BTreeMap<ScopeKey, TrackedMove>,
     releases: ReleasingScopes,
     pending_acks: BTreeSet<AckRequest>,
+    /// Servers with an order of revocations in progress.
     revoking: BTreeSet<ServerName>,
     results: UnboundedReceiver<TaskResult>,
     result_sender: UnboundedSender<TaskResult>,
@@ -54,7 +56,7 @@
     S: TableStore + 'static,
     B: GrantClient + 'static,
 {
-    /// No moves yet.
+    /// Creates a driver without moves.
     pub fn new(node: Node<S>, servers: Rc<B>) -> Self {
         let (result_sender, results) = unbounded_channel();
         Self {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Follows moves; ends only with its task.
+    /// Tracks and steps moves. Runs until its task is aborted.
     pub async fn run(mut self) {
         let mut revisions = self.node.revisions();
         loop {
@@ -94,13 +96,15 @@
         }
     }
 
-    /// Takes up what the table shows as releasing. Instances whose turn has not
-    /// come take it up too, so that their waits run meanwhile.
+    /// Starts tracking every scope that the table shows as releasing. Instances that may
+    /// not act yet track it too, so that the waits of their movers elapse in the
+    /// meantime.
     fn track_releases(&mut self) {
         self.node.with_table(|table| self.releases.refresh(table));
         let releasing = self.releases.scopes();
         let now = self.node.now();
-        // Those whose turn has come hear of the end by their next step.
+        // A move that this instance acts on is removed when its mover reports the end in
+        // its next step.
         self.moves
             .retain(|key, tracked| now >= tracked.acts_from || releasing.contains(key));
         for key in releasing {
@@ -118,7 +122,8 @@
         }
     }
 
-    /// Steps every move whose turn it is, and commits what is certain at once.
+    /// Steps every move that this instance may act on now, and writes their commits as
+    /// one.
     fn step_moves(&mut self) {
         let now = self.node.now();
         let mut batch = None;
@@ -162,7 +167,7 @@
             }
             MoveAction::Commit(commit) => self.add_to_batch(key, commit, batch),
             MoveAction::Reread => self.reread_table(key),
-            // The new owner's own task grants what the table shows.
+            // The granting task of the new owner sends the grants that the table shows.
             MoveAction::Grant { .. } => {}
             MoveAction::Done { owner, epoch } => {
                 let (service, scope) = key;
@@ -230,7 +235,7 @@
         });
     }
 
-    /// Asks an instance to acknowledge, once for all moves off one server.
+    /// Asks an instance for an acknowledgement, once for all moves off the same server.
     fn request_ack(&mut self, key: &ScopeKey, member: Member, revision: Revision) {
         let Some(tracked) = self.moves.get(key) else {
             return;
@@ -250,7 +255,7 @@
         });
     }
 
-    /// Sends each old owner all its revocations that are not accepted yet.
+    /// Sends each old owner all of its revocations that it has not accepted yet.
     fn send_revocations(&mut self) {
         let now = self.node.now();
         let mut orders: BTreeMap<ServerName, Vec<Grant>> = BTreeMap::new();
@@ -342,8 +347,8 @@
         }
     }
 
-    /// Hands an event to a mover with the next step, so that commits which follow
-    /// from several events are made together.
+    /// Queues an event for the next step of a mover, so that commits that follow from
+    /// several events are batched.
     fn push_event(&mut self, key: &ScopeKey, event: MoveEvent) {
         if let Some(tracked) = self.moves.get_mut(key) {
             tracked.pending_events.push(event);
@@ -351,7 +356,8 @@
     }
 }
 
-/// Asks one instance; `None` if it did not settle the revision in time.
+/// Asks one instance for an acknowledgement; `None` if it did not settle the revision in
+/// time.
 async fn fetch_ack<S: TableStore + 'static>(
     node: &Node<S>,
     member: &Member,
--- a/crates/citronproxy/src/control/node.rs
+++ b/crates/citronproxy/src/control/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the control thread share.
+//! State that the tasks of the control thread share.
 
 use {
     super::{ControlConfig, ControlMetrics, PeerReports, Replica},
@@ -28,27 +28,27 @@
     },
 };
 
-/// How long an acknowledgement may take before it is refused.
+/// Maximum time to wait for a revision to settle before the acknowledgement is denied.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The pause between two reads while a newer revision is waited for.
+/// Pause between two refresh requests while waiting for a newer revision.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause between two looks at whether a revision is settled.
+/// Pause between two checks whether a revision is settled.
 const SETTLE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How much earlier grants go out than traffic follows a newer revision. A new
-/// owner would otherwise be sent requests before its grant and refuse them.
+/// Delay from when grants of a newer revision are sent to when traffic is routed by it.
+/// Without it, a new owner would receive requests before its grant, and refuse them.
 const GRANT_LEAD: Duration = Duration::from_millis(5);
 
-/// What became of a commit.
+/// Result of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommitResult {
-    /// The platform said that it took effect.
+    /// Whether the platform confirmed that the commit took effect.
     pub is_committed: bool,
-    /// The table was read by a read begun after.
+    /// Whether a table read that started after the commit succeeded.
     pub is_reread: bool,
 }
 
-/// The state of one instance's control thread; clones share it.
+/// Shared state of one instance's control thread. Clones share it.
 #[derive(Debug)]
 pub struct Node<S> {
     inner: Rc<Inner<S>>,
@@ -71,14 +71,14 @@
     peer_client: PeerClient,
     metrics: ControlMetrics,
     peer_reports: PeerReports,
-    /// Asks the follower to read at once.
+    /// Notifies the follower to read at once.
     refresh_request: Notify,
-    /// The revision in force here.
+    /// Latest revision of the table in this instance.
     revision: watch::Sender<Revision>,
 }
 
 impl<S: TableStore + 'static> Node<S> {
-    /// A node that knows nothing yet.
+    /// Creates a node with an empty table.
     pub fn new(
         config: ControlConfig,
         store: S,
@@ -108,32 +108,32 @@
         }
     }
 
-    /// The spans that all instances agree on.
+    /// Lease durations that all instances agree on.
     pub fn lease_durations() -> LeaseDurations {
         LeaseDurations::default()
     }
 
-    /// Who this instance is.
+    /// Identity and addresses of this instance.
     pub fn config(&self) -> &ControlConfig {
         &self.inner.config
     }
 
-    /// The platform's table.
+    /// The platform's table store.
     pub fn store(&self) -> &S {
         &self.inner.store
     }
 
-    /// Calls to other instances.
+    /// Client for calls to other instances.
     pub fn peer_client(&self) -> &PeerClient {
         &self.inner.peer_client
     }
 
-    /// The traffic threads.
+    /// Handle to the traffic threads.
     pub fn handle(&self) -> &TrafficHandle {
         &self.inner.handle
     }
 
-    /// Counters of control.
+    /// Metrics of the control thread.
     pub fn metrics(&self) -> &ControlMetrics {
         &self.inner.metrics
     }
@@ -142,45 +142,46 @@
         &self.inner.peer_reports
     }
 
-    /// The time now.
+    /// Current monotonic time.
     pub fn now(&self) -> Time {
         self.inner.clock.now()
     }
 
-    /// Looks at the replica; nothing in `look` may wait.
+    /// Calls `read` with the replica. `read` must not block.
     pub fn with_replica<T>(&self, read: impl FnOnce(&Replica) -> T) -> T {
         read(&self.inner.replica.borrow())
     }
 
-    /// Looks at the table; nothing in `look` may wait.
+    /// Calls `read` with the table. `read` must not block.
     pub fn with_table<T>(&self, read: impl FnOnce(&Table) -> T) -> T {
         read(self.inner.replica.borrow().table())
     }
 
-    /// Says to others from now on that this instance is leaving.
+    /// Reports this instance as leaving in its status from now on.
     pub fn mark_leaving(&self) {
         self.inner.replica.borrow_mut().mark_leaving();
     }
 
-    /// Tells each newer revision.
+    /// Channel that delivers each newer revision.
     pub fn revisions(&self) -> watch::Receiver<Revision> {
         self.inner.revision.subscribe()
     }
 
-    /// Asks the follower to read at once.
+    /// Requests that the follower reads the platform at once.
     pub fn request_refresh(&self) {
         self.inner.refresh_request.notify_one();
     }
 
-    /// Resolves when the follower is to read at once.
+    /// Waits for a refresh request.
     pub async fn refresh_requested(&self) {
         self.inner.refresh_request.notified().await;
     }
 
-    /// Reads the platform, and publishes what it says.
+    /// Reads the platform and publishes the table.
     ///
     /// # Errors
-    /// [`PlatformError`] if there is no answer that makes sense.
+    /// [`PlatformError`] if the platform does not answer, or with changes that do not
+    /// apply.
     pub async fn refresh(&self) -> Result<(), PlatformError> {
         let started = self.now();
         let since = self.with_table(Table::revision);
@@ -193,11 +194,11 @@
         Ok(())
     }
 
-    /// Asks another instance for rows and leave, and publishes them. Tells
-    /// whether the answer rested on a platform read.
+    /// Asks another instance for changed rows and a routing lease, and publishes them.
+    /// Returns whether the answer included a lease.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no answer that makes sense.
+    /// [`PeerError`] if the instance does not answer, or with changes that do not apply.
     pub async fn relay_from(&self, address: SocketAddr) -> Result<bool, PeerError> {
         let sent = self.now();
         let since = self.with_table(Table::revision);
@@ -217,8 +218,7 @@
         Ok(status.remaining.is_some())
     }
 
-    /// Commits, then reads the table, whatever the answer; `reread` tells
-    /// whether that worked.
+    /// Writes a commit, then reads the table, whatever the outcome of the commit.
     pub async fn commit(&self, commit: Commit) -> CommitResult {
         let checks = self.with_table(|table| commit.new_owner_checks(table));
         let answer = self.inner.store.commit_checked(commit, &checks).await;
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Tells the other instances that the table has changed, so that callers
-    /// who wait for a moving key need not wait for the next read.
+    /// Announces the current revision to the other instances, so that clients that wait
+    /// for a key being moved need not wait for those instances' next read.
     pub fn announce_revision(&self) {
         let revision = self.with_table(Table::revision);
         for row in self.other_instances() {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The rows of the other instances that are not expelled, by id.
+    /// Rows of the other instances that are not expelled, in the order of their ids.
     pub fn other_instances(&self) -> Vec<InstanceRow> {
         let me = &self.inner.config.member.instance;
         self.with_table(|table| {
@@ -253,10 +253,10 @@
         })
     }
 
-    /// How many live instances go before this one in deciding for a service.
+    /// Number of instances that precede this one in acting for a service.
     ///
-    /// Every instance gets the same order without talking, and each service
-    /// another one, so that no instance decides for all of them.
+    /// Every instance computes the same order without communication. The order differs
+    /// between services, so that no instance acts for all of them.
     pub fn rank(&self, service: &ServiceName) -> u32 {
         let score = |id: &InstanceId| KeyHash::from_key(format!("{service}/{id}").as_bytes());
         let me = &self.inner.config.member.instance;
@@ -288,8 +288,8 @@
         }
     }
 
-    /// Whether this instance routes nothing to a server under a revision before
-    /// `revision`, and nobody does on leave from here.
+    /// Waits until this instance routes nothing to the server under a revision before the
+    /// requested one, and no instance routes by a lease relayed from here under one.
     async fn wait_settled(&self, ask: &AcknowledgeRequest) {
         let mut revisions = self.revisions();
         while self.with_table(Table::revision) < ask.revision {
@@ -299,7 +299,7 @@
         while !self.with_replica(|r| r.is_settled(ask.revision, self.now())) {
             sleep(SETTLE_CHECK_INTERVAL).await;
         }
-        // Before the first publication no request is routed at all.
+        // Before the first snapshot is published no request is routed at all.
         if self.inner.handle.snapshot().is_some() {
             self.inner
                 .handle
@@ -308,7 +308,7 @@
         }
     }
 
-    /// The row of a server.
+    /// Row of a backend server.
     pub fn server_row(&self, name: &ServerName) -> Option<ServerRow> {
         self.with_table(|table| table.server(name).cloned())
     }
--- a/crates/citronproxy/src/control/planning.rs
+++ b/crates/citronproxy/src/control/planning.rs
@@ -1,4 +1,4 @@
-//! Begins moves: away from lost and leaving servers, and for balance.
+//! Plans and begins moves: away from servers that are lost or leaving, and for balance.
 
 use {
     super::{ACTIVE_RANKS, CommitBatch, Health, Loads, Node},
@@ -17,24 +17,25 @@
     tokio::time::{sleep, timeout},
 };
 
-/// The pause between two plans.
+/// Pause between two plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// The span of one measurement of load.
+/// Duration of one load measurement.
 const LOAD_SPAN: Duration = Duration::from_secs(1);
-/// How much later the next instance acts than the one before it.
+/// Delay per rank before an instance begins moves. Lower ranks act first.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// What a fully warm server gets of its share, in percent.
+/// Warm-up percentage of a server that gets its full share.
 const FULL_SHARE_PERCENT: u64 = 100;
 
-/// Plans of one service.
+/// Planner of one service.
 #[derive(Debug, Default)]
 struct ServicePlanner {
     planner: Planner,
-    /// Since when this instance has seen work that nobody begins.
+    /// Time since which moves have been proposed that no instance of a lower rank has
+    /// begun.
     waiting_since: Option<Time>,
 }
 
-/// Plans again and again; ends only with its task.
+/// Plans moves periodically. Runs until its task is aborted.
 pub async fn plan_moves<S: TableStore + 'static>(node: Node<S>, health: Health) {
     let mut planners: BTreeMap<ServiceName, ServicePlanner> = BTreeMap::new();
     let mut loads = Loads::default();
@@ -84,7 +85,8 @@
         return;
     };
     let mut proposals = planner.planner.plan(&view, now);
-    // Only the first instance moves for balance: each has a budget of its own.
+    // Only the first instance moves for balance, because the move budget is counted per
+    // instance.
     proposals.retain(|proposal| rank == 0 || proposal.reason == MoveReason::Unassigned);
     if proposals.is_empty() {
         planner.waiting_since = None;
@@ -98,7 +100,7 @@
     begin_moves(node, name, &proposals).await;
 }
 
-/// Begins all proposed moves with one commit.
+/// Begins all proposed moves in one commit.
 async fn begin_moves<S: TableStore + 'static>(
     node: &Node<S>,
     name: &ServiceName,
@@ -124,7 +126,7 @@
     }
 }
 
-/// The service as the planner sees it; `None` if there is no such service.
+/// The planner's view of a service; `None` if there is no such service.
 fn service_view(
     table: &Table,
     name: &ServiceName,
--- a/crates/citronproxy/src/control/probing.rs
+++ b/crates/citronproxy/src/control/probing.rs
@@ -1,4 +1,4 @@
-//! Which backend servers answer, and which are leaving.
+//! Health of backend servers: which ones answer, and which are leaving.
 
 use {
     super::{Node, ServerTasks},
@@ -18,34 +18,35 @@
     tokio::time::sleep,
 };
 
-/// The pause between two probes of a server.
+/// Pause between two probes of a server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// The pause between two reads of the platform's list.
+/// Pause between two reads of the platform's instance list.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// A server that has not answered for so long counts as lost. Shorter takes the
-/// stalls of a busy server for losses, and each costs all its warm state.
+/// Time without an answer after which a server counts as lost. A shorter time would take
+/// stalls of a busy server for losses, and each loss costs the server's whole warm state.
 const LOST_AFTER: Duration = Duration::from_millis(700);
-/// Probes in a row that have to fail as well: an instance that was itself
-/// paused finds all answers old.
+/// Consecutive failed probes that a loss requires in addition to [`LOST_AFTER`]. To an
+/// instance that was itself paused, all answers look old.
 const MIN_FAILED_PROBES: u32 = 3;
-/// Only so many instances of the order of [`Node::rank`] probe and act.
+/// Number of instances, in the order of [`Node::rank`], that probe a service's servers
+/// and act for the service.
 pub const ACTIVE_RANKS: u32 = 4;
 
-/// What probes of one server found.
+/// Probe results of one server.
 #[derive(Debug, Clone, Copy)]
 struct ProbeRecord {
-    /// When it answered last, or was first probed.
+    /// Time of the last answer, or of the first probe.
     answered_at: Time,
-    /// Probes that failed since.
+    /// Failed probes since the last answer.
     failures: u32,
-    /// It said that it is leaving.
+    /// Whether the server reports that it is draining.
     is_draining: bool,
-    /// Since when it has answered without a loss; `None` if since before this
-    /// instance first looked.
+    /// Time of the first answer after a loss; `None` if the server has not been lost
+    /// since this instance began probing it.
     recovered_at: Option<Time>,
 }
 
-/// What is known of all servers; clones share it.
+/// Health of all servers. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     state: Rc<RefCell<State>>,
@@ -58,14 +59,14 @@
 }
 
 impl Health {
-    /// Whether a server does not answer.
+    /// Whether a server is lost, that is, does not answer.
     pub fn is_lost(&self, name: &ServerName, now: Time) -> bool {
         let state = self.state.borrow();
         let record = state.probes.get(name);
         record.is_some_and(|record| is_lost(record, now))
     }
 
-    /// Whether a server says itself, or the platform's list, that it is leaving.
+    /// Whether a server is leaving, by its own report or by the platform's list.
     pub fn is_leaving(&self, name: &ServerName) -> bool {
         let state = self.state.borrow();
         let is_draining = state
@@ -75,12 +76,12 @@
         is_draining || state.leaving.contains(name)
     }
 
-    /// When a server came back from a loss, if it did.
+    /// When a server answered again after a loss; `None` if it was not lost.
     pub fn recovered_at(&self, name: &ServerName) -> Option<Time> {
         self.state.borrow().probes.get(name)?.recovered_at
     }
 
-    /// How many servers do not answer.
+    /// Number of servers that are lost.
     pub fn lost_count(&self, now: Time) -> usize {
         let state = self.state.borrow();
         state
@@ -133,8 +134,8 @@
     record.failures >= MIN_FAILED_PROBES && now - record.answered_at >= LOST_AFTER
 }
 
-/// Probes the servers that this instance may act for, one task each; ends only
-/// with its task.
+/// Probes the servers of the services that this instance may act for, in one task each.
+/// Runs until its task is aborted.
 pub async fn probe_servers<S, B>(node: Node<S>, servers: Rc<B>, health: Health)
 where
     S: TableStore + 'static,
@@ -180,8 +181,9 @@
     }
 }
 
-/// Reads the platform's list; ends only with its task. The list lags, so what
-/// it says is never waited for; while it cannot be read, the last one counts.
+/// Reads the platform's instance list periodically. Runs until its task is aborted. The
+/// list lags behind, so nothing waits for it; while it cannot be read, the last one is
+/// used.
 pub async fn follow_list<S>(node: Node<S>, health: Health)
 where
     S: TableStore + MachineList + 'static,
--- a/crates/citronproxy/src/control/releasing.rs
+++ b/crates/citronproxy/src/control/releasing.rs
@@ -1,4 +1,4 @@
-//! Which scopes the table shows as changing hands.
+//! Scopes that the table shows as releasing.
 
 use {
     super::ScopeKey,
@@ -10,10 +10,10 @@
     std::collections::BTreeSet,
 };
 
-/// The scopes that one revision of the table shows as releasing.
+/// The scopes that are releasing in one revision of the table.
 ///
-/// They are looked for once a revision: the look goes over every assignment, and
-/// moves are stepped many times between two revisions.
+/// They are computed once per revision, because that visits every assignment, and moves
+/// are stepped many times between two revisions.
 #[derive(Debug, Default)]
 pub struct ReleasingScopes {
     revision: Option<Revision>,
@@ -21,7 +21,7 @@
 }
 
 impl ReleasingScopes {
-    /// Looks again if the table has a newer revision.
+    /// Recomputes the scopes if the table has a newer revision.
     pub fn refresh(&mut self, table: &Table) {
         if self.revision == Some(table.revision()) {
             return;
@@ -30,7 +30,7 @@
         self.scopes = find_releasing(table);
     }
 
-    /// All of them.
+    /// All releasing scopes.
     pub fn scopes(&self) -> &BTreeSet<ScopeKey> {
         &self.scopes
     }
--- a/crates/citronproxy/src/control/replica.rs
+++ b/crates/citronproxy/src/control/replica.rs
@@ -1,4 +1,4 @@
-//! The instance's copy of the table, and its leave to route by it.
+//! An instance's replica of the table, with its routing lease.
 
 use {
     citron_core::{
@@ -15,21 +15,22 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The table with what confirms it.
+/// A replica of the table, with the lease that allows this instance to route by it.
 ///
-/// A read of the platform confirms only while this very start is listed. The
-/// failure otherwise: whoever moves a shard asks the listed instances to stop,
-/// does not know of this one, and it goes on sending to the old owner.
+/// A platform read renews the lease only while this incarnation is listed in the table.
+/// Otherwise an instance that moves a shard, which asks the listed instances to stop
+/// routing to the old owner, would not ask this one, and this one would go on routing to
+/// it.
 #[derive(Debug)]
 pub struct Replica {
-    /// This start of this instance.
+    /// Instance id and incarnation.
     pub member: Member,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Joining, leaving and being expelled.
+    /// Rules of joining, leaving and expelling.
     pub membership: Membership,
     table: Table,
-    /// Rows that are gone, so that they can be relayed as gone.
+    /// Deleted rows with the revision of the deletion, so that relays include deletions.
     deleted: BTreeMap<RowKey, Revision>,
     route_map: Arc<RouteMap>,
     routing_lease: RoutingLease,
@@ -39,7 +40,7 @@
 }
 
 impl Replica {
-    /// A copy that knows nothing yet.
+    /// Creates an empty replica without a lease.
     pub fn new(member: Member, domain: DomainName, durations: LeaseDurations) -> Self {
         Self {
             member,
@@ -60,22 +61,22 @@
         &self.table
     }
 
-    /// Until when it may be routed by.
+    /// Lease that allows this instance to route by the table.
     pub fn routing_lease(&self) -> RoutingLease {
         self.routing_lease
     }
 
-    /// Whether this start is listed.
+    /// Whether the table lists this incarnation.
     pub fn is_listed(&self) -> bool {
         <Membership>::is_listed(&self.table, &self.member)
     }
 
-    /// Says to others from now on that this instance is leaving.
+    /// Reports this instance as leaving in its status from now on.
     pub fn mark_leaving(&mut self) {
         self.is_leaving = true;
     }
 
-    /// What traffic is to route by; `None` while nothing confirms the table.
+    /// Snapshot for the traffic threads; `None` until there is a routing lease.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let is_confirmed = self.routing_lease.read_started > Time::ZERO;
         is_confirmed.then(|| Snapshot {
@@ -85,11 +86,11 @@
         })
     }
 
-    /// Takes the answer of a platform read. Tells whether it brought a newer
+    /// Applies the changes of a platform read. Returns whether they brought a newer
     /// revision.
     ///
     /// # Errors
-    /// [`TableError`] if it does not fit this copy; nothing is changed then.
+    /// [`TableError`] if the changes do not apply; the replica is unchanged then.
     pub fn apply_read(
         &mut self,
         started: Time,
@@ -104,8 +105,8 @@
         Ok(is_newer)
     }
 
-    /// Takes another instance's answer to a question that was sent at `sent`.
-    /// Tells whether it brought a newer revision.
+    /// Applies another instance's answer to a relay request that was sent at `sent`.
+    /// Returns whether it brought a newer revision.
     ///
     /// # Errors
     /// As [`Self::apply_read`].
@@ -123,8 +124,8 @@
         Ok(is_newer)
     }
 
-    /// What an asker is told of the rows after `since`, with the leave that
-    /// covers just those.
+    /// Answers a relay request: the status with a routing lease for the rows returned,
+    /// and the rows that changed after `since`.
     pub fn answer_relay(
         &mut self,
         asker: &Member,
@@ -142,12 +143,14 @@
         (status, self.changes(since))
     }
 
-    /// Whether nobody routes on leave from here under an older revision.
+    /// Whether the table has reached `revision` and no instance routes by a lease relayed
+    /// from here under an older one.
     pub fn is_settled(&self, revision: Revision, now: Time) -> bool {
         self.table.revision() >= revision && self.relays.is_settled(revision, now)
     }
 
-    /// Where this instance stands; the leave in it is told, not passed on.
+    /// Status of this instance. The remaining lease in it is information only; no
+    /// instance may route by it.
     pub fn status(&self, now: Time) -> InstanceStatus {
         InstanceStatus {
             instance: self.member.instance.clone(),
--- a/crates/citronproxy/src/control/reporting.rs
+++ b/crates/citronproxy/src/control/reporting.rs
@@ -1,4 +1,4 @@
-//! The exchange of demand and crashes with the other instances.
+//! Exchange of demand and crash reports with the other instances.
 
 use {
     super::Node,
@@ -17,14 +17,14 @@
     },
 };
 
-/// The time between two reports: a report counts for two seconds, so that three
-/// in a row have to be lost before an instance counts as not heard of.
+/// Interval between two reports. A report is valid for two seconds, so three in a row
+/// must be lost before an instance's demand is no longer counted.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 type Demands = BTreeMap<ServerName, Demand>;
 type Quotas = BTreeMap<ServerName, ServerQuota>;
 
-/// What was heard from other instances, and what follows from it.
+/// Demands reported by other instances, and the quotas computed from them.
 #[derive(Debug, Default)]
 pub(super) struct PeerReports {
     demands: RefCell<DemandTracker>,
@@ -32,13 +32,13 @@
 }
 
 impl<S: TableStore + 'static> Node<S> {
-    /// What this instance may take of each server now.
+    /// This instance's current quota of each server.
     pub fn quotas(&self) -> BTreeMap<ServerName, ServerQuota> {
         self.peer_reports().quotas.borrow().clone()
     }
 
-    /// Takes in another instance's report. One of an instance that is not in the
-    /// table is ignored: nobody leaves it a part.
+    /// Records another instance's report. A report from an instance that the table does
+    /// not list is ignored, because no instance sets aside a quota for it.
     pub(super) fn record_report(&self, report: InstanceReport) {
         let sender = &report.sender;
         if !self
@@ -68,10 +68,10 @@
         self.unretired_servers().into_iter().map(quota).collect()
     }
 
-    /// Instances of the table, this one included. An expelled one counts until its
-    /// row is cleared: it may be cut off and not know, and goes on sending until
-    /// its leave runs out. Were its part given away before, the server would get
-    /// more than its slots.
+    /// Number of instances in the table, including this one. An expelled instance counts
+    /// until its row is removed: it may be partitioned, unaware of the expulsion, and go
+    /// on routing until its lease ends. If its quota were given away before, the server
+    /// would receive more requests than it has slots.
     fn instance_count(&self) -> usize {
         let me = &self.config().member.instance;
         self.with_table(|table| table.instances().filter(|row| row.id != *me).count() + 1)
@@ -85,7 +85,8 @@
         })
     }
 
-    /// Reports to all other instances; one that does not answer delays no other.
+    /// Sends a report to all other instances, each in a task of its own, so that one that
+    /// does not answer delays no other.
     fn send_reports(&self, report: &InstanceReport) {
         for row in self.other_instances() {
             let peers = self.peer_client().clone();
@@ -97,13 +98,13 @@
     }
 }
 
-/// Reports, and works out the parts that follow from the others' reports; ends
-/// only with its task.
+/// Sends reports and computes the quotas that follow from those of other instances. Runs
+/// until its task is aborted.
 ///
-/// The parts are not handed to the traffic threads yet. In force they had requests
-/// refused at once during and after moves, where all are answered without; the
-/// cause is not found. Not looked into so far: every thread gets the same fraction
-/// of a part, whatever its requests.
+/// The quotas are not passed to the traffic threads yet. When they were enforced,
+/// requests were refused immediately during and after moves, whereas all are answered
+/// without enforcement. The cause is unknown. One possible cause has not been examined:
+/// every thread gets the same fraction of a quota, regardless of its requests.
 pub async fn exchange_reports<S: TableStore + 'static>(node: Node<S>) {
     let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/citronproxy/src/control/server_tasks.rs
+++ b/crates/citronproxy/src/control/server_tasks.rs
@@ -1,4 +1,4 @@
-//! What several tasks of control need.
+//! Tasks that run once for each backend server.
 
 use {
     citron_core::id::ServerName,
@@ -6,14 +6,15 @@
     tokio::task::{JoinHandle, spawn_local},
 };
 
-/// One task a server; all end with this value.
+/// One task for each server. Dropping this value aborts all of them.
 #[derive(Debug, Default)]
 pub struct ServerTasks {
     running: BTreeMap<ServerName, JoinHandle<()>>,
 }
 
 impl ServerTasks {
-    /// Starts tasks for new names, and ends those of others.
+    /// Starts tasks for servers that have none or whose task has ended, and aborts those
+    /// of servers that are not in `names`.
     pub fn reconcile<F>(&mut self, names: Vec<ServerName>, start: impl Fn(ServerName) -> F)
     where
         F: Future<Output = ()> + 'static,
--- a/crates/citronproxy/src/control/thread.rs
+++ b/crates/citronproxy/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The control thread as a whole.
+//! The control thread.
 
 use {
     super::{
@@ -15,16 +15,16 @@
     },
 };
 
-/// How long a start waits for the platform before it goes on without.
+/// How long starting waits for the first platform read before it continues without it.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The tasks of one instance's control thread, within a `LocalSet`.
+/// All tasks of an instance's control thread. They run within a `LocalSet`.
 ///
-/// All decisions about the table are taken here; traffic threads only read what
-/// is published, and never wait for it.
+/// All decisions about the table are made here. The traffic threads only read published
+/// snapshots, and never wait for the control thread.
 #[derive(Debug)]
 pub struct Control<S> {
-    /// Where other instances reach this one.
+    /// Bound address for calls from other instances.
     pub address: SocketAddr,
     node: Node<S>,
     tasks: Vec<JoinHandle<()>>,
@@ -35,12 +35,12 @@
 where
     S: TableStore + MachineList + 'static,
 {
-    /// Binds the address for other instances, lists this start if the platform
-    /// answers, and starts all tasks.
+    /// Binds the peer address, lists this incarnation if the platform answers, and starts
+    /// all tasks.
     ///
     /// # Errors
-    /// [`ControlError`] if the address is in use or another live instance has
-    /// the same id.
+    /// [`ControlError`] if the address is in use or another live instance has the same
+    /// id.
     pub async fn start<B>(
         mut config: ControlConfig,
         (store, servers): (S, B),
@@ -86,12 +86,12 @@
         })
     }
 
-    /// The shared state, for the admin API.
+    /// Shared state, used by the admin API.
     pub fn node(&self) -> &Node<S> {
         &self.node
     }
 
-    /// Ends only if this instance cannot go on.
+    /// Waits for a failure that stops this instance.
     pub async fn wait_failed(&mut self) -> ControlError {
         match (&mut self.membership_task).await {
             Ok(error) => error,
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Says to others that this instance is leaving; it goes on acknowledging
-    /// and following until [`Self::close`].
+    /// Reports this instance as leaving to the others. It keeps acknowledging and
+    /// following the table until [`Self::close`].
     pub fn mark_leaving(&self) {
         self.node.mark_leaving();
     }
 
-    /// Takes this start off the list. Traffic must have ended: from here on
-    /// nobody waits for this instance.
+    /// Removes this incarnation from the table and aborts all tasks. Traffic must have
+    /// ended, because other instances no longer wait for this one afterwards.
     pub async fn close(self) {
         self.membership_task.abort();
         membership::leave_table(&self.node).await;
--- a/crates/citronproxy/src/control/tracked_move.rs
+++ b/crates/citronproxy/src/control/tracked_move.rs
@@ -1,4 +1,4 @@
-//! One move that this instance follows.
+//! A move that this instance tracks.
 
 use citron_core::{
     id::{Epoch, Revision, ServerName, ServiceName},
@@ -8,71 +8,71 @@
     time::Time,
 };
 
-/// A scope of a service.
+/// A scope together with its service.
 pub type ScopeKey = (ServiceName, Scope);
 
-/// What comes back from questions, orders and commits.
+/// Result of a call, order, commit or read that a spawned task made for the driver.
 #[derive(Debug)]
 pub enum TaskResult {
-    /// An instance was asked to acknowledge.
+    /// An acknowledgement request has ended.
     AckAnswered {
-        /// The old owner, the instance and the revision.
+        /// The old owner, the instance asked and the revision.
         request: (ServerName, Member, Revision),
-        /// Its word, if it gave it.
+        /// The acknowledgement; `None` if it was denied or not answered.
         ack: Option<Ack>,
     },
-    /// An old owner was sent revocations.
+    /// An order with revocations has ended.
     Revoked {
         /// The old owner.
         server: ServerName,
-        /// Those that it accepted.
+        /// Revocations that the server accepted.
         grants: Vec<Grant>,
     },
-    /// A commit has ended, with whatever answer.
+    /// A commit has ended, with any outcome.
     CommitEnded {
-        /// The scopes that it was for.
+        /// Scopes whose changes were part of the commit.
         scopes: Vec<ScopeKey>,
-        /// Whether the table was read after.
+        /// Whether the table was read after the commit.
         is_reread: bool,
     },
-    /// The table was read for a scope.
+    /// A table read requested for a scope has ended.
     TableRead {
         /// The scope.
         key: ScopeKey,
-        /// Commits of this scope that had ended when the read was begun.
+        /// Number of this scope's commits that had ended when the read started.
         ended_commits: u32,
-        /// Whether that worked.
+        /// Whether the read succeeded.
         is_ok: bool,
     },
 }
 
-/// A mover with what its driver keeps for it.
+/// A mover with the state that the driver keeps for it.
 #[derive(Debug)]
 pub struct TrackedMove {
-    /// The decisions.
+    /// State machine that decides the next actions.
     pub mover: Mover,
-    /// The old owner.
+    /// Server that releases the scope.
     pub old_owner: ServerName,
-    /// The epoch of the release.
+    /// Epoch of the release.
     pub epoch: Epoch,
-    /// When this instance may act.
+    /// Time from which this instance may act on the move.
     pub acts_from: Time,
-    /// Revocations that are not accepted yet.
+    /// Revocations that the old owner has not accepted yet.
     pub pending_revocations: Vec<Grant>,
-    /// What was heard since the last step.
+    /// Events since the last step.
     pub pending_events: Vec<MoveEvent>,
-    /// Its last commit is in the batch that is being made.
+    /// Whether the batch being built includes a commit of this move.
     pub is_in_batch: bool,
-    /// Commits that have ended.
+    /// Number of commits that have ended.
     pub ended_commits: u32,
-    /// A read of the table is under way for it.
+    /// Whether a table read for this move is in progress.
     pub is_reading: bool,
-    /// Actions of the first step, kept until the turn comes.
+    /// Actions of the first step, kept until `acts_from`.
     first_actions: Vec<MoveAction>,
 }
 
 impl TrackedMove {
-    /// Takes up a move that the table shows.
+    /// Resumes a move that the table shows; `None` if it shows none for the scope.
     pub fn resume(
         table: &Table,
         (service, scope): &ScopeKey,
@@ -98,8 +98,8 @@
         Some(tracked)
     }
 
-    /// The table may have changed until the turn comes; the commit is made anew
-    /// then.
+    /// Drops the commit of the first step. The table may change before `acts_from`, so
+    /// the mover plans the commit again then.
     fn drop_first_commit(&mut self) {
         let before = self.first_actions.len();
         self.first_actions
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What is to be done now.
+    /// Next actions of the mover.
     pub fn step(&mut self, table: &Table, now: Time) -> Vec<MoveAction> {
         let mut actions = std::mem::take(&mut self.first_actions);
         let mut events = std::mem::take(&mut self.pending_events);
@@ -117,7 +117,8 @@
             events.push(MoveEvent::Tick);
         }
         for event in events {
-            // A read that is asked for and reported at once need not be made.
+            // The requested read has already been reported by this event, so another is
+            // not needed.
             if event == MoveEvent::Reread {
                 actions.retain(|action| *action != MoveAction::Reread);
             }
@@ -126,12 +127,13 @@
         actions
     }
 
-    /// A commit that the mover asked for was never sent.
+    /// Records that a commit requested by the mover was not sent.
     pub fn commit_not_sent(&mut self) {
         self.commit_ended(true);
     }
 
-    /// A commit has ended; `reread` tells whether the table was read after.
+    /// Records that a commit has ended. `is_reread` tells whether the table was read
+    /// after it.
     pub fn commit_ended(&mut self, is_reread: bool) {
         self.ended_commits += 1;
         self.pending_events.push(MoveEvent::CommitEnded);
@@ -140,7 +142,9 @@
         }
     }
 
-    /// A read has ended that was begun after so many commits had.
+    /// Records that a table read has ended. `ended_commits` is the number of commits that
+    /// had ended when the read started; the read only counts if no other commit has ended
+    /// since.
     pub fn read_ended(&mut self, ended_commits: u32, is_ok: bool) {
         self.is_reading = false;
         if is_ok && ended_commits == self.ended_commits {
