--- a/crates/citronproxy/src/peer/client.rs
+++ b/crates/citronproxy/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! The asking side.
+//! Client for calls to other instances.
 
 use {
     super::PeerError,
@@ -27,16 +27,17 @@
     tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt},
 };
 
-/// How long a question may take.
+/// Maximum duration of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an acknowledgement may take; the other side gives up before.
+/// Maximum duration of an acknowledgement call. It is longer than the time after which
+/// the other instance denies the acknowledgement.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Connections to other instances, one each, opened when first needed.
+/// Client with one connection per instance, opened on first use.
 ///
-/// A connection whose call got no answer is dropped, and the next call opens a
-/// new one: a connection can go silent for good, because something between the
-/// two ends has lost track of it, while new connections work.
+/// A connection whose call failed is dropped, and the next call opens a new one. A
+/// connection can stop delivering for good while new ones work, for example when a
+/// firewall between both ends has dropped its state.
 #[derive(Debug, Clone, Default)]
 pub struct PeerClient {
     connections: Rc<RefCell<BTreeMap<SocketAddr, Rc<Connection>>>>,
@@ -60,10 +61,10 @@
 }
 
 impl PeerClient {
-    /// Asks where an instance stands.
+    /// Requests the status of an instance.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no answer within half a second.
+    /// [`PeerError`] if the call fails or takes longer than half a second.
     pub async fn status(&self, address: SocketAddr) -> Result<InstanceStatus, PeerError> {
         let ask = async |client: peer::Client| {
             let response = client.status_request().send().promise.await?;
@@ -72,10 +73,10 @@
         self.call(address, CALL_TIMEOUT, ask).await
     }
 
-    /// Asks whether a revision is settled for a scope.
+    /// Requests an acknowledgement that a revision is settled for a server.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no answer within 1.5 seconds.
+    /// [`PeerError`] if the call fails or takes longer than 1.5 seconds.
     pub async fn acknowledge(
         &self,
         address: SocketAddr,
@@ -90,10 +91,11 @@
         self.call(address, ACK_TIMEOUT, ask).await
     }
 
-    /// Asks for rows after a revision, with the confirmation that covers them.
+    /// Requests the rows that changed after a revision, and a routing lease that covers
+    /// them.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no answer within half a second.
+    /// [`PeerError`] if the call fails or takes longer than half a second.
     pub async fn changes(
         &self,
         address: SocketAddr,
@@ -112,10 +114,10 @@
         self.call(address, CALL_TIMEOUT, ask).await
     }
 
-    /// Says that the table has reached a revision.
+    /// Announces that the table has reached a revision.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no answer within half a second.
+    /// [`PeerError`] if the call fails or takes longer than half a second.
     pub async fn announce(&self, address: SocketAddr, revision: Revision) -> Result<(), PeerError> {
         let ask = async |client: peer::Client| {
             let mut request = client.announce_request();
@@ -126,10 +128,10 @@
         self.call(address, CALL_TIMEOUT, ask).await
     }
 
-    /// Hands over demand and crashes.
+    /// Sends a report of demand and crashes.
     ///
     /// # Errors
-    /// [`PeerError`] if there is no answer within half a second.
+    /// [`PeerError`] if the call fails or takes longer than half a second.
     pub async fn report(
         &self,
         address: SocketAddr,
--- a/crates/citronproxy/src/peer/error.rs
+++ b/crates/citronproxy/src/peer/error.rs
@@ -2,19 +2,19 @@
 
 use {citron_wire::WireError, std::time::Duration, thiserror::Error};
 
-/// Why a call to another instance gave no answer.
+/// A failed call to another instance.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// The instance cannot be reached.
-    #[error("connect: {0}")]
+    /// The connection cannot be opened.
+    #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// No answer in time; the connection is not used again.
-    #[error("no answer in {0:?}")]
+    /// No answer within the time given. The connection is not used again.
+    #[error("no answer within {0:?}")]
     Timeout(Duration),
-    /// The connection broke, or the other side refused the call.
-    #[error("call: {0}")]
+    /// The connection broke, or the other instance rejected the call.
+    #[error("call failed: {0}")]
     Call(#[from] capnp::Error),
-    /// An answer that makes no sense.
+    /// The answer cannot be decoded.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
--- a/crates/citronproxy/src/peer/handler.rs
+++ b/crates/citronproxy/src/peer/handler.rs
@@ -1,4 +1,4 @@
-//! What an instance answers to others.
+//! Interface that handles calls from other instances.
 
 use {
     citron_core::{
@@ -10,20 +10,21 @@
     std::future::Future,
 };
 
-/// The side of control that other instances see.
+/// Handler of calls from other instances, implemented by the control thread.
 pub trait PeerHandler: Clone + 'static {
-    /// Where this instance stands now.
+    /// Current status of this instance.
     fn status(&self) -> InstanceStatus;
 
-    /// Answers once the revision is settled here, or says that it is not.
+    /// Waits until the revision is settled in this instance, and answers whether it is.
     fn acknowledge(&self, ask: AcknowledgeRequest) -> impl Future<Output = AcknowledgeResponse>;
 
-    /// Rows after `since`, and the status that goes with exactly those rows.
+    /// Rows that changed after `since`, and the status with the lease that covers exactly
+    /// those rows.
     fn changes(&self, asker: Asker, since: Revision) -> (InstanceStatus, Changes);
 
-    /// Hears that the table has reached a revision.
+    /// Handles the announcement that the table has reached a revision.
     fn announce(&self, revision: Revision);
 
-    /// Hears of another instance's demand and crashes.
+    /// Handles another instance's report of demand and crashes.
     fn report(&self, report: InstanceReport);
 }
--- a/crates/citronproxy/src/peer/mod.rs
+++ b/crates/citronproxy/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Calls between instances by capnp-rpc, all on the control thread.
+//! Calls between instances over capnp-rpc. All of them run on the control thread.
 
 mod client;
 mod error;
--- a/crates/citronproxy/src/peer/server.rs
+++ b/crates/citronproxy/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! Server for calls from other instances.
 
 use {
     super::PeerHandler,
@@ -19,13 +19,13 @@
     tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt},
 };
 
-/// Connections from other instances at a time; more are rejected, so that a
-/// flood of them cannot use up memory and descriptors.
+/// Maximum number of open connections from other instances. Further ones are closed, so
+/// that a flood of connections cannot exhaust memory and file descriptors.
 const MAX_CONNECTIONS: usize = 1_024;
-/// The pause after a failed accept, which is mostly a lack of descriptors.
+/// Pause after a failed accept, which is usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers calls for ever; to be run within a `LocalSet`.
+/// Serves calls until its task is aborted. Must run within a `LocalSet`.
 pub async fn serve(listener: TcpListener, handler: impl PeerHandler) {
     let open = rc::Rc::new(Cell::new(0));
     loop {
