--- a/crates/citronproxy/src/lifecycle/machine.rs
+++ b/crates/citronproxy/src/lifecycle/machine.rs
@@ -1,23 +1,24 @@
-//! The states of an instance.
+//! State machine of an instance.
 
 use {
     crate::{events, traffic::TrafficHandle},
     statig::prelude::*,
 };
 
-/// What moves an instance from one state to the next.
+/// Event that can change the state of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifecycleEvent {
-    /// A signal asks it to leave.
+    /// A signal asked the instance to leave.
     LeaveRequested,
-    /// Callers have had time to notice that it leaves.
+    /// The grace period in which load balancers notice that the instance is leaving has
+    /// elapsed.
     GraceElapsed,
     /// The last request has ended.
     RequestsEnded,
 }
 
-/// An instance's states: serving, leaving, closing, stopped. Changes that do not
-/// belong to a state leave it as it is.
+/// State machine of an instance, with the states serving, leaving, closing and stopped.
+/// Events without a transition in the current state are ignored.
 ///
 /// ```
 /// use {
@@ -37,7 +38,7 @@
 }
 
 impl Lifecycle {
-    /// An instance that serves.
+    /// Creates the state machine of a serving instance.
     pub fn new(handle: TrafficHandle) -> Self {
         Self { handle }
     }
@@ -85,7 +86,7 @@
 
         #[state]
         fn stopped(event: &LifecycleEvent) -> Outcome<State> {
-            log::debug!("{event:?} after the end");
+            log::debug!("{event:?} after the instance has stopped");
             Handled
         }
     }
--- a/crates/citronproxy/src/lifecycle/mod.rs
+++ b/crates/citronproxy/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! From the start to a graceful exit.
+//! Lifecycle of an instance, from serving to a graceful exit.
 
 mod machine;
 mod run;
--- a/crates/citronproxy/src/lifecycle/run.rs
+++ b/crates/citronproxy/src/lifecycle/run.rs
@@ -1,4 +1,4 @@
-//! The drive of the states.
+//! Runs the lifecycle on signals.
 
 use {
     super::{Lifecycle, LifecycleEvent},
@@ -11,16 +11,16 @@
     },
 };
 
-/// How long an instance that leaves still takes connections: balancers ask
-/// `/readyz` now and then, and send requests until they have seen its answer.
+/// How long a leaving instance still accepts connections. Load balancers poll `/readyz`
+/// periodically, and send requests until they have seen its answer.
 pub const LEAVE_GRACE: Duration = Duration::from_secs(1);
 
-/// Waits for SIGTERM or SIGINT, then for the end of all requests under way,
-/// however long they take. Whatever requests need must go on meanwhile;
-/// `on_leave` is called when the signal comes.
+/// Waits for SIGTERM or SIGINT, then until all requests in progress have ended, without a
+/// time limit. The caller must keep running whatever those requests depend on. `on_leave`
+/// is called when the signal arrives.
 ///
 /// # Errors
-/// If the signals cannot be caught.
+/// If the signal handlers cannot be installed.
 pub async fn run(handle: TrafficHandle, on_leave: impl FnOnce()) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
