--- a/crates/citronproxy/src/admin/auth.rs
+++ b/crates/citronproxy/src/admin/auth.rs
@@ -1,4 +1,4 @@
-//! Who may call.
+//! Authorization of admin API requests.
 
 use {
     super::AdminError,
@@ -8,9 +8,9 @@
 
 /// Checks the bearer token.
 ///
-/// The comparison takes the same time wherever the first difference is: a time
-/// that grew with the matching part would let a caller guess the token byte by
-/// byte. Only its length can be learnt, which is no secret.
+/// The comparison takes the same time wherever the first difference is. If the time grew
+/// with the matching prefix, a client could guess the token byte by byte. It can only
+/// learn the token's length, which is not secret.
 pub(super) fn check_token(token: Option<&str>, headers: &HeaderMap) -> Result<(), AdminError> {
     let token = token.ok_or(AdminError::NoToken)?;
     let value = headers.get(header::AUTHORIZATION);
--- a/crates/citronproxy/src/admin/editor.rs
+++ b/crates/citronproxy/src/admin/editor.rs
@@ -1,4 +1,4 @@
-//! Commits operators' edits.
+//! Commits of operators' edits and moves.
 
 use {
     super::{AdminApi, AdminError, ControlView},
@@ -12,16 +12,17 @@
     std::time::{Duration, SystemTime},
 };
 
-/// How often an edit is planned anew because rows that it does not name changed.
+/// Maximum number of times that an edit is planned. It is planned again when rows change
+/// that it does not name.
 const MAX_PLAN_ATTEMPTS: u32 = 5;
 
 impl<S: TableStore, C: ControlView> AdminApi<S, C> {
-    /// Takes an edit: plans it against the table as it is and commits it.
+    /// Plans an edit on the current table and commits it.
     ///
     /// # Errors
-    /// [`AdminError::Conflict`] with the current row if one that the edit names has
-    /// changed, [`AdminError::OutcomeUnknown`] if the commit could not be settled; with
-    /// every other error nothing took effect.
+    /// [`AdminError::Conflict`] with the current row if a row that the edit names has
+    /// changed; [`AdminError::OutcomeUnknown`] if the outcome of the commit could not be
+    /// determined. With every other error nothing took effect.
     pub async fn edit(&self, edit: Edit) -> Result<Revision, AdminError> {
         for _ in 0..MAX_PLAN_ATTEMPTS {
             self.refresh().await?;
@@ -34,8 +35,8 @@
                 CommitOutcome::Conflict { key, current } if names_row(&edit, &key) => {
                     return Err(AdminError::Conflict { key, current });
                 }
-                // A row that the edit rests on: whether it is still valid shows
-                // when it is planned against the table as it is now.
+                // A row that the edit depends on but does not name has changed. Planning
+                // the edit again on the current table shows whether it is still valid.
                 CommitOutcome::Conflict { .. } => {}
             }
         }
@@ -43,7 +44,7 @@
     }
 }
 
-/// A move that an operator asks for.
+/// A move requested by an operator.
 #[derive(Debug, Clone)]
 pub(super) struct MoveRequest {
     pub(super) operator: String,
@@ -53,8 +54,8 @@
 }
 
 impl<S: TableStore, C: ControlView> AdminApi<S, C> {
-    /// Begins a move; the control loops finish it. Accepted means that the old
-    /// owner is being released, not that the new one owns the scope.
+    /// Begins a move, which the control loops complete. Success means that the old owner
+    /// is being released, not that the new one owns the scope yet.
     pub(super) async fn request_move(&self, request: &MoveRequest) -> Result<Revision, AdminError> {
         for _ in 0..MAX_PLAN_ATTEMPTS {
             self.refresh().await?;
@@ -77,7 +78,7 @@
     }
 }
 
-/// The commit of a move; it rests on the row of the new owner.
+/// The commit that begins a move, and its check on the row of the new owner.
 fn plan_move(table: &Table, request: &MoveRequest) -> Result<(Commit, Vec<Check>), AdminError> {
     let MoveRequest {
         operator,
@@ -104,7 +105,8 @@
     edit.rows.iter().any(|row| row.key == *key)
 }
 
-/// The wall clock, for the history's eyes only: no decision rests on it.
+/// Wall-clock time since the Unix epoch. It only labels history entries; no decision
+/// depends on it.
 pub(super) fn unix_time() -> Duration {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or_default()
--- a/crates/citronproxy/src/admin/error.rs
+++ b/crates/citronproxy/src/admin/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the admin API, each with its status and word.
+//! Errors of the admin API, with their HTTP status and error code.
 
 use {
     crate::events,
@@ -15,59 +15,61 @@
     thiserror::Error,
 };
 
-/// Why a call is refused.
+/// A refused admin API request.
 #[derive(Debug, Error)]
 pub enum AdminError {
-    /// The settings hold no token.
-    #[error("this instance's settings hold no token, so it takes no calls")]
+    /// The settings contain no token.
+    #[error("the settings of this instance have no admin token, so it refuses every request")]
     NoToken,
-    /// No token, or a wrong one.
+    /// The token is missing or wrong.
     #[error("the bearer token is missing or wrong")]
     Unauthorized,
-    /// No such call or row.
-    #[error("{0} is not there")]
+    /// No such path or row.
+    #[error("{0} not found")]
     NotFound(String),
-    /// A known path, called with another method.
-    #[error("this path does not take {0}")]
+    /// The path exists, but not with this method.
+    #[error("method {0} is not allowed for this path")]
     MethodNotAllowed(String),
-    /// An edit that does not say which version it saw.
-    #[error("name the version you saw in If-Match, or add with If-None-Match: *")]
+    /// The edit does not state the version that it is based on.
+    #[error(
+        "no version given: send the version read in If-Match, or If-None-Match: * to add a row"
+    )]
     MissingVersion,
-    /// A request that cannot be read.
+    /// The request cannot be parsed.
     #[error("{0}")]
     Malformed(String),
-    /// A rule of the table is broken.
+    /// The edit violates a rule of the table.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// A move that cannot begin.
+    /// The move cannot begin.
     #[error(transparent)]
     Move(#[from] MoveError),
-    /// A row changed since the operator read it; nothing took effect.
-    #[error("row {key} has changed since you read it; nothing took effect")]
+    /// The row has changed since the operator read it; nothing took effect.
+    #[error("row {key} has changed since it was read; nothing took effect")]
     Conflict {
         /// The row.
         key: RowKey,
-        /// What it is now.
+        /// The current row; `None` if it was deleted.
         current: Option<Box<Versioned<Row>>>,
     },
-    /// Rows that the edit rests on kept changing; nothing took effect.
-    #[error("rows this edit rests on kept changing; nothing took effect, try again")]
+    /// Rows that the edit depends on kept changing; nothing took effect.
+    #[error("rows that this edit depends on kept changing; nothing took effect, try again")]
     Contention,
     /// The platform could not be read; nothing took effect.
     #[error("the platform cannot be read, so nothing took effect: {0}")]
     PlatformUnavailable(String),
-    /// The edit may or may not have taken effect, now or in a moment.
-    #[error("outcome unknown, read the rows or the history to see: {0}")]
+    /// The edit may have taken effect, or may still do so.
+    #[error("outcome unknown, check the rows or the history: {0}")]
     OutcomeUnknown(String),
 }
 
 impl AdminError {
-    /// A read that failed.
+    /// Error of a failed read.
     pub(super) fn platform_unavailable(error: PlatformError) -> Self {
         Self::PlatformUnavailable(error.to_string())
     }
 
-    /// A commit that failed: whatever the reason, its effect is open.
+    /// Error of a failed commit. Whatever the reason, the commit may have taken effect.
     pub(super) fn outcome_unknown(error: PlatformError) -> Self {
         log::warn!("{} {error}", events::EDIT_UNKNOWN);
         Self::OutcomeUnknown(error.to_string())
--- a/crates/citronproxy/src/admin/inspect.rs
+++ b/crates/citronproxy/src/admin/inspect.rs
@@ -1,4 +1,4 @@
-//! Answers about the table and about this instance.
+//! Queries about the table and about this instance.
 
 use {
     super::{AdminApi, AdminError, ControlView},
@@ -14,7 +14,7 @@
     },
 };
 
-/// The most history entries in one answer.
+/// Maximum number of history entries in one response.
 const MAX_HISTORY_LIMIT: usize = 1_000;
 
 impl<S: TableStore, C: ControlView> AdminApi<S, C> {
@@ -35,8 +35,8 @@
 
     /// One row.
     pub(super) async fn row(&self, key: &RowKey) -> Result<VersionedRowWire, AdminError> {
-        // Without the platform the last known row serves to look at; an edit
-        // that names its version is still compared by the platform.
+        // If the platform is unavailable, the last known row is returned. This is safe
+        // for edits, because the platform compares the version that an edit names.
         let read = self.refresh().await;
         let row = self
             .control
@@ -44,11 +44,12 @@
         row.ok_or_else(|| read.err().unwrap_or(AdminError::NotFound(key.to_string())))
     }
 
-    /// This instance, and those of the table.
+    /// Status of this instance, and the instances that the table lists.
     pub(super) async fn status(&self) -> StatusWire {
         let in_force = self.control.revision_in_force();
-        // Not a refresh: that would put a newer revision in force here, and
-        // whoever waits for it would see the effect of having asked.
+        // This is not a refresh: a refresh would put a newer revision in force here, so a
+        // client that polls the status until a revision is in force would see the effect
+        // of its own polling.
         let read = self.store.changes(in_force).await;
         let known = read.as_ref().map_or(in_force, |changes| changes.revision);
         self.control.with_table(|table| {
@@ -78,7 +79,7 @@
         })
     }
 
-    /// Who owns a key.
+    /// Owner of a key.
     pub(super) async fn owner(
         &self,
         service: ServiceName,
@@ -90,7 +91,7 @@
             .control
             .with_table(|table| find_owner(table, &service, hash));
         found.ok_or_else(|| {
-            let what = format!("an owner of '{key}' in service/{service}");
+            let what = format!("owner of '{key}' in service/{service}");
             read.err().unwrap_or(AdminError::NotFound(what))
         })
     }
--- a/crates/citronproxy/src/admin/mod.rs
+++ b/crates/citronproxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' API of an instance: HTTP and JSON on a listener of its own,
-//! served on the control thread. `docs/ADMIN-API.md` lists the calls.
+//! Admin API of an instance: HTTP and JSON on a separate listener, served on the control
+//! thread. `docs/ADMIN-API.md` lists the requests.
 
 mod auth;
 mod editor;
--- a/crates/citronproxy/src/admin/response.rs
+++ b/crates/citronproxy/src/admin/response.rs
@@ -1,4 +1,4 @@
-//! Answers of the admin API.
+//! Responses of the admin API.
 
 use {
     super::AdminError,
@@ -8,10 +8,10 @@
     serde::Serialize,
 };
 
-/// An answer, whole.
+/// A complete response.
 pub(super) type JsonResponse = Response<Full<Bytes>>;
 
-/// JSON with a status.
+/// Response with a status and a JSON body.
 pub(super) fn json_response(status: StatusCode, body: &impl Serialize) -> JsonResponse {
     let mut bytes = serde_json::to_vec(body).unwrap_or_default();
     bytes.push(b'\n');
@@ -22,7 +22,8 @@
     response
 }
 
-/// JSON with a version, as `If-Match` takes it.
+/// Response with a JSON body and the version in `ETag`, in the form that `If-Match`
+/// expects.
 pub(super) fn versioned_response(version: u64, body: &impl Serialize) -> JsonResponse {
     let mut response = json_response(StatusCode::OK, body);
     if let Ok(tag) = HeaderValue::from_str(&format!("\"{version}\"")) {
@@ -31,7 +32,7 @@
     response
 }
 
-/// A refusal.
+/// Response that reports an error.
 pub(super) fn error_response(error: &AdminError) -> JsonResponse {
     let mut response = json_response(error.status(), &error.to_wire());
     if error.status() == StatusCode::UNAUTHORIZED {
--- a/crates/citronproxy/src/admin/routes.rs
+++ b/crates/citronproxy/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! Which call a request is.
+//! Routing of admin API requests.
 
 use {
     super::{
@@ -22,7 +22,7 @@
     std::str::FromStr,
 };
 
-/// Paths without a name in them.
+/// Paths without a parameter.
 const FIXED_PATHS: &[&str] = &[
     "/v1/rows",
     "/v1/edits",
@@ -34,11 +34,11 @@
     "/v1/history",
     "/v1/owner",
 ];
-/// History entries in one answer unless the caller says otherwise.
+/// Number of history entries in a response unless the request states a limit.
 const DEFAULT_HISTORY_LIMIT: usize = 100;
 
 impl<S: TableStore + ObjectStore, C: ControlView> AdminApi<S, C> {
-    /// Answers one call of somebody who may call.
+    /// Handles one authorized request.
     pub(super) async fn dispatch(
         &self,
         head: &Parts,
@@ -129,7 +129,7 @@
             (None, Some(key)) => Scope::Key(KeyHash::from_key(key.as_bytes())),
             _ => {
                 return Err(AdminError::Malformed(
-                    "name either shard or key".to_string(),
+                    "give either shard or key".to_string(),
                 ));
             }
         };
@@ -169,7 +169,7 @@
     }
 }
 
-/// The version that an edit of one row names.
+/// The version that an edit of one row is based on; 0 if the row must not exist yet.
 fn expected_version(headers: &HeaderMap) -> Result<Revision, AdminError> {
     if header_text(headers, header::IF_NONE_MATCH.as_str()) == Some("*") {
         return Ok(Revision(0));
@@ -200,7 +200,7 @@
     AdminError::Malformed(error.to_string())
 }
 
-/// The query of a request.
+/// The query string of a request.
 struct Query<'a>(&'a str);
 
 impl Query<'_> {
@@ -234,7 +234,7 @@
     }
 }
 
-/// Decodes percent escapes; what is not one stays as it stands.
+/// Decodes percent escapes. Invalid escapes are left as they are.
 fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/citronproxy/src/admin/server.rs
+++ b/crates/citronproxy/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The listener.
+//! HTTP server of the admin API.
 
 use {
     super::{
@@ -21,26 +21,26 @@
     },
 };
 
-/// Connections served at a time; more wait, so that operators' scripts cannot
-/// crowd out the control loop, which runs on the same thread.
+/// Maximum number of connections served at a time. Further ones wait, so that operators'
+/// scripts cannot starve the control loop, which runs on the same thread.
 const MAX_CONNECTIONS: usize = 64;
-/// The largest request body, in bytes.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// How long a caller may take to send a head, and then a body.
+/// How long a client may take to send the request head, and then the body.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The pause after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A bound listener that serves nothing yet.
+/// A bound listener that does not accept connections yet.
 #[derive(Debug)]
 pub struct AdminListener {
-    /// Where it listens.
+    /// Address that the listener is bound to.
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
 impl AdminListener {
-    /// Binds the address, port 0 for any.
+    /// Binds an address; port 0 picks a free port.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -51,7 +51,7 @@
     }
 }
 
-/// Serves the API on a local task set; ends only with its task.
+/// Serves the API within a `LocalSet`. Runs until its task is aborted.
 pub async fn serve<S, C>(server: AdminListener, admin: Rc<AdminApi<S, C>>)
 where
     S: TableStore + ObjectStore + 'static,
@@ -71,7 +71,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("{} admin: {error}", events::ACCEPT_FAILED);
+                log::warn!("{} admin API: {error}", events::ACCEPT_FAILED);
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -88,7 +88,7 @@
         .header_read_timeout(RECEIVE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
-        log::debug!("operator's connection ended: {error}");
+        log::debug!("admin connection ended: {error}");
     }
 }
 
@@ -101,7 +101,8 @@
     Ok(answered.unwrap_or_else(|error| error_response(&error)))
 }
 
-/// The token comes first: whoever has none gets no body read into memory.
+/// Checks the token before reading the body, so that no body of an unauthorized client is
+/// held in memory.
 async fn authorize_and_dispatch<S: TableStore + ObjectStore, C: ControlView>(
     admin: &AdminApi<S, C>,
     head: Parts,
@@ -114,7 +115,7 @@
 
 async fn read_body(body: Incoming) -> Result<Bytes, AdminError> {
     let whole = Limited::new(body, MAX_BODY_BYTES).collect();
-    let timed_out = |_| AdminError::Malformed("the body took too long".to_string());
+    let timed_out = |_| AdminError::Malformed("the request body took too long".to_string());
     let read = timeout(RECEIVE_TIMEOUT, whole).await.map_err(timed_out)?;
     let body = read.map_err(|error| AdminError::Malformed(error.to_string()))?;
     Ok(body.to_bytes())
--- a/crates/citronproxy/src/admin/state.rs
+++ b/crates/citronproxy/src/admin/state.rs
@@ -1,4 +1,4 @@
-//! What the admin API works on.
+//! State of the admin API.
 
 use {
     super::AdminError,
@@ -11,44 +11,44 @@
     std::future::Future,
 };
 
-/// What the admin API needs of the control thread.
+/// Access of the admin API to the control thread.
 pub trait ControlView {
-    /// The revision that requests are routed by; 0 before the first one.
+    /// Revision by which requests are routed; 0 before the first one.
     fn revision_in_force(&self) -> Revision;
 
-    /// Looks at the last rows that were read; nothing in `look` may wait.
+    /// Calls `read` with the table that was read last. `read` must not block.
     fn with_table<T>(&self, read: impl FnOnce(&Table) -> T) -> T;
 
-    /// Reads the platform, so that the rows hold every commit answered before.
+    /// Reads the platform, so that the table includes every commit acknowledged before.
     ///
     /// # Errors
-    /// If the platform gives no answer; the older rows stay.
+    /// If the platform does not answer; the table is unchanged then.
     fn refresh(&self) -> impl Future<Output = Result<(), PlatformError>>;
 
-    /// Requests that crashed servers.
+    /// Recorded requests that crashed servers.
     fn crash_entries(&self) -> impl Future<Output = Vec<CrashEntry>>;
 
-    /// Lets requests through that crashed servers.
+    /// Lifts the refusal of requests that crashed servers.
     fn lift_refusal(&self, fingerprint: Fingerprint);
 
-    /// Told after an edit was accepted, so that it need not wait for the next
-    /// read to be in force.
+    /// Called after an edit was accepted, so that the edit takes force before the next
+    /// periodic read.
     fn on_edit_accepted(&self);
 }
 
-/// The admin API of one instance, over any table store.
+/// Admin API of one instance, over any table store.
 #[derive(Debug)]
 pub struct AdminApi<S, C> {
-    /// The instance's name.
+    /// Id of the instance.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// The store; a writer of its own, so that an edit whose outcome is being
-    /// settled holds up no commit of the control loop.
+    /// Table store. It has a separate writer id, so that an edit whose outcome is being
+    /// determined does not delay commits of the control loop.
     pub store: S,
-    /// The control thread.
+    /// Access to the control thread.
     pub control: C,
-    /// The bearer token; without one every call is refused.
+    /// Bearer token; without one every request is refused.
     pub token: Option<String>,
 }
 
