--- a/crates/citronproxy/src/slo/aggregate.rs
+++ b/crates/citronproxy/src/slo/aggregate.rs
@@ -1,4 +1,4 @@
-//! Puts the pages of all instances together.
+//! Aggregates the records of all instances.
 
 use {
     super::unix_time,
@@ -8,11 +8,11 @@
     std::collections::BTreeSet,
 };
 
-/// Reads the pages of the last six hours.
+/// Reads and merges the pages of all instances for the last six hours.
 ///
 /// # Errors
-/// If the object store cannot be listed. A page that cannot be read is counted
-/// in the answer.
+/// If the object store cannot be listed. Pages that cannot be read are counted in the
+/// result.
 pub async fn aggregate_pages(store: &impl ObjectStore) -> Result<BurnWire, PlatformError> {
     let now = Minute::from_unix_time(unix_time());
     let first = Minute((now.0 + 1).saturating_sub(SLOW_BURN.long));
@@ -24,7 +24,8 @@
             unread += 1;
             continue;
         };
-        // The next pages may already be those of a day before.
+        // Page names are reused. A page that has not been overwritten yet may be older
+        // than six hours; such pages are skipped.
         if page.entries().any(|(minute, _, _)| minute >= first) {
             series.merge(&page);
             instances.insert(instance);
--- a/crates/citronproxy/src/slo/mod.rs
+++ b/crates/citronproxy/src/slo/mod.rs
@@ -1,6 +1,6 @@
-//! Counts for service-level objectives: taken from traffic on the control
-//! thread, kept as small pages in the object store, and put together again for
-//! whoever asks.
+//! Records for service-level objectives. The control thread collects counts from the
+//! traffic threads, stores them as small pages in the object store, and aggregates the
+//! pages of all instances on request.
 
 mod aggregate;
 mod page;
@@ -12,7 +12,8 @@
 
 use std::time::{Duration, SystemTime};
 
-/// The wall clock: it only labels records, no decision about keys rests on it.
+/// Wall-clock time since the Unix epoch. It only labels records; no decision about keys
+/// depends on it.
 fn unix_time() -> Duration {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or_default()
--- a/crates/citronproxy/src/slo/page.rs
+++ b/crates/citronproxy/src/slo/page.rs
@@ -1,4 +1,4 @@
-//! One hour of one instance.
+//! Page with the records of one instance for one hour.
 
 use {
     citron_core::{id::InstanceId, slo::TallySeries},
@@ -6,22 +6,22 @@
     citron_wire::slo::{PageWire, RecordWire, page_name},
 };
 
-/// A page that is being written.
+/// A page that is still being filled.
 #[derive(Debug)]
 pub(super) struct Page {
     /// Hours since the Unix epoch.
     pub hour: u64,
-    /// What was counted.
+    /// Counts of the hour.
     pub record: TallySeries,
-    /// Whether it holds more than the object store.
+    /// Whether the page has counts that are not in the object store yet.
     pub is_dirty: bool,
-    /// Whether it holds what an earlier start of the instance counted in this
-    /// hour. Until it does it must not be written: it would wipe that out.
+    /// Whether the page includes the counts that an earlier incarnation of the instance
+    /// stored for this hour. Until it does, writing it would overwrite those counts.
     is_merged: bool,
 }
 
 impl Page {
-    /// The page that a start of the instance begins with.
+    /// The first page after a start, not merged with stored counts yet.
     pub fn unmerged(hour: u64) -> Self {
         let is_merged = false;
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The page of an hour that began while the instance ran.
+    /// A page for an hour that began while the instance was running.
     pub fn new(hour: u64) -> Self {
         Self {
             hour,
@@ -71,7 +71,8 @@
         name: &str,
     ) -> Result<(), PlatformError> {
         if let Some(bytes) = store.get(name).await? {
-            // A page that cannot be read is of no use to anybody.
+            // A stored page that cannot be parsed, or that holds another hour, is
+            // overwritten.
             let page = serde_json::from_slice::<PageWire>(&bytes).ok();
             let page = page.filter(|page| page.hour == self.hour);
             let earlier = page.and_then(|page| TallySeries::try_from(page.record).ok());
--- a/crates/citronproxy/src/slo/recorder.rs
+++ b/crates/citronproxy/src/slo/recorder.rs
@@ -1,4 +1,4 @@
-//! Takes counts and keeps them.
+//! Recorder of counts for service-level objectives.
 
 use {
     super::{Page, unix_time},
@@ -14,15 +14,16 @@
     tokio::time::sleep,
 };
 
-/// The pause between two looks at what can be reached.
+/// Interval between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Looks between two writes: with the write's own time well below a minute, which
-/// is what a replaced instance may lose.
+/// Number of samples between two writes. With the duration of the write itself, the
+/// interval is well below a minute, which is the most that may be lost when an instance
+/// is replaced.
 const SAMPLES_PER_FLUSH: u32 = 40;
-/// Pages kept while the object store cannot be written.
+/// Maximum number of pages kept while the object store is unavailable.
 const MAX_PAGES: usize = 8;
 
-/// Records of one instance.
+/// Recorder of one instance's counts.
 #[derive(Debug)]
 pub struct Recorder {
     instance: InstanceId,
@@ -31,13 +32,13 @@
     route_map: Arc<RouteMap>,
     reachability: Reachability,
     sampled_at: Option<Time>,
-    /// Whether the last write worked.
+    /// Whether the last write succeeded.
     is_written: bool,
     pages: Vec<Page>,
 }
 
 impl Recorder {
-    /// A recorder that has counted nothing yet.
+    /// Creates a recorder without counts.
     pub fn new(instance: InstanceId, domain: DomainName, handle: TrafficHandle) -> Self {
         Self {
             instance,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Counts and keeps; ends only with its task.
+    /// Samples and writes periodically. Runs until its task is aborted.
     pub async fn run(mut self, store: impl ObjectStore, clock: Clock) {
         let mut samples = 0;
         loop {
@@ -62,7 +63,7 @@
             if samples < SAMPLES_PER_FLUSH {
                 continue;
             }
-            // After a failure it is tried again with the next sample.
+            // A failed write is retried after the next sample.
             let flushed = self.flush(&store).await;
             if flushed.is_ok() {
                 samples = 0;
@@ -80,7 +81,7 @@
         self.is_written = flushed.is_ok();
     }
 
-    /// Adds what happened since the last sample to a minute.
+    /// Adds the counts since the last sample to a minute.
     pub async fn sample(&mut self, now: Time, minute: Minute) {
         let mut tallies = self.handle.take_tallies().await;
         self.observe(now, &mut tallies);
@@ -132,7 +133,7 @@
     /// Writes all pages that have changed.
     ///
     /// # Errors
-    /// If the object store cannot be reached; nothing counted is lost.
+    /// If the object store cannot be written; no counts are lost.
     pub async fn flush(&mut self, store: &impl ObjectStore) -> Result<(), PlatformError> {
         for page in &mut self.pages {
             page.flush(store, &self.instance).await?;
