--- a/crates/citronproxy/src/settings/error.rs
+++ b/crates/citronproxy/src/settings/error.rs
@@ -2,7 +2,7 @@
 
 use {std::path::PathBuf, thiserror::Error};
 
-/// Why settings are refused.
+/// An error in a settings file.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -10,30 +10,29 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not valid JSON, or a field is missing, unknown or of a wrong
-    /// type.
+    /// The file is not valid JSON, or a field is missing, unknown or of the wrong type.
     #[error("{file}: field '{field}': {message}", file = file.display())]
     Syntax {
         /// The file.
         file: PathBuf,
-        /// The path of the field.
+        /// Path of the field within the file.
         field: String,
-        /// What is wrong, with line and column.
+        /// Error of the parser, with line and column.
         message: String,
     },
-    /// A field holds a value that is not allowed.
+    /// The value of a field is not allowed.
     #[error("{file}: field '{field}' is '{found}'; allowed: {allowed}", file = file.display())]
     Value {
         /// The file.
         file: PathBuf,
         /// The field.
         field: String,
-        /// What it holds.
+        /// The value found.
         found: String,
-        /// What it may hold.
+        /// The values that are allowed.
         allowed: String,
     },
 }
--- a/crates/citronproxy/src/settings/file.rs
+++ b/crates/citronproxy/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a settings file.
+//! Reads and validates the settings file of an instance.
 
 use {
     super::{SettingsError, parse},
@@ -7,35 +7,36 @@
     std::{io::Read, net::SocketAddr, path::Path},
 };
 
-/// The most traffic threads.
+/// Maximum number of traffic threads.
 const MAX_THREADS: usize = 64;
-/// The shortest admin token, in characters.
+/// Minimum length of the admin token.
 const MIN_TOKEN_CHARS: usize = 16;
 
 /// Settings of one instance.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name, the same across restarts.
+    /// Instance id, the same across restarts.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Where it takes callers' requests.
+    /// Address at which clients send requests.
     pub traffic: SocketAddr,
-    /// Where it talks with other instances.
+    /// Address for calls between instances.
     pub peer: SocketAddr,
-    /// Where it takes operators' requests.
+    /// Address of the admin API.
     pub admin: SocketAddr,
-    /// The platform's table, object store and instance list.
+    /// Address of the platform, which provides the table, the object store and the
+    /// instance list.
     pub platform: SocketAddr,
-    /// Where other instances reach this one, if not at `peer`, as behind an
-    /// address translation.
+    /// Address at which other instances reach this one, if it differs from `peer`, for
+    /// example behind network address translation.
     pub advertise: Option<SocketAddr>,
-    /// Peer addresses of some other instances, asked for the table at a start
-    /// while the platform is down; none if not given.
+    /// Peer addresses of some other instances, which are asked for the table while the
+    /// platform is unavailable; default none.
     pub seeds: Vec<SocketAddr>,
-    /// Traffic threads; 2 if not given.
+    /// Number of traffic threads; default 2.
     pub threads: usize,
-    /// Bearer token of the admin API; without one the API refuses every call.
+    /// Bearer token of the admin API; without one the API refuses every request.
     pub token: Option<String>,
 }
 
@@ -61,16 +62,17 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// [`SettingsError`] names the file, the field or line, what was found and
-    /// what is allowed.
+    /// [`SettingsError`] states the file, the field or line, the value found and the
+    /// values allowed.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         parse::load::<RawSettings>(path)?.check(path)
     }
 
-    /// Checks settings from any source; `path` only names them in errors.
+    /// Reads and validates settings from any source; `path` only names the source in
+    /// errors.
     ///
     /// # Errors
     /// As [`Self::load`].
--- a/crates/citronproxy/src/settings/mod.rs
+++ b/crates/citronproxy/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! What an instance learns at its start: JSON with comments, checked whole.
+//! Settings that an instance reads when it starts: JSON with comments, validated as a
+//! whole.
 
 mod error;
 mod file;
--- a/crates/citronproxy/src/settings/parse.rs
+++ b/crates/citronproxy/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reading of settings files of any layout.
+//! Parsing of settings files, independent of their fields.
 
 use {
     super::SettingsError,
@@ -13,10 +13,10 @@
     },
 };
 
-/// Reads a file in JSON with comments.
+/// Reads a file of JSON with comments.
 ///
 /// # Errors
-/// If it cannot be read, or a field does not fit.
+/// If the file cannot be read, or does not match the fields of `T`.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let file = File::open(path).map_err(|source| SettingsError::Read {
         file: path.to_path_buf(),
@@ -25,10 +25,10 @@
     read(path, BufReader::new(file))
 }
 
-/// Reads settings from any source; `path` only names them in errors.
+/// Reads JSON with comments from any source; `path` only names the source in errors.
 ///
 /// # Errors
-/// If a field does not fit, or more follows.
+/// If the input does not match the fields of `T`, or anything follows it.
 pub fn read<T: DeserializeOwned>(path: &Path, source: impl Read) -> Result<T, SettingsError> {
     let mut json = serde_json::Deserializer::from_reader(StripComments::new(source));
     let parsed = serde_path_to_error::deserialize::<_, T>(&mut json);
@@ -45,10 +45,10 @@
     Ok(value)
 }
 
-/// Reads a name.
+/// Parses a name.
 ///
 /// # Errors
-/// If it has other characters than names may have.
+/// If the name contains characters that are not allowed.
 pub fn name<T: FromStr>(path: &Path, field: &str, text: &str) -> Result<T, SettingsError> {
     text.parse().map_err(|_| SettingsError::Value {
         file: path.to_path_buf(),
@@ -58,10 +58,10 @@
     })
 }
 
-/// Reads a span in seconds.
+/// Converts a number of seconds to a duration.
 ///
 /// # Errors
-/// If it is negative or not finite.
+/// If the number is negative or not finite.
 pub fn seconds(path: &Path, field: &str, value: f64) -> Result<Duration, SettingsError> {
     Duration::try_from_secs_f64(value).map_err(|_| SettingsError::Value {
         file: path.to_path_buf(),
