--- a/crates/citronproxy/src/dev/mod.rs
+++ b/crates/citronproxy/src/dev/mod.rs
@@ -1,5 +1,5 @@
-//! `citronproxy dev`: one process with an embedded platform and a sample
-//! backend server, for a first look.
+//! `citronproxy dev`: an instance with an embedded platform and a sample backend server
+//! in one process, to try citronproxy out.
 
 mod sample;
 
--- a/crates/citronproxy/src/dev/sample.rs
+++ b/crates/citronproxy/src/dev/sample.rs
@@ -1,4 +1,4 @@
-//! The sample deployment.
+//! Sample deployment.
 
 use {
     crate::{
@@ -24,14 +24,14 @@
     },
 };
 
-/// Where the sample takes requests.
+/// Address at which the sample accepts requests.
 const TRAFFIC: &str = "127.0.0.1:8080";
-/// Any port of this machine.
+/// Loopback address with any free port.
 const ANY_PORT: &str = "127.0.0.1:0";
 /// Base-two logarithm of the sample's shard count.
 const SHARD_BITS: u8 = 4;
 
-/// Runs the sample until the process is stopped.
+/// Runs the sample deployment until the process is stopped.
 ///
 /// # Errors
 /// If the address is in use.
@@ -80,10 +80,11 @@
     Ok(())
 }
 
-/// One domain, one service, one backend server that owns all shards.
+/// Rows of the sample: one failure domain, one service, and one backend server that owns
+/// all shards.
 ///
 /// # Errors
-/// Never, unless a name in here is not a name.
+/// Only if a name or number in this function is invalid.
 pub fn sample_rows(address: SocketAddr) -> Result<Vec<Row>, Box<dyn Error>> {
     let shard_bits = ShardBits::new(SHARD_BITS).ok_or("too many shards")?;
     let server: ServerName = "sample-1".parse()?;
@@ -139,7 +140,7 @@
     ])
 }
 
-/// Answers every request with a fixed text; enough for a first look.
+/// Sample backend server, which answers every request with the same text.
 async fn serve_sample(listener: TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
