--- a/crates/citronproxy/src/cli.rs
+++ b/crates/citronproxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the binary.
 
 use {
     pico_args::Arguments,
@@ -6,7 +6,7 @@
     thiserror::Error,
 };
 
-/// The text of `--help`.
+/// Text printed by `--help`.
 pub const HELP: &str = "\
 citronproxy: routes requests to backend servers that own keys exclusively
 
@@ -21,45 +21,45 @@
 exit codes: 0 done, 1 failed while running, 2 wrong usage or settings
 ";
 
-/// What the process is to do.
+/// A parsed command.
 #[derive(Debug)]
 pub enum Command {
     /// Run an instance.
     Run(PathBuf),
     /// Run an instance on an outside platform.
     Edge(PathBuf),
-    /// Check settings.
+    /// Check a settings file.
     Check(PathBuf),
-    /// Check settings of an instance on an outside platform.
+    /// Check a settings file for an outside platform.
     CheckEdge(PathBuf),
-    /// Run the sample.
+    /// Run the sample deployment.
     Dev,
     /// Print the help.
     Help,
 }
 
-/// Why the arguments are refused.
+/// An error in the arguments.
 #[derive(Debug, Error)]
 pub enum UsageError {
-    /// Something is missing or does not parse.
+    /// An argument is missing or cannot be parsed.
     #[error(transparent)]
     Arguments(#[from] pico_args::Error),
     /// No such command.
     #[error("no command '{found}'; see citronproxy --help")]
     UnknownCommand {
-        /// What was given.
+        /// The word given as the command.
         found: String,
     },
-    /// More than the command takes.
+    /// More arguments than the command takes.
     #[error("'{found}' is one argument too many; see citronproxy --help")]
     ExtraArgument {
-        /// What was given.
+        /// The first extra argument.
         found: String,
     },
 }
 
 impl Command {
-    /// Reads the process's arguments.
+    /// Parses the arguments of the process.
     pub fn parse(mut args: Arguments) -> Result<Self, UsageError> {
         if args.contains(["-h", "--help"]) {
             return Ok(Self::Help);
--- a/crates/citronproxy/src/clock.rs
+++ b/crates/citronproxy/src/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock of this process.
+//! Monotonic clock of the process.
 
 use {
     citron_core::time::Time,
@@ -6,15 +6,16 @@
     std::time::Duration,
 };
 
-/// The time at the start. An instance may be told of platform reads that were
-/// begun before it started, and needs a time for them: rounded up to the origin,
-/// they would seem later than they were and confirm for too long.
+/// Time at which the clock starts. A relayed lease may be based on a platform read from
+/// before this instance started, which needs a time as well. If that time were clamped to
+/// the origin, the read would look more recent than it was, and the lease would last too
+/// long.
 const START_OFFSET: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Reads monotonic time since the clock was made. Copies agree.
+/// Monotonic clock. Copies return the same time.
 ///
-/// Time in which the machine was suspended counts: by the usual monotonic clock
-/// a lease or a leave to act would seem to last for as long as it slept.
+/// It includes the time during which the machine was suspended. By the usual monotonic
+/// clock, a lease or grant would seem to last for as long as the machine was suspended.
 ///
 /// ```
 /// let clock = citronproxy::clock::Clock::start();
@@ -26,19 +27,19 @@
 }
 
 impl Clock {
-    /// A clock that starts now, a day after its origin.
+    /// Starts a clock, one day after its origin.
     pub fn start() -> Self {
         let origin = since_boot();
         Self { origin }
     }
 
-    /// The time now.
+    /// Current time.
     pub fn now(&self) -> Time {
         Time::ZERO + START_OFFSET + since_boot().saturating_sub(self.origin)
     }
 }
 
-/// Time since the machine was started, sleep included.
+/// Time since the machine booted, including suspension.
 fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
--- a/crates/citronproxy/src/instance.rs
+++ b/crates/citronproxy/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance from its settings to a graceful exit.
+//! Runs one instance, from its settings to a graceful exit.
 
 use {
     citron_core::{id::Incarnation, membership::Member},
@@ -24,7 +24,7 @@
     },
 };
 
-/// Runs until a signal asks it to leave and the last request has ended.
+/// Runs an instance until a signal asks it to leave and the last request has ended.
 pub fn run(settings: Settings) -> Result<(), Box<dyn Error>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let clock = Clock::start();
@@ -43,8 +43,8 @@
     Ok(())
 }
 
-/// Tells an address, since whoever asked for port 0 learns the port here. That
-/// nobody reads it is no reason to stop.
+/// Prints a bound address, from which the caller learns the port if the settings say 0. A
+/// failure is ignored, as standard output may be closed.
 fn print_address(what: &str, address: SocketAddr) {
     let _ = writeln!(io::stdout(), "{what} {address}");
 }
@@ -63,7 +63,8 @@
     let server = AdminListener::bind(settings.admin).await?;
     print_address("admin", server.address);
     let admin_store = admin_store(&settings, &member);
-    // New at each start: the numbers of a writer's commits begin anew.
+    // The writer id is new at each start, because the numbers of a writer's commits start
+    // again.
     let writer = format!("{}/{}", member.instance, member.incarnation);
     let store = IdempotentStore::new(HttpPlatform::new(settings.platform), writer);
     let config = ControlConfig {
@@ -97,7 +98,7 @@
     Ok(())
 }
 
-/// Counts for service-level objectives.
+/// Starts recording counts for service-level objectives.
 fn start_recorder(settings: &Settings, handle: &TrafficHandle, clock: Clock) {
     let store = HttpPlatform::new(settings.platform);
     let (instance, domain) = (settings.instance.clone(), settings.domain.clone());
@@ -105,8 +106,8 @@
     spawn_local(recorder.run(store, clock));
 }
 
-/// The table as operators' edits are written to it: with a writer of their own,
-/// so that an edit being settled holds up no commit of control.
+/// Table store for operators' edits. It has a separate writer id, so that an edit whose
+/// outcome is being determined does not delay commits of the control thread.
 fn admin_store(settings: &Settings, member: &Member) -> IdempotentStore<HttpPlatform> {
     let writer = format!("{}/{}/admin", member.instance, member.incarnation);
     IdempotentStore::new(HttpPlatform::new(settings.platform), writer)
--- a/crates/citronproxy/src/lib.rs
+++ b/crates/citronproxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! One instance of citronproxy: a control thread, and traffic threads that read
-//! what it publishes.
+//! An instance of citronproxy: a control thread, and traffic threads that route requests
+//! by the snapshots that it publishes.
 
 pub mod admin;
 pub mod clock;
--- a/crates/citronproxy/src/logs.rs
+++ b/crates/citronproxy/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output, written by a thread of its own.
+//! Logging to standard output by a dedicated thread.
 
 use {
     env_logger::{Builder, Env, Target},
@@ -12,16 +12,17 @@
     },
 };
 
-/// Lines that wait for the writer at most: some seconds of a busy instance. A
-/// reader that has stopped reading must not stop requests.
+/// Maximum number of lines queued for the writer, which is several seconds of a busy
+/// instance's log. When standard output is not read, further lines are dropped rather
+/// than blocking requests.
 const MAX_QUEUED_LINES: usize = 2_048;
-/// Stack of the writing thread, in bytes.
+/// Stack size of the writer thread.
 const STACK_BYTES: usize = 64 * 1_024;
 
-/// Lines lost since the start.
+/// Number of lines dropped since the start.
 static LOST_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were lost since the start, for want of room in the buffer.
+/// Number of log lines dropped since the start because the queue was full.
 ///
 /// ```
 /// assert_eq!(citronproxy::logs::lost_lines(), 0);
@@ -30,7 +31,7 @@
     LOST_LINES.load(Ordering::Relaxed)
 }
 
-/// Starts logging, at level `info` unless `RUST_LOG` says otherwise.
+/// Starts logging, at level `info` unless `RUST_LOG` sets another.
 pub fn start() {
     let (lines, waiting) = sync_channel(MAX_QUEUED_LINES);
     let builder = thread::Builder::new()
@@ -40,15 +41,15 @@
     let mut builder = Builder::from_env(Env::default().default_filter_or("info"));
     builder.format_timestamp_millis();
     if let Err(error) = writer {
-        // Lines then go to standard error, as the library writes them itself.
+        // Without the writer thread, the library logs to standard error itself.
         builder.init();
-        log::warn!("logs: {error}");
+        log::warn!("cannot start the log writer: {error}");
         return;
     }
     builder.target(Target::Pipe(Box::new(Lines(lines)))).init();
 }
 
-/// Hands lines to the writing thread, or counts those it has no room for.
+/// Log target that queues lines for the writer thread, and counts those that do not fit.
 struct Lines(SyncSender<Vec<u8>>);
 
 impl Write for Lines {
--- a/crates/citronproxy/src/main.rs
+++ b/crates/citronproxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The instance's binary.
+//! Binary of an instance.
 
 mod cli;
 mod instance;
@@ -16,7 +16,7 @@
     tokio::runtime::Builder,
 };
 
-/// Wrong usage or settings.
+/// Exit code for wrong usage or invalid settings.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/citronproxy/src/metrics.rs
+++ b/crates/citronproxy/src/metrics.rs
@@ -1,11 +1,11 @@
-//! What the parts of an instance that count share.
+//! Registration of metrics.
 
 use prometheus::{Registry, core::Collector};
 
-/// Registers a metric; the same one is given back.
+/// Registers a metric and returns it.
 ///
 /// # Errors
-/// If its name is taken.
+/// If a metric of the same name is already registered.
 pub fn register<C>(registry: &Registry, metric: C) -> prometheus::Result<C>
 where
     C: Collector + Clone + 'static,
