--- a/crates/citronproxy/src/admin/inspect.rs
+++ b/crates/citronproxy/src/admin/inspect.rs
@@ -114,17 +114,17 @@
         Phase::Releasing { to } => Some(to.to_string()),
     };
     let reason = match scope {
-        Scope::Key(_) => "the key was taken out of its shard".to_string(),
+        Scope::Key(_) => "the key is assigned separately from its shard".to_string(),
         Scope::Shard(shard) => format!(
             "its hash falls into shard {shard} of {}",
             service_row.shard_bits.shard_count()
         ),
     };
     let state = to.as_ref().map_or("owns it".to_string(), |to| {
-        format!("is giving it up to {to}")
+        format!("is releasing it to {to}")
     });
     let why = format!(
-        "{reason}; {key}, version {}, says that {} {state} under epoch {}",
+        "{reason}; by {key}, version {}, {} {state} under epoch {}",
         row.version, assignment.owner, assignment.epoch
     );
     Some(OwnerWire {
--- a/crates/citronproxy/src/control/membership.rs
+++ b/crates/citronproxy/src/control/membership.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Handles a row with this instance's id but another incarnation. If the other
-/// incarnation answers, starting is an error; otherwise it is expelled.
+/// Handles a row with this instance's id but another incarnation. It is an error if the
+/// other incarnation answers; otherwise the other one is expelled.
 ///
 /// This incarnation is listed only after the former one's lease has ended, and routes by
 /// relayed leases until then, because the former process may be paused and resume
--- a/crates/citronproxy/src/control/node.rs
+++ b/crates/citronproxy/src/control/node.rs
@@ -253,7 +253,8 @@
         })
     }
 
-    /// Number of instances that precede this one in acting for a service.
+    /// Number of listed instances, without expelled ones, that precede this one in acting
+    /// for a service.
     ///
     /// Every instance computes the same order without communication. The order differs
     /// between services, so that no instance acts for all of them.
--- a/crates/citronproxy/src/control/planning.rs
+++ b/crates/citronproxy/src/control/planning.rs
@@ -85,8 +85,8 @@
         return;
     };
     let mut proposals = planner.planner.plan(&view, now);
-    // Only the first instance moves for balance, because the move budget is counted per
-    // instance.
+    // Only the first instance moves for balance. Each instance counts the move budget on
+    // its own, so several together would exceed it.
     proposals.retain(|proposal| rank == 0 || proposal.reason == MoveReason::Unassigned);
     if proposals.is_empty() {
         planner.waiting_since = None;
--- a/crates/citronproxy/src/peer/client.rs
+++ b/crates/citronproxy/src/peer/client.rs
@@ -36,8 +36,8 @@
 /// Client with one connection per instance, opened on first use.
 ///
 /// A connection whose call failed is dropped, and the next call opens a new one. A
-/// connection can stop delivering for good while new ones work, for example when a
-/// firewall between both ends has dropped its state.
+/// connection can stop delivering for good while new ones work, when a device between
+/// both ends, such as a firewall, has lost its state of the connection.
 #[derive(Debug, Clone, Default)]
 pub struct PeerClient {
     connections: Rc<RefCell<BTreeMap<SocketAddr, Rc<Connection>>>>,
--- a/crates/citronproxy/src/peer/handler.rs
+++ b/crates/citronproxy/src/peer/handler.rs
@@ -15,7 +15,8 @@
     /// Current status of this instance.
     fn status(&self) -> InstanceStatus;
 
-    /// Waits until the revision is settled in this instance, and answers whether it is.
+    /// Answers once the revision is settled in this instance, or that it is not after a
+    /// time limit.
     fn acknowledge(&self, ask: AcknowledgeRequest) -> impl Future<Output = AcknowledgeResponse>;
 
     /// Rows that changed after `since`, and the status with the lease that covers exactly
--- a/crates/citronproxy/src/slo/recorder.rs
+++ b/crates/citronproxy/src/slo/recorder.rs
@@ -14,7 +14,7 @@
     tokio::time::sleep,
 };
 
-/// Interval between two samples.
+/// Interval between two samples of the counts and of reachability.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of samples between two writes. With the duration of the write itself, the
 /// interval is well below a minute, which is the most that may be lost when an instance
