--- a/crates/citronproxy/src/control/metrics.rs
+++ b/crates/citronproxy/src/control/metrics.rs
@@ -47,26 +47,20 @@
             commits: by_result("citron_commits_total", "Commits to the table")?,
             relays: register(
                 registry,
-                IntCounter::new("citron_relays_total", "Routing leases received by relay")?,
-            )?,
-            orders: by_result(
-                "citron_grant_orders_total",
-                "Grant orders to backend servers",
+                IntCounter::new("citron_relays_total", "Relayed confirmations taken")?,
             )?,
+            orders: by_result("citron_grant_orders_total", "Orders to backend servers")?,
             ended_moves: register(
                 registry,
-                IntCounter::new("citron_moves_total", "Moves completed by this instance")?,
+                IntCounter::new("citron_moves_total", "Moves ended by this instance")?,
             )?,
             open_moves: register(
                 registry,
-                IntGauge::new("citron_moves_open", "Moves tracked by this instance")?,
+                IntGauge::new("citron_moves_open", "Moves under way")?,
             )?,
             unreachable_servers: register(
                 registry,
-                IntGauge::new(
-                    "citron_servers_unreachable",
-                    "Backend servers that do not answer",
-                )?,
+                IntGauge::new("citron_servers_unreachable", "Servers that do not answer")?,
             )?,
         })
     }
