--- a/crates/citronproxy/src/edge/traffic/attempt.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -13,7 +13,7 @@
         traffic::{
             pool::{Connection, Reuse},
             request::{keep_alive_timeout, strip_hop_by_hop},
-            request_body::{CallerBody, UpstreamBody},
+            request_body::{ClientBody, UpstreamBody},
         },
     },
     bytes::BytesMut,
@@ -173,7 +173,7 @@
     /// Head of the request, prepared for forwarding.
     pub head: &'a Parts,
     /// Body of the request.
-    pub body: &'a Rc<CallerBody>,
+    pub body: &'a Rc<ClientBody>,
     /// Whether the request may run more than once.
     pub idempotency: Idempotency,
     /// Time by which the latency objective expects the response.
--- a/crates/citronproxy/src/edge/traffic/handler.rs
+++ b/crates/citronproxy/src/edge/traffic/handler.rs
@@ -13,7 +13,7 @@
         traffic::{
             guard::Refusal,
             request::{host, prepare_forward},
-            request_body::CallerBody,
+            request_body::ClientBody,
         },
     },
     citron_core::{
@@ -92,7 +92,7 @@
         return deny(Denial::NoRoute, &head);
     };
     let deadline = started + client_timeout(state, &head).min(rule.timeout);
-    let body = CallerBody::new(body, config.limits.max_body_bytes, REPLAY_BUFFER_BYTES);
+    let body = ClientBody::new(body, config.limits.max_body_bytes, REPLAY_BUFFER_BYTES);
     if body.declared_length() > config.limits.max_body_bytes {
         return deny(Denial::BodyTooLarge, &head);
     }
@@ -134,7 +134,7 @@
     config: &RouteConfig,
     rule: &RouteRule,
     head: &Parts,
-    body: &Rc<CallerBody>,
+    body: &Rc<ClientBody>,
     started: Time,
     deadline: Time,
 ) -> Response<ResponseBody> {
@@ -192,7 +192,7 @@
 }
 
 /// Denial for a body that is too large or incomplete.
-fn body_error(body: &CallerBody) -> Option<Denial> {
+fn body_error(body: &ClientBody) -> Option<Denial> {
     match body.is_too_large() {
         true => Some(Denial::BodyTooLarge),
         false => body.is_truncated().then_some(Denial::IncompleteBody),
--- a/crates/citronproxy/src/traffic/attempts.rs
+++ b/crates/citronproxy/src/traffic/attempts.rs
@@ -8,7 +8,7 @@
         limiters::{Denied, Slot},
         pool::Reuse,
         request::set_grant_headers,
-        request_body::{CallerBody, UpstreamBody},
+        request_body::{ClientBody, UpstreamBody},
         route_wait::RouteError,
         socket::SocketState,
         state::ThreadState,
@@ -65,7 +65,7 @@
     /// The head, ready to be passed on but for what differs by try.
     pub head: Parts,
     /// The body.
-    pub body: Rc<CallerBody>,
+    pub body: Rc<ClientBody>,
     /// When the caller stops waiting.
     pub deadline: Time,
     /// The revision of the last route that was refused.
--- a/crates/citronproxy/src/traffic/connection.rs
+++ b/crates/citronproxy/src/traffic/connection.rs
@@ -70,7 +70,7 @@
         return;
     }
     let buffer = limits.max_head_bytes.max(MIN_BUFFER_BYTES);
-    let connection = Rc::new(CallerConnection {
+    let connection = Rc::new(ClientConnection {
         guard: RefCell::new(GuardStream::new(stream, limits, buffer)),
         pipelined: RefCell::default(),
         handler,
@@ -105,14 +105,14 @@
 }
 
 /// One caller's connection.
-struct CallerConnection<S: RequestHandler> {
+struct ClientConnection<S: RequestHandler> {
     guard: RefCell<GuardStream>,
     /// Requests that were told ahead; `None` for one that waits for its turn.
     pipelined: RefCell<VecDeque<Option<PipelinedRequest<S::Body>>>>,
     handler: S,
 }
 
-impl<S: RequestHandler> CallerConnection<S> {
+impl<S: RequestHandler> ClientConnection<S> {
     /// Takes a request that has its turn. Not a future yet: the library may read on
     /// before it polls one, and would be given the next head.
     fn start(
@@ -142,16 +142,16 @@
             Some(pipelined) => pipelined.into_response(&head).await,
             None => None,
         };
-        let mut answer = match pipelined {
-            Some(answer) => answer,
+        let mut response = match pipelined {
+            Some(response) => response,
             None => self.handler.clone().handle(head, Some(body)).await,
         };
         if !self.pipelined.borrow().is_empty() {
             // Answers that are worked out would be thrown away with the connection.
-            answer.headers_mut().remove(header::CONNECTION);
+            response.headers_mut().remove(header::CONNECTION);
         }
         self.guard.borrow_mut().end_response();
-        Ok(answer)
+        Ok(response)
     }
 
     /// The guard, to read heads that are allowed now.
@@ -185,13 +185,13 @@
         if !head.method.is_safe() || !self.handler.can_start_early(&head) {
             return None;
         }
-        let answer = self.handler.clone().handle(head.clone(), None);
-        Some(PipelinedRequest::spawn(&head, answer))
+        let response = self.handler.clone().handle(head.clone(), None);
+        Some(PipelinedRequest::spawn(&head, response))
     }
 }
 
 /// The guarded socket, for the HTTP library.
-struct SharedGuard<S: RequestHandler>(Rc<CallerConnection<S>>);
+struct SharedGuard<S: RequestHandler>(Rc<ClientConnection<S>>);
 
 impl<S: RequestHandler> AsyncRead for SharedGuard<S> {
     fn poll_read(
--- a/crates/citronproxy/src/traffic/crash_log.rs
+++ b/crates/citronproxy/src/traffic/crash_log.rs
@@ -1,7 +1,7 @@
 //! Requests that crash servers, as one traffic thread knows of them.
 
 use {
-    super::request_body::CallerBody,
+    super::request_body::ClientBody,
     crate::clock::Clock,
     citron_core::{
         crash::{CrashConfig, CrashEntry, CrashReport, CrashTracker, Fingerprint},
@@ -113,7 +113,7 @@
 
 /// What tells a request from others: head, length and the body as far as it is
 /// kept, which is all of a small one.
-pub fn fingerprint(head: &Parts, body: &CallerBody) -> Fingerprint {
+pub fn fingerprint(head: &Parts, body: &ClientBody) -> Fingerprint {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
     let key = head.headers.get(IDEMPOTENCY_KEY);
     let key = key.map_or(&b""[..], |key| key.as_bytes());
--- a/crates/citronproxy/src/traffic/driver.rs
+++ b/crates/citronproxy/src/traffic/driver.rs
@@ -48,9 +48,9 @@
             body,
             deadline: attempts.deadline,
         };
-        let new = |retries: &mut _| RetryState::new(kind, retries);
+        let new_state = |retries: &mut _| RetryState::new(kind, retries);
         Self {
-            retry_state: attempts.state.with_retries(service, new),
+            retry_state: attempts.state.with_retries(service, new_state),
             attempts,
             service,
             response: None,
@@ -62,8 +62,8 @@
     /// the future, as when the caller leaves, ends all its exchanges with their
     /// connections.
     pub async fn run(mut self) -> (Response<ResponseBody>, u32) {
-        let answer = self.drive().await;
-        (answer, self.retry_state.attempts())
+        let response = self.drive().await;
+        (response, self.retry_state.attempts())
     }
 
     async fn drive(&mut self) -> Response<ResponseBody> {
@@ -74,8 +74,8 @@
         loop {
             match step {
                 Step::Send(send) => match self.quarantine_denial() {
-                    Some(denied) => {
-                        step = self.step(denied);
+                    Some(denial) => {
+                        step = self.step(denial);
                         continue;
                     }
                     None => open.push(attempts.run(send)),
@@ -93,9 +93,9 @@
                 else => return internal_error(),
             };
             if self.response.is_none()
-                && let Some(answer) = self.body_error_response(event)
+                && let Some(response) = self.body_error_response(event)
             {
-                return answer;
+                return response;
             }
             self.report_crash(event);
             step = self.step(event);
@@ -106,8 +106,8 @@
         if self.attempts.state.crash_log.has_entries() {
             self.attempts.body.buffer_if_small().await;
         }
-        if let Some(denied) = self.quarantine_denial() {
-            return denied;
+        if let Some(denial) = self.quarantine_denial() {
+            return denial;
         }
         match self.attempts.admit().await {
             Ok(slot) => {
@@ -132,7 +132,7 @@
 
     /// Clears crashes of such requests. All other threads are told, under a lock:
     /// requests that crashed nothing must not pay for that.
-    fn clear_crash(&self) {
+    fn report_answered(&self) {
         let state = &self.attempts.state;
         if !state.crash_log.has_entries() {
             return;
@@ -183,11 +183,11 @@
                 self.record_release(event);
                 event
             }
-            AttemptOutcome::Answered(answered) => {
-                let no = answered.no;
-                self.clear_crash();
+            AttemptOutcome::Answered(received) => {
+                let no = received.no;
+                self.report_answered();
                 // The first answer is passed on; a later one ends here.
-                self.response.get_or_insert(answered);
+                self.response.get_or_insert(received);
                 Event::Answered(no)
             }
         }
@@ -224,7 +224,7 @@
     }
 
     fn forward(&mut self, no: AttemptNo) -> Response<ResponseBody> {
-        let Some(answered) = self.response.take() else {
+        let Some(received) = self.response.take() else {
             return internal_error();
         };
         // A later try overtook the first: its connection, which was used before,
@@ -234,12 +234,12 @@
         {
             self.attempts.state.pool.evict_older(address, written_at);
         }
-        let (mut head, body) = answered.response.into_parts();
+        let (mut head, body) = received.response.into_parts();
         strip_hop_by_hop(&mut head.headers);
-        let streamed = StreamedBody::new(body, answered.exchange, self.slot.take());
-        let mut answer = Response::from_parts(head, ResponseBody::Streamed(Box::new(streamed)));
-        set_outcome(&mut answer, Outcome::Ran);
-        answer
+        let streamed = StreamedBody::new(body, received.exchange, self.slot.take());
+        let mut response = Response::from_parts(head, ResponseBody::Streamed(Box::new(streamed)));
+        set_outcome(&mut response, Outcome::Ran);
+        response
     }
 
     /// The answer to a caller whose body cannot be passed on whole.
--- a/crates/citronproxy/src/traffic/exchange.rs
+++ b/crates/citronproxy/src/traffic/exchange.rs
@@ -4,7 +4,7 @@
     super::{
         in_flight::InFlightRequest,
         pool::{Connection, Pool},
-        request_body::{CallerBody, UpstreamBody},
+        request_body::{ClientBody, UpstreamBody},
         socket::WritePermit,
     },
     citron_core::time::Time,
@@ -36,7 +36,7 @@
     connection: Connection,
     pool: Pool,
     address: SocketAddr,
-    body: Rc<CallerBody>,
+    body: Rc<ClientBody>,
     start_bytes: u64,
 }
 
@@ -47,7 +47,7 @@
         address: SocketAddr,
         connection: Connection,
         in_flight: InFlightRequest,
-        body: &Rc<CallerBody>,
+        body: &Rc<ClientBody>,
     ) -> Self {
         Self {
             start_bytes: connection.socket.written_bytes(),
--- a/crates/citronproxy/src/traffic/handle.rs
+++ b/crates/citronproxy/src/traffic/handle.rs
@@ -89,14 +89,14 @@
     }
 
     async fn is_quiescent(&self, server: &ServerName, below: Revision) -> bool {
-        let answers = self.query_all(|reply| Command::IsQuiescent {
+        let replies = self.query_all(|reply| Command::IsQuiescent {
             server: server.clone(),
             below,
             reply,
         });
-        for answer in answers {
+        for reply in replies {
             // A thread that has ended has no request left.
-            if !answer.await.unwrap_or(true) {
+            if !reply.await.unwrap_or(true) {
                 return false;
             }
         }
@@ -107,8 +107,8 @@
     /// and scope.
     pub async fn take_loads(&self) -> Vec<LoadSample> {
         let mut samples = Vec::new();
-        for answer in self.query_all(|reply| Command::Load { reply }) {
-            samples.extend(answer.await.unwrap_or_default());
+        for reply in self.query_all(|reply| Command::Load { reply }) {
+            samples.extend(reply.await.unwrap_or_default());
         }
         merge(samples)
     }
@@ -116,8 +116,8 @@
     /// Counts for service-level objectives since this was last asked.
     pub async fn take_tallies(&self) -> BTreeMap<ServiceName, Tally> {
         let mut tallies: BTreeMap<ServiceName, Tally> = BTreeMap::new();
-        for answer in self.query_all(|reply| Command::Tallies { reply }) {
-            for (service, tally) in answer.await.unwrap_or_default() {
+        for reply in self.query_all(|reply| Command::Tallies { reply }) {
+            for (service, tally) in reply.await.unwrap_or_default() {
                 *tallies.entry(service).or_default() += &tally;
             }
         }
@@ -128,8 +128,8 @@
     /// with other instances.
     pub async fn take_demand(&self) -> BTreeMap<ServerName, Demand> {
         let mut sums = BTreeMap::new();
-        for answer in self.query_all(|reply| Command::Demand { reply }) {
-            for (server, demand) in answer.await.unwrap_or_default() {
+        for reply in self.query_all(|reply| Command::Demand { reply }) {
+            for (server, demand) in reply.await.unwrap_or_default() {
                 let sum = sums.entry(server).or_insert(Demand::NONE);
                 sum.arrivals.0 += demand.arrivals.0;
                 sum.answers.0 += demand.answers.0;
@@ -145,13 +145,13 @@
         let threads = threads.unwrap_or_else(PoisonError::into_inner).len();
         let quotas = Arc::new(Quotas { servers, threads });
         let quotas = || Arc::clone(&quotas);
-        let answers = self.query_all(|reply| Command::SetQuotas {
+        let replies = self.query_all(|reply| Command::SetQuotas {
             quotas: quotas(),
             reply,
         });
-        for answer in answers {
+        for reply in replies {
             // A thread that has ended needs no part.
-            let _ = answer.await;
+            let _ = reply.await;
         }
     }
 
@@ -168,15 +168,15 @@
     /// What this instance counted of crashes, for the others.
     pub async fn crash_report(&self) -> Option<CrashReport> {
         // All threads keep the same log.
-        let answers = self.query_all(|reply| Command::CrashReport { reply });
-        answers.into_iter().next()?.await.ok()
+        let replies = self.query_all(|reply| Command::CrashReport { reply });
+        replies.into_iter().next()?.await.ok()
     }
 
     /// The requests that crashed servers, for operators.
     pub async fn crash_entries(&self) -> Vec<CrashEntry> {
-        let answers = self.query_all(|reply| Command::CrashEntries { reply });
-        match answers.into_iter().next() {
-            Some(answer) => answer.await.unwrap_or_default(),
+        let replies = self.query_all(|reply| Command::CrashEntries { reply });
+        match replies.into_iter().next() {
+            Some(reply) => reply.await.unwrap_or_default(),
             None => Vec::new(),
         }
     }
@@ -184,8 +184,8 @@
     /// All metrics as text, in the format of Prometheus.
     pub async fn metrics(&self) -> String {
         let mut in_flight = 0;
-        for answer in self.query_all(|reply| Command::Metrics { reply }) {
-            in_flight += answer.await.unwrap_or(0);
+        for reply in self.query_all(|reply| Command::Metrics { reply }) {
+            in_flight += reply.await.unwrap_or(0);
         }
         let metrics = self.shared_metrics();
         metrics.set_in_flight(in_flight);
@@ -209,13 +209,13 @@
     ) -> Vec<oneshot::Receiver<T>> {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner);
-        let answers = threads.iter().map(|thread| {
-            let (reply, answer) = oneshot::channel();
+        let replies = threads.iter().map(|thread| {
+            let (sender, receiver) = oneshot::channel();
             // A refused question drops `reply`, which the answer's side sees.
-            let _ = thread.send(make(reply));
-            answer
+            let _ = thread.send(make(sender));
+            receiver
         });
-        answers.collect()
+        replies.collect()
     }
 
     /// Takes in a new thread; its questions arrive at the receiver.
--- a/crates/citronproxy/src/traffic/proxy.rs
+++ b/crates/citronproxy/src/traffic/proxy.rs
@@ -10,7 +10,7 @@
         local_response::{local_response, outcome_of, unavailable},
         phase::Phase,
         request::{host, prepare_forward},
-        request_body::{CallerBody, REPLAY_MAX_BYTES},
+        request_body::{ClientBody, REPLAY_MAX_BYTES},
         response_body::ResponseBody,
         state::ThreadState,
     },
@@ -57,8 +57,8 @@
     /// Answers one request; whatever fails becomes an answer that says so.
     pub async fn serve(self, head: Parts, body: Option<Incoming>) -> Response<ResponseBody> {
         let path = head.uri.path();
-        let mut answer = match self.internal_response(path) {
-            Some(answer) => answer,
+        let mut response = match self.internal_response(path) {
+            Some(response) => response,
             None if path == METRICS_PATH => {
                 let text = self.state.handle.metrics().await;
                 local_response(StatusCode::OK, Outcome::NotRun, None, text.trim_end())
@@ -70,9 +70,9 @@
         };
         if self.state.handle.phase() > Phase::Serving {
             let close = HeaderValue::from_static("close");
-            answer.headers_mut().insert(header::CONNECTION, close);
+            response.headers_mut().insert(header::CONNECTION, close);
         }
-        answer
+        response
     }
 
     /// Whether a request may run again, and connections do not end soon.
@@ -127,7 +127,7 @@
         let attempts = Attempts {
             state: Rc::clone(&self.state),
             head,
-            body: CallerBody::new(body, max, REPLAY_MAX_BYTES),
+            body: ClientBody::new(body, max, REPLAY_MAX_BYTES),
             deadline,
             refused_revision: Cell::new(None),
             last_server: RefCell::default(),
@@ -142,28 +142,28 @@
             return Err(Box::new(refused));
         };
         let driver = RequestDriver::new(&attempts, &row.name, idempotent);
-        let (answer, sent) = driver.run().await;
-        self.record(row, &answer, sent, self.state.clock.now() - now);
-        Ok(answer)
+        let (response, sent) = driver.run().await;
+        self.record(row, &response, sent, self.state.clock.now() - now);
+        Ok(response)
     }
 
     /// Counts an answer for the metrics and for the service's objectives.
     fn record(
         &self,
         row: &ServiceRow,
-        answer: &Response<ResponseBody>,
+        response: &Response<ResponseBody>,
         attempts: u32,
         time: Duration,
     ) {
-        let outcome = outcome_of(answer);
+        let outcome = outcome_of(response);
         let mut metrics = self.state.metrics.borrow_mut();
         metrics.count_request(&row.name, outcome, attempts, time);
-        let is_failed = outcome != Outcome::Ran || answer.status().is_server_error();
+        let is_failed = outcome != Outcome::Ran || response.status().is_server_error();
         let is_slow = time > row.objectives.latency;
         let mut in_flight = self.state.in_flight.borrow_mut();
         in_flight
             .slo_counters
-            .count_answer(&row.name, is_failed, is_slow);
+            .count_response(&row.name, is_failed, is_slow);
     }
 
     fn find_service(&self, head: &Parts) -> Result<Arc<ServiceRoutes>, BoxedResponse> {
--- a/crates/citronproxy/src/traffic/request_body.rs
+++ b/crates/citronproxy/src/traffic/request_body.rs
@@ -23,7 +23,7 @@
 pub enum BodyError {
     /// The caller broke off or sent a malformed body.
     #[error("the caller's body: {0}")]
-    Caller(#[from] hyper::Error),
+    Client(#[from] hyper::Error),
     /// It could not be read before.
     #[error("the body was cut short before")]
     AlreadyFailed,
@@ -46,7 +46,7 @@
 
 /// A caller's body, and a copy of its begin while that is small.
 #[derive(Debug)]
-pub struct CallerBody {
+pub struct ClientBody {
     state: RefCell<BufferState>,
     hint: SizeHint,
     max_bytes: u64,
@@ -63,7 +63,7 @@
     read_state: ReadState,
 }
 
-impl CallerBody {
+impl ClientBody {
     /// The source of a body of at most `max` bytes, of which up to `keep` are
     /// kept; `None` for an empty one.
     pub fn new(incoming: Option<Incoming>, max_bytes: u64, max_buffered: usize) -> Rc<Self> {
@@ -199,13 +199,13 @@
 /// One sending of a source.
 #[derive(Debug)]
 pub struct UpstreamBody {
-    body: Rc<CallerBody>,
+    body: Rc<ClientBody>,
     next: usize,
 }
 
 impl UpstreamBody {
     /// A sending from the begin; the source must be replayable.
-    pub fn new(body: &Rc<CallerBody>) -> Self {
+    pub fn new(body: &Rc<ClientBody>) -> Self {
         let body = Rc::clone(body);
         Self { body, next: 0 }
     }
--- a/crates/citronproxy/src/traffic/slo_counters.rs
+++ b/crates/citronproxy/src/traffic/slo_counters.rs
@@ -18,7 +18,7 @@
 impl SloCounters {
     /// Counts one answer. A caller that left before it had an answer is not
     /// counted: nobody can say what it would have got.
-    pub fn count_answer(&mut self, service: &ServiceName, is_failed: bool, is_slow: bool) {
+    pub fn count_response(&mut self, service: &ServiceName, is_failed: bool, is_slow: bool) {
         let tally = self.tally(service);
         tally.requests += 1;
         tally.failed += u64::from(is_failed);
--- a/crates/citronproxy/src/traffic/worker.rs
+++ b/crates/citronproxy/src/traffic/worker.rs
@@ -220,10 +220,10 @@
 
 fn start_connection(stream: TcpStream, proxy: &Proxy, handle: &TrafficHandle, open: &OpenToken) {
     let phases = handle.subscribe_phase();
-    spawn_local(serve_caller(stream, proxy.clone(), phases, open.clone()));
+    spawn_local(serve_client(stream, proxy.clone(), phases, open.clone()));
 }
 
-async fn serve_caller(
+async fn serve_client(
     stream: TcpStream,
     proxy: Proxy,
     mut phases: watch::Receiver<Phase>,
