--- a/crates/citronproxy/src/traffic/guard/chunked.rs
+++ b/crates/citronproxy/src/traffic/guard/chunked.rs
@@ -1,38 +1,38 @@
-//! The check of a chunked body.
+//! Validator of chunked request bodies.
 
-/// Hexadecimal digits of a chunk's size.
+/// Maximum number of hexadecimal digits in a chunk size.
 const MAX_SIZE_DIGITS: u32 = 15;
-/// Bytes of chunk extensions of one chunk, and of all trailers.
+/// Maximum number of bytes in the extensions of one chunk, and in all trailers together.
 const MAX_EXTRA_BYTES: u32 = 4_096;
 
-/// A byte that does not belong where it stands.
+/// A byte that is not allowed at its position in a chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidChunk;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// In the digits of a size.
+    /// In the digits of a chunk size.
     Size,
-    /// In an extension, which is skipped.
+    /// In a chunk extension, which is skipped.
     Extension,
-    /// At the LF after a size.
+    /// Before the LF that ends the line with the chunk size.
     SizeEnd,
-    /// In the data.
+    /// In the chunk data.
     Data,
-    /// At the CR, or the LF, after the data.
+    /// Before the CR (`DataCr`) or the LF (`DataLf`) that follows the chunk data.
     DataCr,
     DataLf,
-    /// At the begin of a trailer, or of the empty line that ends the body.
+    /// At the start of a trailer, or of the empty line that ends the body.
     Trailer,
-    /// In a trailer, and at its LF.
+    /// In a trailer (`TrailerText`), or before the LF that ends it (`TrailerLf`).
     TrailerText,
     TrailerLf,
-    /// At the last LF.
+    /// Before the LF that ends the body.
     LastLf,
     Done,
 }
 
-/// Follows a chunked body to its end.
+/// State machine that validates a chunked body and finds its end.
 #[derive(Debug)]
 pub struct ChunkedValidator {
     state: State,
@@ -42,7 +42,7 @@
 }
 
 impl ChunkedValidator {
-    /// At the begin of a body.
+    /// Creates a validator at the start of a body.
     pub fn new() -> Self {
         Self {
             state: State::Size,
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Whether the body has ended.
+    /// Whether the end of the body was reached.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Follows these bytes; tells how many belong to the body.
+    /// Validates these bytes and returns how many of them belong to the body.
     ///
     /// # Errors
-    /// [`InvalidChunk`] if they are not what a strict sender writes.
+    /// [`InvalidChunk`] if the bytes deviate from the strict chunked format.
     pub fn consume(&mut self, bytes: &[u8]) -> Result<usize, InvalidChunk> {
         let mut position = 0;
         while position < bytes.len() && !self.is_done() {
--- a/crates/citronproxy/src/traffic/guard/head.rs
+++ b/crates/citronproxy/src/traffic/guard/head.rs
@@ -1,23 +1,23 @@
-//! The check of a request's head.
+//! Validator of request heads.
 
 use super::Refusal;
 
-/// Headers of one request.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 96;
-/// Digits of a `Content-Length`.
+/// Maximum number of digits in a `Content-Length`.
 const MAX_LENGTH_DIGITS: usize = 18;
 
-/// Where the body of a request ends.
+/// How the end of a request body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// After the last chunk.
+    /// The body ends with its last chunk.
     Chunked,
 }
 
-/// Finds the end of a head, from what was scanned before; `None` if it is not
-/// there yet.
+/// Finds the end of a head. Bytes before `scanned` were checked by an earlier call.
+/// `None` if the head is incomplete.
 pub fn find_end(bytes: &[u8], scanned: usize) -> Result<Option<usize>, Refusal> {
     for position in scanned..bytes.len() {
         let previous = position.checked_sub(1).map(|previous| bytes[previous]);
@@ -37,7 +37,7 @@
     Ok(None)
 }
 
-/// Checks a whole head and tells where the body ends.
+/// Validates a complete head and returns the framing of the body.
 pub fn check(head: &[u8]) -> Result<Framing, Refusal> {
     let mut lines = head
         .split(|byte| *byte == b'\n')
@@ -50,7 +50,7 @@
     fields.framing(is_http10)
 }
 
-/// Whether the request is of HTTP/1.0.
+/// Validates the request line. Returns whether the version is HTTP/1.0.
 fn parse_request_line(line: &[u8]) -> Result<bool, Refusal> {
     let mut words = line.split(|byte| *byte == b' ');
     let method = words.next().unwrap_or_default();
@@ -129,7 +129,7 @@
     }
 }
 
-/// Whether this is a token of RFC 9110, 5.6.2.
+/// Whether the text is a token as defined by RFC 9110, 5.6.2.
 fn is_token(text: &[u8]) -> bool {
     let is_token_byte =
         |byte: &u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte);
--- a/crates/citronproxy/src/traffic/guard/head_limit.rs
+++ b/crates/citronproxy/src/traffic/guard/head_limit.rs
@@ -1,23 +1,24 @@
-//! How large a head may be.
+//! Maximum size of request heads.
 
 use super::Refusal;
 
-/// The bounds of a head.
+/// Size limits of a request head.
 #[derive(Debug, Clone, Copy)]
 pub struct HeadLimit {
-    /// Bytes that are allowed now.
+    /// Maximum size in bytes by the current configuration.
     pub configured: usize,
-    /// Bytes that the connection has room for, for good.
+    /// Size in bytes of the connection's read buffer, which is fixed when the connection
+    /// is accepted.
     pub buffer: usize,
 }
 
 impl HeadLimit {
-    /// Bytes that a head may have.
+    /// Effective maximum size of a head in bytes.
     pub fn max_bytes(&self) -> usize {
         self.configured.min(self.buffer)
     }
 
-    /// Why one that is larger is refused.
+    /// Refusal of a head that exceeds [`Self::max_bytes`].
     pub fn refusal(&self) -> Refusal {
         match self.configured > self.buffer {
             true => Refusal::BufferTooSmall,
--- a/crates/citronproxy/src/traffic/guard/lookahead.rs
+++ b/crates/citronproxy/src/traffic/guard/lookahead.rs
@@ -1,4 +1,4 @@
-//! Heads of requests that came before the one in front was answered.
+//! Lookahead for pipelined requests, which arrive before the current request is answered.
 
 use {
     super::{
@@ -8,27 +8,28 @@
     bytes::Bytes,
 };
 
-/// Requests of one connection that are begun before the one in front of them is
-/// answered. Callers of today send two or three; more would let one caller take
-/// the place of others.
+/// Maximum number of pipelined requests of a connection that are started before the
+/// current one is answered. Present clients send two or three; a higher limit would let
+/// one client take capacity from others.
 const MAX_PIPELINED: usize = 8;
 
-/// How far the unread bytes were looked through. Only whole heads without a body
-/// are told, in order, up to the first message that is something else.
+/// Progress of the lookahead in the unread bytes. It announces complete heads of requests
+/// without a body, in order, and stops at any other message.
 #[derive(Debug, Default)]
 pub struct Lookahead {
-    /// Unread bytes of heads that were told.
+    /// Number of unread bytes in announced heads.
     announced_bytes: usize,
-    /// Bytes after them that were scanned.
+    /// Number of bytes after the announced heads that were scanned for the end of a head.
     scanned_bytes: usize,
-    /// Heads told whose turn has not come.
+    /// Number of announced heads whose requests were not passed to the HTTP library yet.
     announced: usize,
-    /// Whether nothing more may be told until the next turn.
+    /// Whether no further heads are announced until the lookahead is reset by
+    /// [`Self::advance`].
     is_paused: bool,
 }
 
 impl Lookahead {
-    /// The next head that was not told yet.
+    /// Returns the next head that was not announced yet.
     pub fn next(&mut self, unread: &[u8], limit: HeadLimit) -> Option<Bytes> {
         if self.is_paused || self.announced >= MAX_PIPELINED {
             return None;
@@ -52,7 +53,8 @@
         }
     }
 
-    /// The first unread head, of so many bytes, has its turn; whether it was told.
+    /// Records that the first unread head, which ends at `end`, is passed to the HTTP
+    /// library. Returns whether it was announced.
     pub fn advance(&mut self, end: usize) -> bool {
         if self.announced == 0 {
             *self = Self::default();
@@ -63,14 +65,14 @@
         true
     }
 
-    /// Tells nothing until the next turn.
+    /// Announces no further heads until the lookahead is reset.
     pub fn pause(&mut self) {
         self.is_paused = true;
     }
 }
 
-/// The end of the head that `unread` begins with, and its framing; `None` if it is
-/// not whole yet.
+/// Finds the end and the framing of the head at the start of `unread`. `None` if the head
+/// is incomplete.
 pub fn find_head(
     unread: &[u8],
     scanned: usize,
--- a/crates/citronproxy/src/traffic/guard/mod.rs
+++ b/crates/citronproxy/src/traffic/guard/mod.rs
@@ -1,11 +1,11 @@
-//! The caller's side of a connection: nothing reaches the HTTP library whose
-//! begin and end two parsers could see differently.
+//! Validates requests of a client connection before the HTTP library parses them, and
+//! refuses messages whose boundaries two parsers could see differently.
 //!
-//! The library settles some ambiguous messages by a rule of its own, for example
-//! a `Content-Length` beside `Transfer-Encoding`. A balancer in front that uses
-//! another rule would take the rest of one caller's message for the next one's,
-//! and a caller would get an answer to a request that it never sent. Refusing
-//! such messages leaves nothing to disagree on.
+//! The library resolves some ambiguous messages by a rule of its own, for example a
+//! `Content-Length` beside `Transfer-Encoding`. A load balancer in front that uses
+//! another rule would take the rest of one client's message for the start of the next
+//! client's (request smuggling), and a client would get a response to a request that it
+//! never sent. Refusing such messages leaves no room for different interpretations.
 
 mod chunked;
 mod head;
--- a/crates/citronproxy/src/traffic/guard/refusal.rs
+++ b/crates/citronproxy/src/traffic/guard/refusal.rs
@@ -1,32 +1,33 @@
-//! Why a message is refused before it is parsed.
+//! Reasons for refusing a message before it is parsed.
 
 use {http::StatusCode, std::fmt};
 
-/// Path of the request that stands in for a refused one.
+/// Path prefix of the request that replaces a refused one.
 const REFUSED_PATH: &str = "/.citron/refused/";
 
-/// What is wrong with a message.
+/// Reason for refusing a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// A control character, NUL among them, or a line that does not end in CRLF.
+    /// A control character such as NUL, or a line that does not end in CRLF.
     InvalidByte,
     /// A request line that is not `METHOD TARGET HTTP/1.x`.
     RequestLine,
-    /// A header without a valid name, or a space before its colon.
+    /// A header without a valid name, or with a space before its colon.
     HeaderName,
-    /// A header that is continued on the next line.
+    /// A header that continues on the next line (obsolete line folding).
     FoldedHeader,
-    /// A `Content-Length` that is repeated or not a plain number.
+    /// A `Content-Length` that is repeated or is not a plain number.
     ContentLength,
-    /// A `Transfer-Encoding` that is repeated or not just `chunked`.
+    /// A `Transfer-Encoding` that is repeated or is not exactly `chunked`.
     TransferEncoding,
-    /// Both of them.
+    /// Both `Content-Length` and `Transfer-Encoding`.
     ConflictingFraming,
     /// No `Host`, or more than one.
     Host,
-    /// A head that is too large.
+    /// A head that exceeds the configured size or number of headers.
     HeadTooLarge,
-    /// A head that is allowed by now, and too large for a connection that is older.
+    /// A head within the configured size that exceeds the read buffer of this connection,
+    /// which was accepted under a lower limit.
     BufferTooSmall,
 }
 
@@ -44,7 +45,7 @@
         Self::BufferTooSmall,
     ];
 
-    /// The status of the answer.
+    /// HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -53,16 +54,17 @@
         }
     }
 
-    /// A request that the proxy answers with this refusal. It takes the place of
-    /// the refused one, so that the caller gets an answer with its outcome.
+    /// Returns a request that is passed to the HTTP library instead of the refused one.
+    /// The proxy responds to it with this refusal, so that the response states the
+    /// outcome.
     pub fn substitute_request(self) -> Vec<u8> {
         let number = self as u8;
         let line = format!("GET {REFUSED_PATH}{number} HTTP/1.1\r\nhost: refused\r\n");
         format!("{line}connection: close\r\n\r\n").into_bytes()
     }
 
-    /// The refusal that a stand-in's path names. A caller that asks for such a
-    /// path by itself is refused as well.
+    /// Returns the refusal that a substitute request's path names. A client that requests
+    /// such a path itself is refused too.
     pub fn from_path(path: &str) -> Option<Self> {
         let number = path.strip_prefix(REFUSED_PATH)?.parse::<u8>().ok()?;
         Self::ALL
--- a/crates/citronproxy/src/traffic/guard/stream.rs
+++ b/crates/citronproxy/src/traffic/guard/stream.rs
@@ -1,4 +1,4 @@
-//! The guarded socket.
+//! Client socket that passes only validated messages to the HTTP library.
 
 use {
     super::{
@@ -23,46 +23,48 @@
     tokio_util::io::poll_read_buf,
 };
 
-/// Bytes read at a time while a head is looked for.
+/// Size in bytes of one read while a head is incomplete.
 const READ_BYTES: usize = 8 * 1_024;
-/// Bytes of further requests that are read while one is answered.
+/// Maximum number of bytes of pipelined requests that are read while a request is being
+/// answered.
 const READ_AHEAD_BYTES: usize = 16 * 1_024;
-/// How long unread bytes of a caller are thrown away before its connection is
-/// closed: a close with bytes unread resets it, and the answer could be lost.
+/// How long unread bytes of a client are discarded before its connection is closed.
+/// Closing a socket with unread bytes resets the connection, and the response could be
+/// lost.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where the stream of requests stands.
+/// Position in the stream of requests.
 #[derive(Debug)]
 enum Mode {
-    /// In a head; so many bytes of it were scanned.
+    /// In a head of which this many bytes were scanned.
     Head(usize),
-    /// In a body with so many bytes to come.
+    /// In a body with this many bytes remaining.
     Body(u64),
     /// In a chunked body.
     Chunked(ChunkedValidator),
-    /// After a refusal: whatever else comes is ignored.
+    /// After a refused message; further bytes are discarded.
     Refused,
 }
 
 type Timer = Option<Pin<Box<Sleep>>>;
 
-/// A caller's socket that passes on checked messages only.
+/// Client socket that passes only validated messages to its reader.
 #[derive(Debug)]
 pub struct GuardStream {
     stream: TcpStream,
     limits: Limits,
     head_limit: HeadLimit,
     mode: Mode,
-    /// Read, and not passed on yet.
+    /// Bytes that were read from the socket and not yet passed on.
     unread: BytesMut,
-    /// How many of the unread bytes are checked.
+    /// Number of unread bytes that are validated.
     checked_bytes: usize,
     /// Whether a request is being answered.
     is_responding: bool,
-    /// The caller has closed its side, or the connection broke.
+    /// Whether the client closed its side or the connection failed.
     is_closed: bool,
     lookahead: Lookahead,
-    /// Whether the head that had its turn last was told ahead of it.
+    /// Whether the head passed on last was announced by [`Self::poll_pipelined`].
     was_announced: bool,
     head_timer: Timer,
     write_timer: Timer,
@@ -70,7 +72,7 @@
 }
 
 impl GuardStream {
-    /// Guards a socket for a reader of heads of up to `room` bytes.
+    /// Wraps a socket whose reader has a buffer of `buffer` bytes for a head.
     pub fn new(stream: TcpStream, limits: Limits, buffer: usize) -> Self {
         let configured = limits.max_head_bytes;
         Self {
@@ -90,14 +92,14 @@
         }
     }
 
-    /// Heads may have so many bytes from now on.
+    /// Sets the maximum size in bytes of the heads that follow.
     pub fn set_max_head_bytes(&mut self, bytes: usize) {
         self.head_limit.configured = bytes;
     }
 
-    /// The answer to a request begins to be worked out; whether the request was
-    /// told ahead of its turn. Until [`Self::answered`] no further head is passed
-    /// on; heads are told by [`Self::poll_pipelined`] if `ahead` allows it.
+    /// Marks the start of a response. Returns whether its request was announced by
+    /// [`Self::poll_pipelined`] before. Until [`Self::end_response`] no further head is
+    /// passed on; pipelined heads are announced meanwhile if `allow_ahead` is set.
     pub fn begin_response(&mut self, allow_ahead: bool) -> bool {
         self.is_responding = true;
         if !allow_ahead {
@@ -106,13 +108,13 @@
         std::mem::take(&mut self.was_announced)
     }
 
-    /// The answer is known.
+    /// Marks the current response as known, so that the next head can be passed on.
     pub fn end_response(&mut self) {
         self.is_responding = false;
     }
 
-    /// The next head without a body that came while a request is being answered.
-    /// `None` if the caller has gone: its requests are to be given up.
+    /// Returns the next pipelined head without a body while a request is being answered.
+    /// `None` if the client disconnected; its pipelined requests should be cancelled.
     pub fn poll_pipelined(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
         while self.is_held() && !self.is_closed {
             if let Some(head) = self.lookahead.next(&self.unread, self.head_limit) {
@@ -134,7 +136,7 @@
         Poll::Pending
     }
 
-    /// Whether the next head waits for the answer to the one before it.
+    /// Whether the next head is held back until the current request is answered.
     fn is_held(&self) -> bool {
         self.is_responding && self.checked_bytes == 0 && matches!(self.mode, Mode::Head(_))
     }
@@ -146,7 +148,8 @@
         self.checked_bytes -= consumed;
     }
 
-    /// Checks the unread bytes as far as they go.
+    /// Validates the unread bytes up to the end of a head, or as far as they belong to a
+    /// body.
     fn check_unread(&mut self) -> io::Result<()> {
         match &mut self.mode {
             Mode::Head(scanned) => {
@@ -180,8 +183,8 @@
         self.head_timer = None;
     }
 
-    /// Follows a body through `bytes`, or through the unread ones; tells how many
-    /// belong to it.
+    /// Advances through a body by `bytes`, or by the unread bytes if `None`. Returns how
+    /// many bytes belong to the body.
     fn consume_body(&mut self, bytes: Option<&[u8]>) -> io::Result<usize> {
         let bytes = bytes.unwrap_or(&self.unread);
         let (consumed, done) = match &mut self.mode {
@@ -204,7 +207,8 @@
         Ok(consumed)
     }
 
-    /// Reads a part of a body right into `out`; what is beyond its end is kept.
+    /// Reads part of a body directly into `out`; bytes beyond the end of the body become
+    /// unread bytes.
     fn poll_body(&mut self, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = out.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, out))?;
@@ -215,7 +219,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads on in a head; `false` at the end of the stream.
+    /// Reads more of a head. Returns `false` at the end of the stream.
     fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         self.unread.reserve(READ_BYTES);
         match poll_read_buf(Pin::new(&mut self.stream), cx, &mut self.unread)? {
@@ -224,8 +228,9 @@
         }
     }
 
-    /// Ends a connection whose caller sends a head too slowly: each one holds a
-    /// descriptor and memory, and slow ones in number would use up both.
+    /// Fails if the client has not sent a complete head within the timeout. Each
+    /// connection holds a descriptor and memory, and many slow clients would exhaust
+    /// both.
     fn poll_head_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.unread.is_empty() {
             return Poll::Pending;
@@ -238,8 +243,8 @@
         Poll::Ready(Err(ErrorKind::TimedOut.into()))
     }
 
-    /// Ends a connection whose caller reads its answer no more: the answer holds
-    /// a slot of the backend server.
+    /// Fails if the client has not read the response within the timeout, since the
+    /// response holds a slot of the backend server. `done` is the result of the write.
     fn poll_write_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -257,14 +262,14 @@
         Poll::Ready(Err(ErrorKind::TimedOut.into()))
     }
 
-    /// Whether the caller may still be sending what nobody will read.
+    /// Whether the client may still be sending bytes that will not be read.
     fn has_unread_request(&self) -> bool {
         !matches!(self.mode, Mode::Head(_))
     }
 }
 
 fn invalid_chunk() -> io::Error {
-    io::Error::new(ErrorKind::InvalidData, "a malformed chunk")
+    io::Error::new(ErrorKind::InvalidData, "malformed chunk in body")
 }
 
 impl AsyncRead for GuardStream {
@@ -275,7 +280,7 @@
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
         if this.is_held() {
-            // `poll_ahead` reads meanwhile, and sees the end.
+            // `poll_pipelined` reads meanwhile and detects the end of the stream.
             return match this.is_closed {
                 true => Poll::Ready(Ok(())),
                 false => Poll::Pending,
