--- a/crates/citronproxy/src/traffic/attempts.rs
+++ b/crates/citronproxy/src/traffic/attempts.rs
@@ -1,4 +1,4 @@
-//! The tries of one request, each on a connection of its own.
+//! Attempts of one request, each on a connection of its own.
 
 use {
     super::{
@@ -37,50 +37,50 @@
     },
 };
 
-/// How a try ended.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The head of an answer was read.
+    /// The head of a response was read.
     Answered(Box<ServerResponse>),
-    /// It gave none.
+    /// The attempt ended without a response.
     Failed(Event),
 }
 
-/// A server's answer, not yet passed on.
+/// Response of a server that was not forwarded yet.
 #[derive(Debug)]
 pub struct ServerResponse {
-    /// Which try.
+    /// Number of the attempt.
     pub no: AttemptNo,
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// The exchange, which goes on until the answer's end.
+    /// Exchange, which continues until the end of the response body.
     pub exchange: Exchange,
 }
 
-/// One request that is being tried.
+/// Request with the state that its attempts share.
 #[derive(Debug)]
 pub struct Attempts {
-    /// The thread's state.
+    /// State of the traffic thread.
     pub state: Rc<ThreadState>,
-    /// The head, ready to be passed on but for what differs by try.
+    /// Head of the request, prepared for forwarding except for what differs by attempt.
     pub head: Parts,
-    /// The body.
+    /// Body of the request.
     pub body: Rc<ClientBody>,
-    /// When the caller stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
-    /// The revision of the last route that was refused.
+    /// Revision of the last route that a server refused.
     pub refused_revision: Cell<Option<Revision>>,
-    /// The server of the last try.
+    /// Server of the last attempt.
     pub last_server: RefCell<Option<Arc<ServerRow>>>,
-    /// Until when it waits for its key's owner to be certain.
+    /// Time until which the request may wait for a route, over all its attempts.
     pub wait_until: Cell<Option<Time>>,
-    /// Begin and address of the first write on a connection that was used before.
+    /// Time and address of the first write on a reused connection.
     pub first_reused: OnceCell<(Time, SocketAddr)>,
-    /// Tells when the field above is set.
+    /// Notified when [`Self::first_reused`] is set.
     pub reuse_notify: Notify,
 }
 
-/// How far a try has got; outlives it when it is cancelled.
+/// Progress of an attempt, which remains available when the attempt is cancelled.
 #[derive(Debug, Default)]
 struct Progress {
     socket: RefCell<Option<(Rc<SocketState>, u64)>>,
@@ -99,15 +99,16 @@
 }
 
 impl Attempts {
-    /// What tells the request from others.
+    /// Fingerprint of the request in the crash log.
     pub fn fingerprint(&self) -> Fingerprint {
         fingerprint(&self.head, &self.body)
     }
 
-    /// Waits for a slot of the server that owns the key now.
+    /// Waits for a slot of the server that owns the key at present. Without an owner the
+    /// result is `None`.
     ///
     /// # Errors
-    /// [`Denied`], at once, if the request has to come back later.
+    /// [`Denied`], immediately, if the client has to retry later.
     pub async fn admit(&self) -> Result<Option<Slot>, Denied> {
         let first = SendAttempt {
             no: AttemptNo(0),
@@ -116,7 +117,8 @@
             connection: ConnectionPolicy::Any,
             reroute: false,
         };
-        // Without an owner there is no server to wait for; the first try tells so.
+        // Without an owner there is no server to wait for; the first attempt reports
+        // this.
         let Ok(Ok(target)) = timeout(first.timeout, self.wait_target(first)).await else {
             return Ok(None);
         };
@@ -126,7 +128,7 @@
         Ok(Some(slot))
     }
 
-    /// Runs one try to the head of an answer.
+    /// Runs one attempt up to the head of the response.
     pub async fn run(&self, send: SendAttempt) -> AttemptOutcome {
         let progress = Progress::default();
         let outcome = timeout(
@@ -134,8 +136,8 @@
             self.attempt_once(send, &progress),
         )
         .await;
-        // A try that ran out of time was dropped with its connection, so that
-        // nothing is written any more: the point is final.
+        // An attempt that timed out was dropped together with its connection, so nothing
+        // more is written and the stage is final.
         outcome
             .unwrap_or_else(|_| AttemptOutcome::Failed(Event::TimedOut(send.no, progress.stage())))
     }
@@ -162,7 +164,7 @@
         let connection = match self.state.pool.acquire(address, reuse).await {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!("{address}: {error}");
+                log::debug!("no connection to {address}: {error}");
                 return AttemptOutcome::Failed(Event::Lost(send.no, ExchangeStage::Unconnected));
             }
         };
@@ -185,7 +187,7 @@
                 self.classify_response(send.no, response, exchange, revision)
             }
             Err(error) => {
-                log::debug!("{address}: {error}");
+                log::debug!("exchange with {address} failed: {error}");
                 let event = match error {
                     ExchangeError::PermitExpired => Event::Unconfirmed(send.no),
                     ExchangeError::BeforeWrite(_) => Event::Lost(send.no, ExchangeStage::Connected),
@@ -223,7 +225,7 @@
         }))
     }
 
-    /// Waits for the first write on a connection that was used before.
+    /// Waits for the first write on a reused connection.
     pub async fn wait_reused(&self) -> (Time, SocketAddr) {
         loop {
             if let Some(reused) = self.first_reused.get() {
@@ -241,8 +243,8 @@
     }
 }
 
-/// Whether the end of the answer can be told from its being cut short. One that
-/// ends with its connection looks whole wherever it is cut.
+/// Whether the end of a response can be distinguished from its truncation. A response
+/// that ends with its connection looks complete wherever it is cut.
 fn is_delimited(response: &Response<Incoming>) -> bool {
     if response.status() == StatusCode::SWITCHING_PROTOCOLS {
         return false;
--- a/crates/citronproxy/src/traffic/command.rs
+++ b/crates/citronproxy/src/traffic/command.rs
@@ -1,4 +1,4 @@
-//! What control asks of a traffic thread.
+//! Commands to a traffic thread.
 
 use {
     super::{crash_log::CrashEvent, limiters::Quotas, load::LoadSample, state::ThreadState},
@@ -12,65 +12,67 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// A question to one traffic thread. The thread owns what it is asked about,
-/// so that requests take no lock that another thread can hold.
+/// Command or query for one traffic thread. The thread owns the state concerned, so that
+/// requests take no lock that another thread can hold.
 #[derive(Debug)]
 pub enum Command {
-    /// Whether no request that was routed below a revision can still reach a server.
+    /// Queries whether no request that was routed under a revision older than `below` can
+    /// still reach the server or run there.
     IsQuiescent {
-        /// The server.
+        /// Backend server.
         server: ServerName,
-        /// The first revision that does not count.
+        /// First revision that is not concerned.
         below: Revision,
-        /// Takes the answer.
+        /// Receives the result.
         reply: oneshot::Sender<bool>,
     },
-    /// Counts for service-level objectives since the last time they were asked for.
+    /// Takes the counts for service-level objectives since the last such query.
     Tallies {
-        /// Takes the answer.
+        /// Receives the counts by service.
         reply: oneshot::Sender<Vec<(ServiceName, Tally)>>,
     },
-    /// Rates of requests by server since the last time it was asked for.
+    /// Takes the request rates by server since the last such query.
     Demand {
-        /// Takes the answer.
+        /// Receives the rates.
         reply: oneshot::Sender<Vec<(ServerName, Demand)>>,
     },
-    /// Sets what the instance may take of each server.
+    /// Sets the instance's quotas of the servers.
     SetQuotas {
-        /// The parts.
+        /// Quotas that replace the present ones.
         quotas: Arc<Quotas>,
-        /// Told when they are in force.
+        /// Notified when the quotas are in force.
         reply: oneshot::Sender<()>,
     },
-    /// Notes a crash, an answer or what another instance or an operator says.
+    /// Applies an event to the crash log.
     ApplyCrash(CrashEvent),
-    /// What this instance knows of crashes, for the others.
+    /// Queries the crashes known to this instance, for other instances.
     CrashReport {
-        /// Takes the answer.
+        /// Receives the report.
         reply: oneshot::Sender<CrashReport>,
     },
-    /// The requests that crashed servers, for operators.
+    /// Queries the requests that crashed servers, for operators.
     CrashEntries {
-        /// Takes the answer.
+        /// Receives the entries.
         reply: oneshot::Sender<Vec<CrashEntry>>,
     },
     /// Adds this thread's counts to the shared metrics.
     Metrics {
-        /// Takes the number of requests under way.
+        /// Receives the number of requests in flight.
         reply: oneshot::Sender<usize>,
     },
-    /// Load since the last time it was asked for.
+    /// Takes the load by scope since the last such query.
     Load {
-        /// Takes the answer.
+        /// Receives the samples.
         reply: oneshot::Sender<Vec<LoadSample>>,
     },
 }
 
-/// Answers questions until the other side is gone.
+/// Executes commands until the sender is closed.
 pub async fn serve(mut commands: mpsc::UnboundedReceiver<Command>, state: Rc<ThreadState>) {
     while let Some(command) = commands.recv().await {
         let mut in_flight = state.in_flight.borrow_mut();
-        // Whoever asked may have stopped waiting.
+        // The sender of a command may have dropped its receiver; replies to it are
+        // discarded.
         match command {
             Command::IsQuiescent {
                 server,
--- a/crates/citronproxy/src/traffic/connection.rs
+++ b/crates/citronproxy/src/traffic/connection.rs
@@ -1,11 +1,11 @@
-//! A caller's connection, from its first byte to its end.
+//! A client connection, from its first byte to its end.
 //!
-//! A caller may send further requests before the first one is answered. The HTTP
-//! library takes them one by one, so that one slow request would keep those behind
-//! it from their servers although each of them has a server of its own: with
-//! requests of 0.1 s and objectives of 0.3 s the third one of a row is late before
-//! it is sent. Requests that are safe are begun as they come; answers leave in the
-//! order of the requests.
+//! A client may pipeline requests, that is, send more before the first one is answered.
+//! The HTTP library handles requests one at a time, so a slow request would delay those
+//! behind it although each may go to another server: with requests of 0.1 s and a latency
+//! objective of 0.3 s, the third request of a sequence would be late before it is sent.
+//! Requests with safe methods are therefore started as they arrive; responses are sent in
+//! the order of the requests.
 
 use {
     super::{
@@ -34,39 +34,41 @@
     },
 };
 
-/// Bytes that are buffered of one caller's connection, each way, unless heads may be
-/// larger.
+/// Minimum size in bytes of each buffer of a client connection. A higher limit on heads
+/// enlarges the buffers.
 const MIN_BUFFER_BYTES: usize = 64 * 1_024;
 
-/// What answers the requests of a connection.
+/// Handler of the requests of a connection.
 pub trait RequestHandler: Clone + 'static {
-    /// The body of an answer.
+    /// Type of the response bodies.
     type Body: Body + 'static;
 
-    /// Answers a request; one without a body if that is `None`.
+    /// Handles a request; `None` means that it has no body.
     fn handle(
         self,
         head: Parts,
         body: Option<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + 'static;
 
-    /// Whether a request without a body may be answered while one before it is not.
+    /// Whether a request without a body may be handled while an earlier one is still
+    /// being answered.
     fn can_start_early(&self, head: &Parts) -> bool;
 
-    /// Bytes that a request's head may have now: connections outlive settings.
+    /// Current maximum size of a request head in bytes. It can change while a connection
+    /// is open.
     fn max_head_bytes(&self) -> usize;
 }
 
-/// Answers a caller's requests until it closes the connection, or until `closing`
-/// resolves and the request under way has ended.
+/// Serves a client connection until the client closes it, or until `closing` resolves and
+/// the current request is answered.
 pub async fn serve<S>(stream: TcpStream, limits: Limits, closing: impl Future, handler: S)
 where
     S: RequestHandler,
     <S::Body as Body>::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        // The caller has gone already.
-        log::debug!("a caller's connection: {error}");
+        // Fails if the client has disconnected already.
+        log::debug!("client connection not served: {error}");
         return;
     }
     let buffer = limits.max_head_bytes.max(MIN_BUFFER_BYTES);
@@ -100,27 +102,30 @@
         ended
     });
     if let Err(error) = ended.await {
-        log::debug!("caller's connection ended: {error}");
+        log::debug!("client connection ended: {error}");
     }
 }
 
-/// One caller's connection.
+/// State of one client connection.
 struct ClientConnection<S: RequestHandler> {
     guard: RefCell<GuardStream>,
-    /// Requests that were told ahead; `None` for one that waits for its turn.
+    /// Pipelined requests that were announced by the guard, in order; `None` for a
+    /// request that was not started early.
     pipelined: RefCell<VecDeque<Option<PipelinedRequest<S::Body>>>>,
     handler: S,
 }
 
 impl<S: RequestHandler> ClientConnection<S> {
-    /// Takes a request that has its turn. Not a future yet: the library may read on
-    /// before it polls one, and would be given the next head.
+    /// Starts to handle a request that the HTTP library has read. It is not an `async
+    /// fn`, as the library may read on before it polls the future, and the guard would
+    /// then pass on the next head.
     fn start(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<S::Body>, Infallible>> {
         let (head, body) = request.into_parts();
-        // A request behind one that changes something may depend on it.
+        // A request behind one with an unsafe method may depend on the effects of that
+        // one, so it is not started early.
         let was_announced = self
             .guard
             .borrow_mut()
@@ -147,21 +152,22 @@
             None => self.handler.clone().handle(head, Some(body)).await,
         };
         if !self.pipelined.borrow().is_empty() {
-            // Answers that are worked out would be thrown away with the connection.
+            // Closing the connection would discard the responses to the pipelined
+            // requests.
             response.headers_mut().remove(header::CONNECTION);
         }
         self.guard.borrow_mut().end_response();
         Ok(response)
     }
 
-    /// The guard, to read heads that are allowed now.
+    /// Borrows the guard for reading, after updating the maximum size of heads.
     fn guard_for_read(&self) -> RefMut<'_, GuardStream> {
         let mut guard = self.guard.borrow_mut();
         guard.set_max_head_bytes(self.handler.max_head_bytes());
         guard
     }
 
-    /// Begins what has come behind the request under way.
+    /// Starts the requests that arrived behind the current one.
     fn poll_pipelined(&self, cx: &mut Context<'_>) {
         loop {
             let announced = self.guard_for_read().poll_pipelined(cx);
@@ -171,7 +177,7 @@
                     self.pipelined.borrow_mut().push_back(pipelined);
                 }
                 Poll::Ready(None) => {
-                    // The library is to see the end, too.
+                    // The HTTP library has to see the end of the stream as well.
                     cx.waker().wake_by_ref();
                     return;
                 }
@@ -190,7 +196,7 @@
     }
 }
 
-/// The guarded socket, for the HTTP library.
+/// The guarded socket as the HTTP library's stream.
 struct SharedGuard<S: RequestHandler>(Rc<ClientConnection<S>>);
 
 impl<S: RequestHandler> AsyncRead for SharedGuard<S> {
--- a/crates/citronproxy/src/traffic/crash_log.rs
+++ b/crates/citronproxy/src/traffic/crash_log.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers, as one traffic thread knows of them.
+//! Log of requests that crashed servers, kept by each traffic thread.
 
 use {
     super::request_body::ClientBody,
@@ -14,46 +14,46 @@
     },
 };
 
-/// Header by which a caller tells that two requests are the same one.
+/// Request header by which a client identifies retries of the same request.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// News of crashes. Every thread gets all of them, in the same order but for
-/// those that happen at the same time, and so keeps the same log.
+/// Event of the crash log. Every thread receives all events, in the same order except for
+/// simultaneous ones, so that all threads have the same log.
 #[derive(Debug, Clone)]
 pub enum CrashEvent {
-    /// A connection died with the request in flight.
+    /// A connection was lost with a request in flight.
     Crashed {
-        /// Which request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
         /// Method and path, for operators.
         label: String,
-        /// Whose connection died.
+        /// Server of the connection.
         server: ServerName,
     },
-    /// Such a request was answered whole.
+    /// A request with this fingerprint was answered.
     Answered(Fingerprint),
-    /// An operator lets such requests through again.
+    /// An operator lifted the quarantine of this fingerprint.
     Lift(Fingerprint),
-    /// What another instance counted.
+    /// Another instance reported its crashes.
     Reported {
-        /// Who.
+        /// Identity of the other instance.
         from: (InstanceId, Incarnation),
-        /// What.
+        /// The report.
         report: CrashReport,
     },
 }
 
-/// The log of one thread.
+/// Crash log of one thread.
 #[derive(Debug)]
 pub struct CrashLog {
     tracker: RefCell<CrashTracker>,
-    /// Whether anything was ever noted: else no request needs a fingerprint.
+    /// Whether the log has entries; otherwise no request needs a fingerprint.
     has_entries: Cell<bool>,
     clock: Clock,
 }
 
 impl CrashLog {
-    /// Nothing noted.
+    /// Creates an empty log.
     pub fn new(clock: Clock) -> Self {
         Self {
             tracker: RefCell::new(CrashTracker::new(CrashConfig::STANDARD)),
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Whether requests have to be looked at.
+    /// Whether the log has entries, so that requests have to be checked against it.
     pub fn has_entries(&self) -> bool {
         self.has_entries.get()
     }
 
-    /// Whether such requests crashed a server.
+    /// Whether requests with this fingerprint crashed a server.
     pub fn has_crash(&self, fingerprint: Fingerprint) -> bool {
         self.has_entries()
             && self
@@ -76,7 +76,7 @@
                 .has_crash(fingerprint, self.clock.now())
     }
 
-    /// Takes in news.
+    /// Applies an event.
     pub fn apply(&self, event: CrashEvent) {
         let now = self.clock.now();
         let mut tracker = self.tracker.borrow_mut();
@@ -93,26 +93,27 @@
         self.has_entries.set(!tracker.entries(now).is_empty());
     }
 
-    /// How much longer such requests are refused.
+    /// Remaining time for which requests with this fingerprint are refused; `None` if
+    /// they are not refused.
     pub fn refused_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
         self.tracker
             .borrow()
             .refused_for(fingerprint, self.clock.now())
     }
 
-    /// What this instance knows, for the others.
+    /// Report of the crashes known to this instance, for other instances.
     pub fn report(&self) -> CrashReport {
         self.tracker.borrow_mut().report(self.clock.now())
     }
 
-    /// What operators see.
+    /// Entries, for operators.
     pub fn entries(&self) -> Vec<CrashEntry> {
         self.tracker.borrow().entries(self.clock.now())
     }
 }
 
-/// What tells a request from others: head, length and the body as far as it is
-/// kept, which is all of a small one.
+/// Fingerprint of a request: method, path, idempotency key, length, and the body as far
+/// as it is buffered, which is all of a small one.
 pub fn fingerprint(head: &Parts, body: &ClientBody) -> Fingerprint {
     let path = head.uri.path_and_query().map_or("", |path| path.as_str());
     let key = head.headers.get(IDEMPOTENCY_KEY);
--- a/crates/citronproxy/src/traffic/deadline.rs
+++ b/crates/citronproxy/src/traffic/deadline.rs
@@ -1,4 +1,4 @@
-//! How long a request may take.
+//! Deadlines of requests.
 
 use {
     citron_core::time::Time,
@@ -6,12 +6,12 @@
     std::time::Duration,
 };
 
-/// Request header, from callers and to backend servers: milliseconds that the
-/// request may still take.
+/// Header of requests from clients and to backend servers: remaining time of the request
+/// in milliseconds.
 pub const HEADER_TIMEOUT: &str = "citron-timeout-ms";
 
-/// The deadline of a request that arrived at `now`: the caller's, but no later
-/// than the service's. `None` if the caller's is not a number above zero.
+/// Deadline of a request that arrived at `now`: the client's, but at most `service_max`
+/// from now. `None` if the client's header is not a positive number.
 pub fn request_deadline(headers: &HeaderMap, now: Time, service_max: Duration) -> Option<Time> {
     let Some(value) = headers.get(HEADER_TIMEOUT) else {
         return Some(now + service_max);
@@ -21,7 +21,8 @@
     (millis > 0).then(|| now + requested.min(service_max))
 }
 
-/// Tells a backend server how long it may take: until the deadline, rounded down.
+/// Sets the header with the time remaining until the deadline, rounded down to
+/// milliseconds.
 pub fn set_timeout_header(headers: &mut HeaderMap, deadline: Time, now: Time) {
     let remaining = deadline - now;
     let millis = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
--- a/crates/citronproxy/src/traffic/driver.rs
+++ b/crates/citronproxy/src/traffic/driver.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to the head of its answer.
+//! Processing of one request up to the head of its response.
 
 use {
     super::{
@@ -22,11 +22,12 @@
     tokio::time::sleep,
 };
 
-/// When an idempotent request on a connection that was used before is sent again
-/// on a new one, at the latest: the old one may have gone silent.
+/// Delay after which an idempotent request on a reused connection is sent again on a new
+/// one, while too few latencies of the server are known. The reused connection may be
+/// dead without having been reset.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Drives a request by what core decides.
+/// Executes the steps that the routing core decides on for one request.
 #[derive(Debug)]
 pub struct RequestDriver<'a> {
     attempts: &'a Attempts,
@@ -37,7 +38,7 @@
 }
 
 impl<'a> RequestDriver<'a> {
-    /// A request of a service.
+    /// Creates the driver of a request.
     pub fn new(attempts: &'a Attempts, service: &'a ServiceName, idempotent: bool) -> Self {
         let body = match attempts.body.is_complete() {
             true => RequestBody::Buffered,
@@ -58,9 +59,9 @@
         }
     }
 
-    /// Runs it to the head of the answer; tells how many tries it took. Dropping
-    /// the future, as when the caller leaves, ends all its exchanges with their
-    /// connections.
+    /// Runs the request up to the head of the response and returns the number of
+    /// attempts. Dropping the future, as when the client disconnects, closes the
+    /// connections of all its exchanges.
     pub async fn run(mut self) -> (Response<ResponseBody>, u32) {
         let response = self.drive().await;
         (response, self.retry_state.attempts())
@@ -118,8 +119,8 @@
         }
     }
 
-    /// The refusal of a request like those that crashed servers: sent on, it
-    /// would take down one server after the other.
+    /// Denial of a request whose fingerprint is quarantined. If forwarded, the request
+    /// could crash one server after the other.
     fn quarantine_denial(&self) -> Option<Event> {
         let crash_log = &self.attempts.state.crash_log;
         if !crash_log.has_entries() {
@@ -130,8 +131,8 @@
         Some(Event::Denied { reason, wait })
     }
 
-    /// Clears crashes of such requests. All other threads are told, under a lock:
-    /// requests that crashed nothing must not pay for that.
+    /// Clears the crashes of this fingerprint on all threads. That takes a lock, so
+    /// requests without recorded crashes return early.
     fn report_answered(&self) {
         let state = &self.attempts.state;
         if !state.crash_log.has_entries() {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Notes a connection that died while the server had the request.
+    /// Records a connection that was lost while the server had the request.
     fn report_crash(&self, event: Event) {
         let attempts = self.attempts;
         if let Event::Lost(_, stage) = event
@@ -186,14 +187,15 @@
             AttemptOutcome::Answered(received) => {
                 let no = received.no;
                 self.report_answered();
-                // The first answer is passed on; a later one ends here.
+                // The first response is forwarded; later ones are dropped.
                 self.response.get_or_insert(received);
                 Event::Answered(no)
             }
         }
     }
 
-    /// Tells the server's gate what a failure says of the server's load.
+    /// Sets the reason with which the slot is released, by what the failure indicates
+    /// about the server's load.
     fn record_release(&mut self, event: Event) {
         let release = match event {
             Event::Refused { .. } => ReleaseReason::Refused,
@@ -205,8 +207,8 @@
         }
     }
 
-    /// Suspects the old connections of a server if a request on one of them got
-    /// no bytes until its time was up.
+    /// Evicts older idle connections of a server after a request on a reused connection
+    /// received no bytes until it timed out.
     fn evict_if_silent(&self, event: Event) {
         if let (Event::TimedOut(AttemptNo(1), _), Some((written_at, address))) =
             (event, self.attempts.first_reused.get().copied())
@@ -215,9 +217,9 @@
         }
     }
 
-    /// Whether the request may be sent once more while a try is open.
+    /// Whether the request may be sent once more while an attempt is open.
     fn can_hedge(&self, open: usize) -> bool {
-        // A body that is still being read cannot be read twice.
+        // A body that is still being read cannot be read a second time.
         let body = &self.attempts.body;
         let is_buffered = body.is_complete() && body.is_replayable();
         open == 1 && is_buffered && self.retry_state.can_hedge()
@@ -227,8 +229,8 @@
         let Some(received) = self.response.take() else {
             return internal_error();
         };
-        // A later try overtook the first: its connection, which was used before,
-        // may have gone silent together with others of its age.
+        // A later attempt was faster than the first. The reused connection of the first
+        // may be dead, together with others of its age.
         if no > AttemptNo(1)
             && let Some((written_at, address)) = self.attempts.first_reused.get().copied()
         {
@@ -242,7 +244,7 @@
         response
     }
 
-    /// The answer to a caller whose body cannot be passed on whole.
+    /// Response to a client whose body cannot be forwarded completely.
     fn body_error_response(&self, event: Event) -> Option<Response<ResponseBody>> {
         let (status, reason) = if self.attempts.body.is_too_large() {
             (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
@@ -254,7 +256,7 @@
         } else {
             return None;
         };
-        // Once a part is with the server, nobody knows what it makes of it.
+        // Once part of the request was written, it is unknown whether the server ran it.
         let is_unsent = matches!(event, Event::Lost(AttemptNo(1), stage) if stage.is_unsent());
         let outcome = if is_unsent {
             Outcome::NotRun
@@ -265,8 +267,8 @@
     }
 }
 
-/// Resolves when a try on a connection that was used before should have its
-/// answer by all experience, or has received nothing for too long.
+/// Resolves when an attempt on a reused connection should have had its response by the
+/// server's observed latencies, or after [`SILENCE_TIMEOUT`] while these are unknown.
 async fn wait_hedge_due(attempts: &Attempts) {
     let (written_at, address) = attempts.wait_reused().await;
     let state = &attempts.state;
--- a/crates/citronproxy/src/traffic/exchange.rs
+++ b/crates/citronproxy/src/traffic/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on one connection.
+//! One request and its response on one connection.
 
 use {
     super::{
@@ -14,22 +14,22 @@
     thiserror::Error,
 };
 
-/// Why an exchange gave no answer.
+/// Reason why an exchange ended without a response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The leave to route had ended when the request was to be written.
-    #[error("the owner of the key is not certain now")]
+    /// The routing lease had expired right before the request was written.
+    #[error("routing lease expired before the write")]
     PermitExpired,
-    /// The connection broke before a byte of the request was written.
-    #[error("before the request: {0}")]
+    /// The connection failed before any byte of the request was written.
+    #[error("connection failed before the request was written: {0}")]
     BeforeWrite(hyper::Error),
-    /// It broke after that.
-    #[error("after the request was begun: {0}")]
+    /// The connection failed after bytes of the request were written.
+    #[error("connection failed after the start of the request: {0}")]
     AfterWrite(hyper::Error),
 }
 
-/// An exchange under way. Dropped before its end, it takes the connection with
-/// it: an answer that is still to come must never meet another request.
+/// Exchange in progress. Dropping it early closes the connection, since a response that
+/// arrives late must never be taken for that of another request.
 #[derive(Debug)]
 pub struct Exchange {
     in_flight: InFlightRequest,
@@ -41,7 +41,7 @@
 }
 
 impl Exchange {
-    /// Puts a connection to a request's use.
+    /// Creates an exchange that uses the connection for one request.
     pub fn new(
         pool: &Pool,
         address: SocketAddr,
@@ -59,11 +59,12 @@
         }
     }
 
-    /// Writes the request and reads the head of the answer. The server may run
-    /// it until `until`.
+    /// Writes the request and reads the head of the response. The server may run the
+    /// request until `runs_until`.
     ///
     /// # Errors
-    /// All but [`ExchangeError::AfterWrite`] are certain: the server saw nothing.
+    /// With any error but [`ExchangeError::AfterWrite`], the server has received nothing
+    /// of the request.
     pub async fn send(
         &mut self,
         request: Request<UpstreamBody>,
@@ -86,13 +87,14 @@
         })
     }
 
-    /// Whether the request's body is small enough to be kept.
+    /// Whether the request body is small enough to be buffered completely.
     pub fn is_replayable(&self) -> bool {
         self.body.is_replayable()
     }
 
-    /// Ends it with a whole answer. The connection is kept only if the whole
-    /// request was written too: the server would take the rest for a new one.
+    /// Ends the exchange after a complete response. The connection is reused only if the
+    /// request was written completely too; otherwise the server would take the rest of it
+    /// for a new request.
     pub fn finish(mut self) {
         self.in_flight.mark_settled();
         if self.body.is_complete() {
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Ends it with the server's promise that it does not run the request.
+    /// Ends the exchange after the server guaranteed that it does not run the request.
+    /// `is_complete` states whether the response was read completely.
     pub fn finish_refused(mut self, is_complete: bool) {
         self.in_flight.mark_settled();
         if is_complete {
--- a/crates/citronproxy/src/traffic/handle.rs
+++ b/crates/citronproxy/src/traffic/handle.rs
@@ -1,4 +1,4 @@
-//! What control sees of traffic.
+//! Interface of the traffic threads to the rest of the instance.
 
 use {
     super::{
@@ -29,10 +29,10 @@
     },
 };
 
-/// The pause between two rounds of questions to the threads.
+/// Interval at which [`TrafficHandle::wait_quiescent`] queries the threads.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Hands snapshots to the traffic threads without a lock, and asks them things.
+/// Publishes snapshots to the traffic threads without a lock and sends them commands.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficHandle {
     shared: Arc<Shared>,
@@ -41,7 +41,8 @@
 #[derive(Debug, Default)]
 struct Shared {
     snapshot: ArcSwapOption<Snapshot>,
-    /// One channel a thread; locked by control only, never by a request.
+    /// Command channel of each thread. Ordinary requests do not lock the list; control,
+    /// requests for the metrics and crash events do.
     threads: Mutex<Vec<mpsc::UnboundedSender<Command>>>,
     published: watch::Sender<Revision>,
     phase: watch::Sender<Phase>,
@@ -49,8 +50,8 @@
 }
 
 impl TrafficHandle {
-    /// Makes a snapshot the one that requests are routed by from now on. An
-    /// older revision than the one in force is ignored.
+    /// Publishes the snapshot by which requests are routed from now on. A snapshot with
+    /// an older revision than the current one is ignored.
     pub fn publish(&self, snapshot: Snapshot) {
         let revision = snapshot.map.revision;
         if revision < *self.shared.published.borrow() {
@@ -60,26 +61,26 @@
         self.shared.published.send_replace(revision);
     }
 
-    /// The snapshot in force; `None` until the first one is published.
+    /// Current snapshot; `None` until the first one is published.
     pub fn snapshot(&self) -> Guard<Option<Arc<Snapshot>>> {
         self.shared.snapshot.load()
     }
 
-    /// Tells every publication of a snapshot.
+    /// Subscribes to the revisions of published snapshots.
     pub fn subscribe_revisions(&self) -> watch::Receiver<Revision> {
         self.shared.published.subscribe()
     }
 
-    /// Resolves once no request that was routed under a revision older than
-    /// `below` can still be written to the server or run there for this instance.
+    /// Resolves once no request that was routed under a revision older than `below` can
+    /// still be written to the server or run there on behalf of this instance.
     ///
-    /// It waits for `below` to be published: until then new requests would still
-    /// be routed under an older one. A written request whose caller or connection
-    /// went away counts until its deadline, which the server was told.
+    /// It waits until `below` is published, since until then new requests would still be
+    /// routed under an older revision. A written request whose client or connection was
+    /// lost counts until its deadline, which was sent to the server.
     pub async fn wait_quiescent(&self, server: &ServerName, below: Revision) {
         loop {
-            // The order matters: a thread that answers after the publication
-            // routes nothing more under an older revision.
+            // The order matters: a thread that replies after the publication routes
+            // nothing more under an older revision.
             let is_published = *self.shared.published.borrow() >= below;
             if is_published && self.is_quiescent(server, below).await {
                 return;
@@ -95,7 +96,7 @@
             reply,
         });
         for reply in replies {
-            // A thread that has ended has no request left.
+            // A thread that has ended has no requests left.
             if !reply.await.unwrap_or(true) {
                 return false;
             }
@@ -103,8 +104,7 @@
         true
     }
 
-    /// Load of every scope since this was last asked, in the order of service
-    /// and scope.
+    /// Takes the load of every scope since the last call, ordered by service and scope.
     pub async fn take_loads(&self) -> Vec<LoadSample> {
         let mut samples = Vec::new();
         for reply in self.query_all(|reply| Command::Load { reply }) {
@@ -113,7 +113,7 @@
         merge(samples)
     }
 
-    /// Counts for service-level objectives since this was last asked.
+    /// Takes the counts for service-level objectives since the last call.
     pub async fn take_tallies(&self) -> BTreeMap<ServiceName, Tally> {
         let mut tallies: BTreeMap<ServiceName, Tally> = BTreeMap::new();
         for reply in self.query_all(|reply| Command::Tallies { reply }) {
@@ -124,8 +124,8 @@
         tallies
     }
 
-    /// Rates of requests by server since this was last asked, for the exchange
-    /// with other instances.
+    /// Takes the request rates by server since the last call, for the exchange with other
+    /// instances.
     pub async fn take_demand(&self) -> BTreeMap<ServerName, Demand> {
         let mut sums = BTreeMap::new();
         for reply in self.query_all(|reply| Command::Demand { reply }) {
@@ -138,8 +138,8 @@
         sums
     }
 
-    /// Sets what this instance may take of each server; of a server without a
-    /// part it takes all slots. Resolves when the parts are in force.
+    /// Sets this instance's quotas of the servers. Of a server without a quota, the
+    /// instance may use all slots. Resolves when the quotas are in force.
     pub async fn set_quotas(&self, servers: BTreeMap<ServerName, ServerQuota>) {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner).len();
@@ -150,13 +150,13 @@
             reply,
         });
         for reply in replies {
-            // A thread that has ended needs no part.
+            // A thread that has ended needs no quotas.
             let _ = reply.await;
         }
     }
 
-    /// Tells all threads of a crash, an answer, a lift or another instance's count.
-    /// Called only when a request failed that way, or by control.
+    /// Sends a crash event to all threads. Takes a lock, so it is called only by control
+    /// and when a crash is recorded or cleared.
     pub fn send_crash_event(&self, event: &CrashEvent) {
         let threads = self.shared.threads.lock();
         let threads = threads.unwrap_or_else(PoisonError::into_inner);
@@ -165,14 +165,14 @@
         }
     }
 
-    /// What this instance counted of crashes, for the others.
+    /// Report of the crashes that this instance knows, for other instances.
     pub async fn crash_report(&self) -> Option<CrashReport> {
-        // All threads keep the same log.
+        // All threads have the same crash log, so one reply is enough.
         let replies = self.query_all(|reply| Command::CrashReport { reply });
         replies.into_iter().next()?.await.ok()
     }
 
-    /// The requests that crashed servers, for operators.
+    /// Requests that crashed servers, for operators.
     pub async fn crash_entries(&self) -> Vec<CrashEntry> {
         let replies = self.query_all(|reply| Command::CrashEntries { reply });
         match replies.into_iter().next() {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// All metrics as text, in the format of Prometheus.
+    /// All metrics in the Prometheus text format.
     pub async fn metrics(&self) -> String {
         let mut in_flight = 0;
         for reply in self.query_all(|reply| Command::Metrics { reply }) {
@@ -192,12 +192,12 @@
         metrics.to_text()
     }
 
-    /// Where the other parts of the instance add metrics of their own.
+    /// Registry to which other modules of the instance add their metrics.
     pub fn registry(&self) -> &Registry {
         self.shared_metrics().registry()
     }
 
-    /// The metrics that the threads add to.
+    /// Metrics that the threads add to.
     pub(super) fn shared_metrics(&self) -> &Metrics {
         let new = || Metrics::new().expect("the names are valid");
         self.shared.metrics.get_or_init(new)
@@ -211,14 +211,15 @@
         let threads = threads.unwrap_or_else(PoisonError::into_inner);
         let replies = threads.iter().map(|thread| {
             let (sender, receiver) = oneshot::channel();
-            // A refused question drops `reply`, which the answer's side sees.
+            // Sending to a thread that has ended drops `sender`, and the receiver then
+            // yields an error.
             let _ = thread.send(make(sender));
             receiver
         });
         replies.collect()
     }
 
-    /// Takes in a new thread; its questions arrive at the receiver.
+    /// Registers a new thread and returns the receiver of its commands.
     pub(super) fn register_thread(&self) -> mpsc::UnboundedReceiver<Command> {
         let (thread, commands) = mpsc::unbounded_channel();
         let threads = self.shared.threads.lock();
@@ -226,14 +227,14 @@
         commands
     }
 
-    /// Begins the drain: not ready any more, and every connection ends with the
-    /// answer it is about. Connections are still taken, since callers learn only
-    /// after a while that the instance leaves.
+    /// Starts draining: the instance is no longer ready, and each connection is closed
+    /// after its current response. Connections are still accepted, since clients notice
+    /// only after a while that the instance is shutting down.
     pub fn drain(&self) {
         self.advance(Phase::Draining);
     }
 
-    /// Ends the taking of connections; requests under way go on to their end.
+    /// Stops accepting connections; requests in progress are completed.
     pub fn stop(&self) {
         self.advance(Phase::Closing);
     }
@@ -256,12 +257,12 @@
         }
     }
 
-    /// Where the instance stands between its start and its end.
+    /// Current lifecycle phase.
     pub fn phase(&self) -> Phase {
         *self.shared.phase.borrow()
     }
 
-    /// Tells when the phase changes.
+    /// Subscribes to changes of the phase.
     pub(super) fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.shared.phase.subscribe()
     }
--- a/crates/citronproxy/src/traffic/in_flight.rs
+++ b/crates/citronproxy/src/traffic/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that a backend server may be running for this thread.
+//! Table of requests of one traffic thread that a backend server may be running.
 
 use {
     super::{load::ScopeLoads, slo_counters::SloCounters},
@@ -14,8 +14,8 @@
     std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration},
 };
 
-/// How much later a server may read a request than it was written; the server
-/// counts the deadline from then.
+/// Allowance for the time between the write of a request and its read by the server,
+/// which counts the deadline from the read.
 const READ_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     runs_until: Time,
 }
 
-/// The table of one thread.
+/// In-flight table of one traffic thread.
 #[derive(Debug)]
 pub struct InFlightTable {
     /// Load by scope.
@@ -44,7 +44,7 @@
 }
 
 impl InFlightTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(clock: Clock) -> Self {
         Self {
             load: ScopeLoads::default(),
@@ -56,11 +56,11 @@
         }
     }
 
-    /// Whether no request that was routed below a revision can still reach the
-    /// server or run there.
+    /// Whether no request that was routed under a revision older than `below` can still
+    /// reach the server or run there.
     ///
-    /// A request that was written and then abandoned may still run; the server
-    /// was told its deadline, so it counts until then.
+    /// An abandoned request, which was written and whose client or connection was lost,
+    /// may still run. It counts until its deadline, which was sent to the server.
     pub fn is_quiescent(&mut self, server: &ServerName, below: Revision) -> bool {
         let now = self.clock.now();
         self.abandoned
@@ -74,12 +74,12 @@
         !is_open && !may_run
     }
 
-    /// How many requests are under way.
+    /// Number of requests in progress.
     pub fn count(&self) -> usize {
         self.entries.len()
     }
 
-    /// When the last abandoned request can run no more; `None` if there is none.
+    /// Latest time at which an abandoned request may still run; `None` if there is none.
     pub fn abandoned_until(&self) -> Option<Time> {
         self.abandoned
             .iter()
@@ -88,7 +88,7 @@
     }
 }
 
-/// One request's entry; taken out when dropped.
+/// Entry of one request, which is removed when dropped.
 #[derive(Debug)]
 pub struct InFlightRequest {
     in_flight: Rc<RefCell<InFlightTable>>,
@@ -100,8 +100,8 @@
 }
 
 impl InFlightRequest {
-    /// Enters a request in the same step that read the snapshot, so that no
-    /// question about an older revision can come between the two.
+    /// Registers a request. Called in the same synchronous step that reads the snapshot,
+    /// so that no query about an older revision can be served between the two.
     pub fn register(
         in_flight: &Rc<RefCell<InFlightTable>>,
         service: &Arc<ServiceRoutes>,
@@ -124,14 +124,14 @@
         }
     }
 
-    /// Notes that the request is being written and may run until its deadline.
+    /// Records that the request is being written and may run until `runs_until`.
     pub fn mark_written(&mut self, runs_until: Time) {
         let now = self.in_flight.borrow().clock.now();
         self.written_at.get_or_insert(now);
         self.runs_until = Some(runs_until);
     }
 
-    /// Notes that the server runs it no more, or never did.
+    /// Records that the server does not run the request any more or never did.
     pub fn mark_settled(&mut self) {
         self.runs_until = None;
     }
--- a/crates/citronproxy/src/traffic/limiters.rs
+++ b/crates/citronproxy/src/traffic/limiters.rs
@@ -1,4 +1,4 @@
-//! The limits of backend servers, as one traffic thread keeps to them.
+//! Concurrency and rate limits of backend servers as enforced by one traffic thread.
 
 use {
     crate::clock::Clock,
@@ -27,31 +27,31 @@
     },
 };
 
-/// While nothing is known of other instances, every thread may hold a slot: a
-/// wait for a fraction of one would leave slots idle.
+/// Minimum share of a thread in slots for a server without a quota, as while other
+/// instances are unknown: waiting for a fraction of a slot would leave slots idle.
 const MIN_SHARE_SLOTS: f64 = 1.0;
 
-/// Why a request does not get a slot.
+/// Denial of a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Denied {
-    /// Why.
+    /// Reason for the denial.
     pub reason: FailureReason,
-    /// When to come back.
+    /// Expected wait, after which the client may retry.
     pub wait: Duration,
 }
 
-/// One server's gate, and the requests that wait at it.
+/// Admission controller of one server, with the requests that wait for it.
 #[derive(Debug)]
 struct ServerLimiter {
     controller: RefCell<AdmissionController>,
     waiters: RefCell<FxHashMap<Ticket, oneshot::Sender<Result<Slot, Denied>>>>,
-    /// What the gate was last set to.
+    /// Quota that the controller was last set to.
     quota: Cell<Option<ServerQuota>>,
     wake: Notify,
     clock: Clock,
 }
 
-/// The gates of one thread.
+/// Limiters of one thread by server.
 #[derive(Debug)]
 pub struct ServerLimiters {
     limiters: RefCell<FxHashMap<ServerName, Rc<ServerLimiter>>>,
@@ -60,17 +60,17 @@
     clock: Clock,
 }
 
-/// What this instance may take of each server, all its threads together.
+/// Quotas of this instance, over all its threads.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Quotas {
-    /// The parts; a server without one is not shared with other instances.
+    /// Quotas by server; a server without one is not shared with other instances.
     pub servers: BTreeMap<ServerName, ServerQuota>,
-    /// How many threads share them.
+    /// Number of threads that share the quotas.
     pub threads: usize,
 }
 
 impl ServerLimiters {
-    /// No gate yet.
+    /// Creates an empty set of limiters.
     pub fn new(clock: Clock) -> Self {
         Self {
             limiters: RefCell::default(),
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Replaces the parts of all servers.
+    /// Replaces the quotas of all servers.
     pub fn set_quotas(&self, quotas: Arc<Quotas>) {
         self.quotas.replace(quotas);
     }
 
-    /// The rates of late, by server; they begin anew.
+    /// Takes the recent request rates by server and resets them.
     pub fn take_demand(&self) -> Vec<(ServerName, Demand)> {
         let now = self.clock.now();
         let limiters = self.limiters.borrow();
@@ -98,7 +98,7 @@
     /// Waits for a slot of a server.
     ///
     /// # Errors
-    /// [`Denied`], at once, if the wait would last too long.
+    /// [`Denied`], immediately, if the wait would be too long.
     pub async fn acquire(&self, row: &ServerRow, deadline: Time) -> Result<Slot, Denied> {
         let limiter = self.limiter(row);
         let ticket = self.next_ticket();
@@ -142,7 +142,7 @@
         limiter
     }
 
-    /// This thread's part of a server.
+    /// This thread's quota of a server.
     fn thread_quota(&self, row: &ServerRow) -> ServerQuota {
         let quotas = self.quotas.borrow();
         let threads = quotas.threads.max(1);
@@ -161,7 +161,7 @@
 }
 
 impl ServerLimiter {
-    /// Follows the server's row and the part of this thread.
+    /// Applies a quota to the controller if it changed.
     fn set_quota(&self, quota: ServerQuota) {
         if self.quota.replace(Some(quota)) == Some(quota) {
             return;
@@ -186,7 +186,7 @@
         receiver.await.unwrap_or(Err(Denied { reason, wait }))
     }
 
-    /// Gives turns until the gate has none.
+    /// Starts or sheds queued requests as long as the controller decides on one.
     fn dispatch_ready(self: &Rc<Self>) {
         loop {
             let now = self.clock.now();
@@ -199,7 +199,7 @@
                     (ticket, Err(Denied { reason, wait }))
                 }
             };
-            // A slot that nobody takes any more is given back when it is dropped.
+            // A slot whose request no longer waits is released when it is dropped.
             let waiter = self.waiters.borrow_mut().remove(&ticket);
             let _ = waiter.map(|waiter| waiter.send(admission));
         }
@@ -211,7 +211,8 @@
     }
 }
 
-/// Gives turns when a slot is freed and when the gate's time has come.
+/// Dispatches queued requests when a slot is released and when the controller may decide
+/// by time alone.
 async fn dispatch_loop(limiter: Weak<ServerLimiter>) {
     while let Some(limiter) = limiter.upgrade() {
         limiter.dispatch_ready();
@@ -227,7 +228,7 @@
     }
 }
 
-/// A request that waits; it leaves the queue when its caller does.
+/// Removes a waiting request from the queue when its client disconnects.
 struct QueueGuard<'a> {
     limiter: &'a ServerLimiter,
     ticket: Ticket,
@@ -244,7 +245,7 @@
     }
 }
 
-/// A slot of a server; given back when dropped.
+/// Slot of a server, released when dropped.
 #[derive(Debug)]
 pub struct Slot {
     limiter: Rc<ServerLimiter>,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Notes how the request ended.
+    /// Sets the reason with which the slot is released.
     pub fn set_release(&mut self, release: ReleaseReason) {
         self.release = release;
     }
--- a/crates/citronproxy/src/traffic/limits.rs
+++ b/crates/citronproxy/src/traffic/limits.rs
@@ -1,25 +1,26 @@
-//! What one caller may take up.
+//! Resource limits for client connections and requests.
 
 use std::time::Duration;
 
-/// Limits of the traffic threads.
+/// Limits that apply on each traffic thread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// How long the head of a request may take, from its first byte.
+    /// Maximum time to receive a request head, from its first byte.
     pub head_timeout: Duration,
-    /// How long a caller's connection may stay without a request.
+    /// Maximum time for which a client connection may stay without a request.
     pub idle_timeout: Duration,
-    /// How long a caller may leave an answer unread before its connection ends.
+    /// Maximum time for which a client may leave a response unread before its connection
+    /// is closed.
     pub write_timeout: Duration,
-    /// How long a request waits for its key's owner to be certain again.
+    /// Maximum time for which a request waits for a route to the owner of its key.
     pub owner_wait: Duration,
-    /// Requests of one thread that wait so at a time.
+    /// Maximum number of requests of one thread that wait for a route at a time.
     pub max_waiting: usize,
-    /// Requests of one thread in progress at a time.
+    /// Maximum number of requests of one thread in progress at a time.
     pub max_in_progress: usize,
 }
 
--- a/crates/citronproxy/src/traffic/load.rs
+++ b/crates/citronproxy/src/traffic/load.rs
@@ -1,4 +1,4 @@
-//! Load by scope, as one traffic thread measures it.
+//! Load by scope as measured by one traffic thread.
 
 use {
     citron_core::{id::ServiceName, ownership::Scope},
@@ -6,16 +6,16 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Load of one scope since the last sample was taken.
+/// Load of one scope since the last sample.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadSample {
-    /// The service.
+    /// Service.
     pub service: ServiceName,
-    /// The shard, or the key that is owned alone.
+    /// Shard, or single key with an owner of its own.
     pub scope: Scope,
-    /// Time that its requests held a slot of the owner, added up.
+    /// Total time for which requests of the scope occupied the owner.
     pub busy_time: Duration,
-    /// Exchanges that ended.
+    /// Number of finished exchanges.
     pub count: u64,
 }
 
@@ -25,16 +25,17 @@
     count: u64,
 }
 
-/// Sums of one thread.
+/// Sums of one thread by service and scope.
 #[derive(Debug, Default)]
 pub struct ScopeLoads {
     services: FxHashMap<ServiceName, FxHashMap<Scope, ScopeLoad>>,
 }
 
 impl ScopeLoads {
-    /// Counts one exchange.
+    /// Adds one exchange of the given duration.
     pub fn add(&mut self, service: &ServiceName, scope: Scope, time: Duration) {
-        // Two look-ups instead of an entry: the name is cloned once, not per request.
+        // Two lookups instead of `entry`, so that the name is cloned once per service,
+        // not per request.
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), FxHashMap::default());
         }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The sums so far; counting begins anew.
+    /// Takes the sums and resets them.
     pub fn take(&mut self) -> Vec<LoadSample> {
         let services = std::mem::take(&mut self.services);
         let samples = services.into_iter().flat_map(|(service, scopes)| {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Adds up the samples of all threads, in the order of service and scope.
+/// Sums the samples of all threads, ordered by service and scope.
 pub fn merge(samples: impl IntoIterator<Item = LoadSample>) -> Vec<LoadSample> {
     let mut merged: BTreeMap<(ServiceName, Scope), LoadSample> = BTreeMap::new();
     for sample in samples {
--- a/crates/citronproxy/src/traffic/local_response.rs
+++ b/crates/citronproxy/src/traffic/local_response.rs
@@ -1,4 +1,4 @@
-//! Answers of our own.
+//! Responses that the instance generates itself.
 
 use {
     super::response_body::ResponseBody,
@@ -8,13 +8,13 @@
     http_body_util::Full,
 };
 
-/// Answer header: what became of the request.
+/// Response header that states whether the request ran.
 pub const HEADER_OUTCOME: &str = "citron-outcome";
 
-/// When a caller may come back after a passing trouble, in seconds.
+/// `Retry-After` in seconds for temporary failures.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// An answer of ours, with the outcome and when to come back, in seconds.
+/// Creates a response with an outcome and, if given, a `Retry-After` in seconds.
 pub fn local_response(
     status: StatusCode,
     outcome: Outcome,
@@ -32,7 +32,7 @@
     response
 }
 
-/// Says in the headers what became of the request.
+/// Sets the outcome header of a response.
 pub fn set_outcome(response: &mut Response<ResponseBody>, outcome: Outcome) {
     let value = match outcome {
         Outcome::Ran => HeaderValue::from_static("ran"),
@@ -42,7 +42,7 @@
     response.headers_mut().insert(HEADER_OUTCOME, value);
 }
 
-/// The answer that core decided on.
+/// Creates the response that the routing core decided on.
 pub fn from_decision(decision: &LocalResponse) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(decision.status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -50,13 +50,13 @@
     local_response(status, decision.outcome, decision.retry_after, &reason)
 }
 
-/// The answer of an instance that can route nothing now.
+/// Creates the 503 response of an instance that cannot route at present.
 pub fn unavailable(reason: &str) -> Response<ResponseBody> {
     let status = StatusCode::SERVICE_UNAVAILABLE;
     local_response(status, Outcome::NotRun, Some(RETRY_AFTER_SECONDS), reason)
 }
 
-/// What the headers of an answer say of its request.
+/// Outcome by the headers of a response; unknown if the header is missing or invalid.
 pub fn outcome_of(response: &Response<ResponseBody>) -> Outcome {
     let value = response.headers().get(HEADER_OUTCOME);
     let outcome = value.and_then(|value| value.to_str().ok()?.parse().ok());
--- a/crates/citronproxy/src/traffic/metrics.rs
+++ b/crates/citronproxy/src/traffic/metrics.rs
@@ -12,12 +12,12 @@
     std::{fmt, time::Duration},
 };
 
-/// Upper bounds of the latency buckets, in seconds.
+/// Upper bounds of the latency buckets in seconds.
 const LATENCY_BUCKETS_SECONDS: [f64; 14] = [
     0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.019, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0,
 ];
 
-/// The metrics of all threads; clones share them.
+/// Metrics of all threads; clones share them.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -31,10 +31,10 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// Creates all metrics with the value zero.
     ///
     /// # Errors
-    /// If a name is not valid, which the tests would show.
+    /// If a name is invalid, which the tests would detect.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let requests = Opts::new("citron_requests_total", "Requests by service and outcome.");
@@ -75,7 +75,7 @@
         })
     }
 
-    /// The part of one thread.
+    /// Creates the counters of one thread.
     pub fn local(&self) -> LocalMetrics {
         LocalMetrics {
             requests: self.requests.local(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Sets the number of requests under way.
+    /// Sets the number of requests in progress.
     pub fn set_in_flight(&self, in_flight: usize) {
         self.in_flight
             .set(i64::try_from(in_flight).unwrap_or(i64::MAX));
@@ -98,12 +98,12 @@
             .set(i64::try_from(lines).unwrap_or(i64::MAX));
     }
 
-    /// Where the other parts of the instance add metrics of their own.
+    /// Registry to which other modules of the instance add their metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub fn to_text(&self) -> String {
         let families = self.registry.gather();
         let text = TextEncoder::new().encode_to_string(&families);
@@ -111,7 +111,7 @@
     }
 }
 
-/// Counts of one thread, added to the shared ones only when they are read.
+/// Counters of one thread, added to the shared ones only when they are read.
 pub struct LocalMetrics {
     requests: LocalIntCounterVec,
     attempts: LocalIntCounterVec,
@@ -122,13 +122,13 @@
 
 impl fmt::Debug for LocalMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The library's local counters have no `Debug`.
+        // The local counters of the library do not implement `Debug`.
         f.debug_struct("LocalMetrics").finish_non_exhaustive()
     }
 }
 
 impl LocalMetrics {
-    /// Counts a request whose answer's head was passed on.
+    /// Counts a request whose response head was forwarded.
     pub fn count_request(
         &mut self,
         service: &ServiceName,
@@ -151,17 +151,17 @@
             .observe(time.as_secs_f64());
     }
 
-    /// Counts a request that got a final answer of the instance.
+    /// Counts a request that the instance denied with a final response.
     pub fn count_denied(&mut self, status: StatusCode) {
         self.denied.with_label_values(&[status.as_str()]).inc();
     }
 
-    /// Counts an answer in which a server's load could not be read.
+    /// Counts a response whose load header could not be read.
     pub fn count_invalid_load(&mut self) {
         self.invalid_loads.inc();
     }
 
-    /// Adds the counts to the shared ones.
+    /// Adds the counts to the shared metrics.
     pub fn flush(&mut self) {
         self.requests.flush();
         self.attempts.flush();
--- a/crates/citronproxy/src/traffic/mod.rs
+++ b/crates/citronproxy/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! The request path: hyper on both sides, one single-threaded runtime a thread.
+//! The request path: hyper as server and as client, with a single-threaded runtime on
+//! each traffic thread.
 
 mod attempts;
 mod command;
--- a/crates/citronproxy/src/traffic/phase.rs
+++ b/crates/citronproxy/src/traffic/phase.rs
@@ -1,13 +1,13 @@
-//! Phases of the traffic threads.
+//! Lifecycle phases of the traffic threads.
 
-/// Where the threads stand between start and end; it only advances.
+/// Lifecycle phase of the traffic threads; phases only advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Phase {
-    /// Connections are taken and kept.
+    /// Connections are accepted and kept alive.
     #[default]
     Serving,
-    /// Connections are taken, and each ends with its next answer.
+    /// Connections are accepted, and each is closed after its next response.
     Draining,
-    /// No connection is taken; requests under way go on to their end.
+    /// No connections are accepted; requests in progress are completed.
     Closing,
 }
--- a/crates/citronproxy/src/traffic/pipelined.rs
+++ b/crates/citronproxy/src/traffic/pipelined.rs
@@ -1,4 +1,4 @@
-//! Requests that are begun before their turn on a connection.
+//! Pipelined requests that are handled before the HTTP library reads them.
 
 use {
     bytes::Bytes,
@@ -6,10 +6,11 @@
     tokio::task::{JoinHandle, spawn_local},
 };
 
-/// Headers of one request; the guard lets no more through.
+/// Maximum number of headers in a request; the guard refuses requests with more.
 const MAX_HEADERS: usize = 96;
 
-/// A request that is being answered though one before it on its connection is not.
+/// Request that is being handled while an earlier one of its connection is not answered
+/// yet.
 #[derive(Debug)]
 pub struct PipelinedRequest<B> {
     method: Method,
@@ -19,7 +20,7 @@
 }
 
 impl<B: 'static> PipelinedRequest<B> {
-    /// Begins to work out an answer.
+    /// Starts to produce the response in a task of its own.
     pub fn spawn(head: &Parts, response: impl Future<Output = Response<B>> + 'static) -> Self {
         Self {
             method: head.method.clone(),
@@ -29,8 +30,8 @@
         }
     }
 
-    /// The answer, if this is the request whose turn it is; otherwise, or if it
-    /// came to nothing, the request must be answered anew.
+    /// Returns the response if `head` is the head of this request. `None` if it differs
+    /// or the task failed; the request then has to be handled again.
     pub async fn into_response(mut self, head: &Parts) -> Option<Response<B>> {
         let is_same = self.method == head.method && self.uri == head.uri;
         if !is_same || self.headers != head.headers {
@@ -41,13 +42,13 @@
 }
 
 impl<B> Drop for PipelinedRequest<B> {
-    /// The caller has gone, and servers need not work for it.
+    /// Cancels the task: the client has disconnected, and servers need not work for it.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// A head as the HTTP library would read it; `None` if it would refuse it.
+/// Parses a head as the HTTP library would. `None` if the library would refuse it.
 pub fn parse_head(bytes: &Bytes) -> Option<Parts> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
--- a/crates/citronproxy/src/traffic/pool.rs
+++ b/crates/citronproxy/src/traffic/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers, kept by one traffic thread for itself.
+//! Pool of connections to backend servers, one for each traffic thread.
 
 use {
     super::{
@@ -20,28 +20,29 @@
     },
 };
 
-/// Idle connections to one server that a thread keeps at most.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// How long a connection may stay idle.
+/// Maximum time for which a connection may stay idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long before the end that a server has told a connection is used no more:
-/// it tells whole seconds, and a request must arrive before it closes.
+/// Margin by which the use of an idle connection ends before the server's declared
+/// keep-alive timeout: servers declare whole seconds, and a request must arrive before
+/// the server closes the connection.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
-/// How recently a connection must have received bytes to carry a request that may
-/// run only once: far below the time after which middle boxes forget a connection.
+/// Maximum time since the last read from a connection that carries a request which may
+/// run only once. It is far below the time after which middleboxes drop idle connections.
 const RECENT_READ: Duration = Duration::from_secs(1);
-/// How long a new connection may take.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Read buffer of one connection, in bytes; bounds the head of an answer too.
+/// Read buffer of a connection in bytes; it also limits the size of a response head.
 const READ_BUFFER_BYTES: usize = 64 * 1_024;
 
-/// Why there is no connection; nothing was written to the server.
+/// Reason why a connection could not be opened. Nothing was written to the server.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The server cannot be reached.
+    /// The server is unreachable, or a socket operation failed.
     #[error("connect: {0}")]
     Io(#[from] std::io::Error),
-    /// The server did not take the connection in time.
+    /// The server did not accept the connection in time.
     #[error("connect: no answer in time")]
     TimedOut(#[from] Elapsed),
     /// The HTTP handshake failed.
@@ -50,22 +51,22 @@
 }
 
 impl ConnectError {
-    /// Whether the server is there, and reset the connection.
+    /// Whether the server is reachable and reset the connection.
     pub fn is_reset(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == ErrorKind::ConnectionReset)
     }
 }
 
-/// A connection that carries one exchange at a time; closed at once when dropped.
+/// Connection that carries one exchange at a time and is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
-    /// Takes requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<UpstreamBody>,
-    /// What is known of the socket.
+    /// State of the socket.
     pub socket: Rc<SocketState>,
-    /// Whether it has carried an exchange before.
+    /// Whether the connection has carried an exchange before.
     pub reused: bool,
-    /// How long the server keeps it open while it is idle, by its own word.
+    /// Keep-alive timeout that the server declared, if any.
     pub keep_alive: Option<Duration>,
     driver: AbortHandle,
 }
@@ -85,35 +86,36 @@
 }
 
 impl Drop for Connection {
-    /// Ends the driver and with it the socket: the server sees that nobody waits
-    /// any more, and a late answer finds no reader that could take it for its own.
+    /// Stops the connection task and closes the socket. The server can detect that no one
+    /// waits for the response, and a late response cannot be read as that of another
+    /// request.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// Which idle connections a request may go on.
+/// Condition on idle connections that a request may reuse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// Those that received bytes within this time, or within the time that
-    /// the server keeps them if that is shorter.
+    /// Connections from which bytes were read within this time, or within the server's
+    /// declared keep-alive timeout if that is shorter.
     ReadWithin(Duration),
-    /// Those that the server still keeps by its own word; without any, those that
-    /// received bytes within this time.
+    /// Connections within the server's declared keep-alive timeout; without one, those
+    /// from which bytes were read within this time.
     KeepAliveOr(Duration),
-    /// None.
+    /// No idle connections.
     Never,
 }
 
 impl Reuse {
-    /// Any that is not known to be closed.
+    /// Any connection that is not known to be closed.
     pub const ANY: Self = Self::ReadWithin(IDLE_TIMEOUT);
-    /// Those that received bytes just now: on one that went silent the
-    /// request would be lost, and could not be sent again.
+    /// Connections from which bytes were read very recently: on a dead connection the
+    /// request would be lost and could not be sent again.
     pub const RECENT: Self = Self::ReadWithin(RECENT_READ);
 }
 
-/// Idle connections by address.
+/// Idle connections by server address.
 #[derive(Debug, Clone)]
 pub struct Pool {
     idle: Rc<RefCell<FxHashMap<SocketAddr, Vec<Connection>>>>,
@@ -121,7 +123,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(clock: Clock) -> Self {
         Self {
             idle: Rc::default(),
@@ -129,10 +131,10 @@
         }
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
     /// # Errors
-    /// If there is none and the server takes no new one.
+    /// [`ConnectError`] if no idle connection is usable and no new one can be opened.
     pub async fn acquire(
         &self,
         address: SocketAddr,
@@ -147,8 +149,8 @@
     async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        // A caller that has left must not keep a slot of the server busy: a reset
-        // tells the server at once, and drops what is still on its way.
+        // A request whose client disconnected must not occupy a slot of the server.
+        // Closing with a reset informs the server at once and discards unsent bytes.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let socket = SocketState::new(self.clock);
         let io = TokioIo::new(TrackedStream::new(stream, Rc::clone(&socket)));
@@ -171,7 +173,7 @@
         })
     }
 
-    /// Keeps a connection whose exchange has ended whole.
+    /// Returns a connection to the pool after a complete exchange.
     pub fn release(&self, address: SocketAddr, mut connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
@@ -182,7 +184,7 @@
         connections.push(connection);
     }
 
-    /// Whether an idle connection is there.
+    /// Whether there is an idle connection that may be reused.
     pub fn has_idle(&self, address: &SocketAddr, reuse: Reuse) -> bool {
         let now = self.clock.now();
         let idle = self.idle.borrow();
@@ -190,9 +192,10 @@
         connections.any(|connection| connection.is_usable(reuse, now))
     }
 
-    /// Drops the idle connections that were last heard of before `since`: one of
-    /// their age has gone silent, and whatever lost track of it may have lost
-    /// track of them. Younger ones stay, so that the server is not suspected.
+    /// Drops the idle connections from which nothing was read since `since`. One
+    /// connection of that age stopped responding, and the middlebox that dropped its
+    /// state may have dropped theirs too. Connections with later reads are kept, since
+    /// the server itself need not be at fault.
     pub fn evict_older(&self, address: SocketAddr, since: Time) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(&address) {
             connections.retain(|connection| connection.socket.last_read() >= since);
--- a/crates/citronproxy/src/traffic/proxy.rs
+++ b/crates/citronproxy/src/traffic/proxy.rs
@@ -1,4 +1,4 @@
-//! The requests of one traffic thread.
+//! HTTP request handling of one traffic thread.
 
 use {
     super::{
@@ -30,31 +30,31 @@
     tokio::sync::Notify,
 };
 
-/// Where metrics are read.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
 
-/// The request path of one traffic thread.
+/// Request handler of one traffic thread.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     state: Rc<ThreadState>,
 }
 
-/// An answer of ours; boxed, since it is large and rare.
+/// Local response, boxed since it is large and rare.
 type BoxedResponse = Box<Response<ResponseBody>>;
 
 impl Proxy {
-    /// A path that routes by what the handle publishes.
+    /// Creates a handler that routes by the published snapshots.
     pub fn new(state: &Rc<ThreadState>) -> Self {
         let state = Rc::clone(state);
         Self { state }
     }
 
-    /// What callers may take up.
+    /// Limits for clients and their requests.
     pub fn limits(&self) -> Limits {
         self.state.limits
     }
 
-    /// Answers one request; whatever fails becomes an answer that says so.
+    /// Handles one request. Every failure results in a response that states it.
     pub async fn serve(self, head: Parts, body: Option<Incoming>) -> Response<ResponseBody> {
         let path = head.uri.path();
         let mut response = match self.internal_response(path) {
@@ -75,7 +75,8 @@
         response
     }
 
-    /// Whether a request may run again, and connections do not end soon.
+    /// Whether the request may be repeated and connections are kept alive, so that it may
+    /// be started early.
     pub fn is_repeatable(&self, head: &Parts) -> bool {
         let service = self.find_service(head);
         let idempotent = service.is_ok_and(|service| is_idempotent(&service.row, head));
@@ -147,7 +148,8 @@
         Ok(response)
     }
 
-    /// Counts an answer for the metrics and for the service's objectives.
+    /// Records a response in the metrics and in the counters for service-level
+    /// objectives.
     fn record(
         &self,
         row: &ServiceRow,
@@ -190,7 +192,8 @@
         .any(|m| m == head.method.as_str())
 }
 
-/// Room that a request takes up until the head of its answer.
+/// Place in the operator's limit of requests in progress, held until the head of the
+/// response.
 struct OperatorSlot<'a> {
     state: &'a ThreadState,
     operator: &'a OperatorName,
@@ -212,10 +215,10 @@
     }
 }
 
-/// Refuses what cannot be passed on exactly.
+/// Refuses requests that cannot be forwarded faithfully.
 fn check_supported(head: &Parts) -> Result<(), BoxedResponse> {
-    // In HTTP/1.0 an answer without a length ends with its connection, so that
-    // one cut short would look whole.
+    // In HTTP/1.0, a response without a length ends with its connection, so that a
+    // truncated one would look complete.
     if head.version != Version::HTTP_11 {
         let reason = "HTTP/1.1 is needed";
         return Err(closing_refusal(
@@ -230,7 +233,7 @@
     Ok(())
 }
 
-/// A refusal that ends the connection: what follows such a request on it may not
+/// Refusal that closes the connection, since the bytes that follow such a request may not
 /// be a request.
 fn closing_refusal(status: StatusCode, reason: &str) -> BoxedResponse {
     let mut refused = refusal(status, reason);
--- a/crates/citronproxy/src/traffic/request.rs
+++ b/crates/citronproxy/src/traffic/request.rs
@@ -1,4 +1,4 @@
-//! What the router reads from a request's head.
+//! Reading and rewriting of request heads.
 
 use {
     citron_core::{
@@ -11,7 +11,7 @@
     std::time::Duration,
 };
 
-/// Headers that concern one connection and are never passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are never forwarded (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -21,10 +21,10 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// Not registered, but treated as hop-by-hop by custom.
+/// Not a registered hop-by-hop header, but treated as one by convention.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// The host a request names, without its port.
+/// Host that a request names, without the port.
 pub fn host(head: &Parts) -> &str {
     let host_header = head
         .headers
@@ -34,7 +34,7 @@
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// The key's hash; `None` if the request has none where the rule says.
+/// Hash of the request's key; `None` if the request has no key where the rule expects it.
 pub fn key_hash(rule: &KeySource, head: &Parts) -> Option<KeyHash> {
     let key = match rule {
         KeySource::Header(name) => head.headers.get(name)?.as_bytes(),
@@ -47,7 +47,7 @@
     uri.path().split('/').skip(1).nth(number)
 }
 
-/// Removes what concerns the caller's connection only, listed or by custom.
+/// Removes hop-by-hop headers: those listed in `Connection`, and the well-known ones.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -65,8 +65,8 @@
     headers.remove(KEEP_ALIVE);
 }
 
-/// How long the sender of a head keeps its connection open while it is idle, if
-/// it says so: `Keep-Alive: timeout=10`.
+/// Time for which the sender of a head keeps its connection open while idle, if it states
+/// one, as in `Keep-Alive: timeout=10`.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parameters = text.split(',');
@@ -74,8 +74,8 @@
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Makes a head ready to be passed on: the path alone, whatever form the caller
-/// named it in, and nothing that concerns the caller's connection only.
+/// Prepares a head for forwarding: reduces the target to path and query, whatever form
+/// the client used, sets `Host` and removes hop-by-hop headers.
 pub fn prepare_forward(head: &mut Parts) {
     if let Some(authority) = head.uri.authority()
         && let Ok(host) = HeaderValue::from_str(authority.as_str())
@@ -86,11 +86,11 @@
     let path = path.unwrap_or_else(|| PathAndQuery::from_static("/"));
     head.uri = Uri::from(path);
     strip_hop_by_hop(&mut head.headers);
-    // Answered by this instance once it reads the body.
+    // `Expect` is handled by this instance when it reads the body.
     head.headers.remove(header::EXPECT);
 }
 
-/// Tells the backend server under which grant the request was routed.
+/// Sets the headers that state the grant under which the request was routed.
 pub fn set_grant_headers(headers: &mut HeaderMap, row: &ServiceRow, route: &Route) {
     let service = HeaderValue::from_str(row.name.as_str());
     let scope = HeaderValue::from_str(&route.scope.to_string());
--- a/crates/citronproxy/src/traffic/request_body.rs
+++ b/crates/citronproxy/src/traffic/request_body.rs
@@ -1,4 +1,4 @@
-//! The caller's body on its way to a backend server.
+//! Client request bodies, streamed to backend servers.
 
 use {
     bytes::Bytes,
@@ -14,28 +14,28 @@
     thiserror::Error,
 };
 
-/// How much of a body is usually kept, so that it can be sent again after a
-/// refusal.
+/// Default maximum number of bytes of a body that are buffered, so that it can be sent
+/// again after a refusal.
 pub const REPLAY_MAX_BYTES: usize = 64 * 1_024;
 
-/// Why a body could not be read to its end.
+/// Reason why a body could not be read to its end.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The caller broke off or sent a malformed body.
-    #[error("the caller's body: {0}")]
+    /// The client disconnected or sent a malformed body.
+    #[error("reading the client's request body failed: {0}")]
     Client(#[from] hyper::Error),
-    /// It could not be read before.
-    #[error("the body was cut short before")]
+    /// An earlier read of the body failed.
+    #[error("an earlier read of the request body failed")]
     AlreadyFailed,
-    /// The caller sent more than is allowed.
-    #[error("the body is larger than {max_bytes} bytes")]
+    /// The body exceeds the limit.
+    #[error("request body exceeds {max_bytes} bytes")]
     TooLarge {
-        /// The most that is allowed.
+        /// Limit in bytes.
         max_bytes: u64,
     },
 }
 
-/// How far a body has got.
+/// Progress of reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadState {
     Open,
@@ -44,7 +44,8 @@
     TooLarge,
 }
 
-/// A caller's body, and a copy of its begin while that is small.
+/// Request body of a client, with a copy of its beginning as long as that is small
+/// enough.
 #[derive(Debug)]
 pub struct ClientBody {
     state: RefCell<BufferState>,
@@ -58,14 +59,14 @@
     incoming: Option<Incoming>,
     buffered: Vec<Bytes>,
     read_bytes: u64,
-    /// Parts were passed on that are kept no more.
+    /// Whether the copy was discarded, as more than `max_buffered` bytes were read.
     is_discarded: bool,
     read_state: ReadState,
 }
 
 impl ClientBody {
-    /// The source of a body of at most `max` bytes, of which up to `keep` are
-    /// kept; `None` for an empty one.
+    /// Creates a body of at most `max_bytes`, of which up to `max_buffered` bytes are
+    /// buffered. `None` is an empty body.
     pub fn new(incoming: Option<Incoming>, max_bytes: u64, max_buffered: usize) -> Rc<Self> {
         let hint = match &incoming {
             Some(incoming) => incoming.size_hint(),
@@ -90,38 +91,38 @@
         })
     }
 
-    /// Whether the body can be sent from its begin.
+    /// Whether the body can be sent from its beginning.
     pub fn is_replayable(&self) -> bool {
         !self.state.borrow().is_discarded
     }
 
-    /// Whether the whole body was read from the caller.
+    /// Whether the body was read completely from the client.
     pub fn is_complete(&self) -> bool {
         self.state.borrow().read_state == ReadState::Complete
     }
 
-    /// Whether the caller broke off or sent a malformed body.
+    /// Whether the client disconnected within the body or sent a malformed one.
     pub fn is_truncated(&self) -> bool {
         self.state.borrow().read_state == ReadState::Truncated
     }
 
-    /// Whether the caller sent more than is allowed.
+    /// Whether the body exceeds the limit.
     pub fn is_too_large(&self) -> bool {
         self.state.borrow().read_state == ReadState::TooLarge
     }
 
-    /// The length that the caller told; 0 if it told none.
+    /// Length that the client declared; 0 if it declared none.
     pub fn declared_length(&self) -> u64 {
         self.hint.exact().unwrap_or(0)
     }
 
-    /// The body as far as it was read; empty once parts of it are kept no more.
+    /// Copy of the body as far as it was read; empty once the copy was discarded.
     pub fn buffered(&self) -> Vec<u8> {
         self.state.borrow().buffered.concat()
     }
 
-    /// Reads a small body whole, so that it is known before it is sent. One that
-    /// is large or of unknown length is left alone.
+    /// Reads a small body completely, so that its content is known before it is sent. A
+    /// large body or one of unknown length is not read.
     pub async fn buffer_if_small(&self) {
         let is_small = |length| length <= self.max_buffered as u64;
         while self.hint.exact().is_some_and(is_small) && !self.is_ended() {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Reads as much as is kept of a body of any length.
+    /// Reads a body of any length until it ends or its copy is discarded.
     pub async fn buffer_prefix(&self) {
         while !self.is_ended() && self.is_replayable() {
             let _ = poll_fn(|cx| self.poll(cx)).await;
@@ -142,8 +143,8 @@
 
     fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let mut state = self.state.borrow_mut();
-        // After an error the library tells an ordinary end: a retry would pass a
-        // part of a body on as the whole.
+        // After an error the library reports a regular end of the body, and a retry would
+        // forward part of a body as a complete one.
         if matches!(state.read_state, ReadState::Truncated | ReadState::TooLarge) {
             return Poll::Ready(Some(Err(BodyError::AlreadyFailed)));
         }
@@ -163,7 +164,7 @@
                 }
                 Some(Ok(frame)) => frame.into_data(),
             };
-            // Trailers are hop-by-hop here and end with us.
+            // Trailers are not forwarded.
             if let Ok(data) = data {
                 return Poll::Ready(Some(state.accept(data, self.max_bytes, self.max_buffered)));
             }
@@ -196,7 +197,7 @@
     }
 }
 
-/// One sending of a source.
+/// Body of one attempt, read from a [`ClientBody`].
 #[derive(Debug)]
 pub struct UpstreamBody {
     body: Rc<ClientBody>,
@@ -204,7 +205,7 @@
 }
 
 impl UpstreamBody {
-    /// A sending from the begin; the source must be replayable.
+    /// Creates a body from the beginning; the client's body must be replayable.
     pub fn new(body: &Rc<ClientBody>) -> Self {
         let body = Rc::clone(body);
         Self { body, next: 0 }
@@ -232,7 +233,7 @@
             return Poll::Ready(None);
         }
         let polled = ready!(self.body.poll(cx));
-        // What was just read may have been kept, and was passed on.
+        // The data just read may have been buffered as well, and must not be sent again.
         let buffered = self.body.state.borrow().buffered.len();
         self.next = buffered;
         Poll::Ready(polled.map(|data| data.map(Frame::data)))
--- a/crates/citronproxy/src/traffic/response_body.rs
+++ b/crates/citronproxy/src/traffic/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: the backend server's, or a short one of ours.
+//! Response bodies: those of backend servers, and short local ones.
 
 use {
     super::{exchange::Exchange, limiters::Slot},
@@ -16,34 +16,35 @@
     tokio::time::{Sleep, sleep},
 };
 
-/// How long a server may pause within an answer.
+/// Maximum time for which a server may pause within a response.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of an answer above which its time says nothing of the server.
+/// Size of a response in bytes above which its duration is no measure of the server's
+/// load.
 const LARGE_BODY_BYTES: usize = 64 * 1_024;
 
-/// Why an answer ends before its end. The caller's connection is closed without
-/// the end of the message, so that no caller takes a part for the whole.
+/// Reason why a response ends early. The client connection is then closed without the end
+/// of the message, so that no client takes a partial response for a complete one.
 #[derive(Debug, Error)]
 pub enum ResponseBodyError {
-    /// The server's connection broke.
-    #[error("the answer was cut short: {0}")]
+    /// The connection to the server failed.
+    #[error("response truncated: {0}")]
     Truncated(#[from] hyper::Error),
-    /// The server paused for too long.
-    #[error("the answer stopped for longer than {STALL_TIMEOUT:?}")]
+    /// The server sent nothing for too long.
+    #[error("server sent nothing of the response for {STALL_TIMEOUT:?}")]
     Stalled,
 }
 
-/// A body that is streamed through, or that is ours.
+/// Body of a streamed or of a local response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// The backend server's, frame by frame.
+    /// Body of a backend server's response, streamed frame by frame.
     Streamed(Box<StreamedBody>),
-    /// Ours.
+    /// Body of a response that the instance generated.
     Local(Full<Bytes>),
 }
 
-/// The backend server's body, and the exchange that it ends.
+/// Body of a backend server's response, with the exchange that ends with it.
 #[derive(Debug)]
 pub struct StreamedBody {
     body: Incoming,
@@ -54,7 +55,7 @@
 }
 
 impl StreamedBody {
-    /// Passes on the body of an exchange.
+    /// Streams the body of an exchange; `slot` is released at its end.
     pub fn new(body: Incoming, exchange: Exchange, slot: Option<Slot>) -> Self {
         let mut streamed = Self {
             body,
@@ -78,7 +79,8 @@
         let Some(exchange) = self.exchange.take() else {
             return;
         };
-        // The time of a large body tells of the caller's line, not of the server.
+        // The duration of a large body depends on the client's bandwidth, not on the
+        // server.
         let is_small = exchange.is_replayable() && self.bytes <= LARGE_BODY_BYTES;
         exchange.finish();
         if let Some(mut slot) = self.slot.take()
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Ends it without an answer that is whole.
+    /// Ends the exchange without a complete response.
     fn abandon(&mut self) {
         self.exchange = None;
         self.slot = None;
--- a/crates/citronproxy/src/traffic/route_wait.rs
+++ b/crates/citronproxy/src/traffic/route_wait.rs
@@ -1,4 +1,4 @@
-//! The wait for a key's owner.
+//! Waiting for a route to the owner of a key.
 
 use {
     super::{
@@ -11,26 +11,26 @@
     tokio::time::timeout,
 };
 
-/// How long a request that its server refused waits for a newer table, by the
-/// number of the try. The server may also be waiting for its grant, so that the
-/// same route is tried again afterwards.
+/// Times for which a request that its server refused waits for a newer table, by attempt
+/// number. The server may itself be waiting for its grant, so the same route is tried
+/// again afterwards.
 const NEWER_TABLE_WAITS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(50),
     Duration::from_millis(400),
 ];
 
-/// Why a request cannot be written now.
+/// Reason why a request cannot be written at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteError {
-    /// The key has no owner that takes requests.
+    /// The key has no owner that accepts requests.
     NoOwner,
-    /// The instance's leave to route has ended.
+    /// The instance's routing lease has expired.
     Unconfirmed,
 }
 
 impl Attempts {
-    /// The owner of the key, once the instance may write to it.
+    /// Waits until the key has an owner and the instance may write to it.
     pub(super) async fn wait_target(&self, send: SendAttempt) -> Result<Target, RouteError> {
         let refused = self.refused_revision.get().filter(|_| send.reroute);
         if refused.is_none()
@@ -54,7 +54,7 @@
         waited.or_else(|_| self.find_target())
     }
 
-    /// How much longer this request may wait for its owner, over all its tries.
+    /// Remaining time for which this request may wait for a route, over all its attempts.
     fn remaining_wait(&self) -> Duration {
         let now = self.state.clock.now();
         let wait_until = self
@@ -65,7 +65,8 @@
         wait_until - now
     }
 
-    /// The target under a snapshot that is newer than a refused one.
+    /// Waits for a target to which the instance may write, under a snapshot newer than
+    /// the given revision, if any.
     async fn wait_permitted(&self, newer_than: Option<Revision>) -> Target {
         let mut revisions = self.state.handle.subscribe_revisions();
         loop {
@@ -75,7 +76,7 @@
             {
                 return target;
             }
-            // The handle is held by this thread, so that the sender lives on.
+            // The thread holds the handle, so the sender is never dropped.
             let _ = revisions.changed().await;
         }
     }
@@ -91,7 +92,7 @@
     }
 }
 
-/// Counts a request that waits.
+/// Counts a waiting request until dropped.
 struct WaitingGuard<'a>(&'a ThreadState);
 
 impl Drop for WaitingGuard<'_> {
--- a/crates/citronproxy/src/traffic/slo_counters.rs
+++ b/crates/citronproxy/src/traffic/slo_counters.rs
@@ -1,4 +1,4 @@
-//! What one traffic thread counts for service-level objectives.
+//! Counters of one traffic thread for service-level objectives.
 
 use {
     citron_core::{
@@ -9,15 +9,15 @@
     std::time::Duration,
 };
 
-/// Counts since they were last taken.
+/// Counters since they were last taken.
 #[derive(Debug, Default)]
 pub struct SloCounters {
     services: FxHashMap<ServiceName, Tally>,
 }
 
 impl SloCounters {
-    /// Counts one answer. A caller that left before it had an answer is not
-    /// counted: nobody can say what it would have got.
+    /// Counts one response. A request whose client disconnected before the response is
+    /// not counted, since its result is unknown.
     pub fn count_response(&mut self, service: &ServiceName, is_failed: bool, is_slow: bool) {
         let tally = self.tally(service);
         tally.requests += 1;
@@ -25,7 +25,7 @@
         tally.slow += u64::from(is_slow);
     }
 
-    /// Counts the time that a request held a slot of a server.
+    /// Adds the time for which a request occupied a server.
     pub fn add_busy_time(&mut self, service: &ServiceName, server: &ServerName, time: Duration) {
         let busy_times = &mut self.tally(service).busy_time;
         match busy_times.get_mut(server) {
@@ -34,12 +34,13 @@
         }
     }
 
-    /// The counts so far; counting begins anew.
+    /// Takes the counts and resets them.
     pub fn take(&mut self) -> Vec<(ServiceName, Tally)> {
         std::mem::take(&mut self.services).into_iter().collect()
     }
 
-    /// Two look-ups instead of an entry: the name is cloned once, not per request.
+    /// Two lookups instead of `entry`, so that the name is cloned once per service, not
+    /// per request.
     fn tally(&mut self, service: &ServiceName) -> &mut Tally {
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), Tally::default());
--- a/crates/citronproxy/src/traffic/socket.rs
+++ b/crates/citronproxy/src/traffic/socket.rs
@@ -1,4 +1,4 @@
-//! A connection's socket, with an exact count of what went through it.
+//! Sockets to backend servers, with exact counts of the bytes written.
 
 use {
     crate::clock::Clock,
@@ -18,26 +18,26 @@
     },
 };
 
-/// The leave under which the next request may begin to be written.
+/// Permit to start writing one request.
 #[derive(Debug, Clone)]
 pub struct WritePermit {
-    /// What the request was routed by.
+    /// Snapshot by which the request was routed.
     pub snapshot: Arc<Snapshot>,
     /// Whether the owner is in the instance's own failure domain.
     pub is_own_domain: bool,
-    /// The service's grace.
+    /// Grace period of the service.
     pub grace: Duration,
 }
 
 impl WritePermit {
-    /// Whether a request may be written now.
+    /// Whether the routing lease allows the write at this time.
     pub fn allows(&self, now: Time) -> bool {
         let confirmation = &self.snapshot.confirmation;
         confirmation.allows(now, self.is_own_domain, self.grace)
     }
 }
 
-/// What is known of a connection's socket.
+/// State of a connection's socket.
 #[derive(Debug)]
 pub struct SocketState {
     clock: Clock,
@@ -48,7 +48,7 @@
 }
 
 impl SocketState {
-    /// A wire that has just been connected.
+    /// Creates the state of a new connection.
     pub fn new(clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -59,31 +59,31 @@
         })
     }
 
-    /// Bytes handed to the kernel so far. If an exchange leaves it unchanged,
-    /// the server has surely seen nothing of the request.
+    /// Number of bytes handed to the kernel. If it does not change during an exchange,
+    /// the server has received nothing of the request.
     pub fn written_bytes(&self) -> u64 {
         self.written_bytes.get()
     }
 
-    /// When bytes last arrived, or when the connection was made.
+    /// Time of the last read that returned bytes, or of the connect.
     pub fn last_read(&self) -> Time {
         self.last_read.get()
     }
 
-    /// Sets the leave that the first write of the next request needs.
+    /// Sets the permit that the first write of the next request requires.
     pub fn set_permit(&self, permit: WritePermit) {
         self.is_write_denied.set(false);
         self.permit.replace(Some(permit));
     }
 
-    /// Whether the leave had ended when the request was to be written.
+    /// Whether the permit was no longer valid when the request was to be written.
     pub fn is_write_denied(&self) -> bool {
         self.is_write_denied.get()
     }
 
-    /// Reads the clock right before the first byte of a request is written: a
-    /// thread that was paused for longer than its leave would else send to an
-    /// owner that was replaced meanwhile, and the request would run twice.
+    /// Reads the clock right before the first byte of a request is written. Otherwise a
+    /// thread that was paused for longer than its routing lease would send to an owner
+    /// that was replaced meanwhile, and the request could run twice.
     fn check_permit(&self) -> io::Result<()> {
         let Some(permit) = self.permit.take() else {
             return Ok(());
@@ -92,7 +92,7 @@
             return Ok(());
         }
         self.is_write_denied.set(true);
-        let reason = "the leave to route has ended";
+        let reason = "routing lease expired";
         Err(io::Error::new(ErrorKind::PermissionDenied, reason))
     }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// The socket itself.
+/// Socket that records reads and writes in its [`SocketState`].
 #[derive(Debug)]
 pub struct TrackedStream {
     stream: TcpStream,
@@ -112,7 +112,7 @@
 }
 
 impl TrackedStream {
-    /// Watches a socket.
+    /// Wraps a connected socket.
     pub fn new(stream: TcpStream, socket: Rc<SocketState>) -> Self {
         Self { stream, socket }
     }
--- a/crates/citronproxy/src/traffic/state.rs
+++ b/crates/citronproxy/src/traffic/state.rs
@@ -1,4 +1,4 @@
-//! What the requests of one traffic thread share.
+//! State that the requests of one traffic thread share.
 
 use {
     super::{
@@ -20,28 +20,28 @@
     },
 };
 
-/// State of one thread; no other thread sees it.
+/// State of one traffic thread, not accessed by other threads.
 #[derive(Debug)]
 pub struct ThreadState {
-    /// Snapshots and the phase.
+    /// Snapshots and the lifecycle phase.
     pub handle: TrafficHandle,
     /// Requests that a server may be running.
     pub in_flight: Rc<RefCell<InFlightTable>>,
-    /// The limits of backend servers.
+    /// Concurrency and rate limits of the backend servers.
     pub limiters: ServerLimiters,
-    /// Counts of this thread.
+    /// Metrics of this thread.
     pub metrics: RefCell<LocalMetrics>,
     /// Requests that crashed servers.
     pub crash_log: CrashLog,
-    /// Room for requests in progress, by operator.
+    /// Limit of requests in progress by operator.
     pub operator_limiter: RefCell<OperatorLimiter>,
     /// Idle connections.
     pub pool: Pool,
-    /// The clock.
+    /// Clock of the instance.
     pub clock: Clock,
-    /// What callers may take up.
+    /// Limits for clients and their requests.
     pub limits: Limits,
-    /// Requests that wait for a route.
+    /// Number of requests that wait for a route.
     pub waiting: Cell<usize>,
     retries: RefCell<FxHashMap<ServiceName, RetryPolicy>>,
     hedges: RefCell<FxHashMap<SocketAddr, HedgeDelay>>,
@@ -49,7 +49,7 @@
 }
 
 impl ThreadState {
-    /// The state of a thread that has just started; `seed` is for the jitter.
+    /// Creates the state of a thread; `seed` is for the jitter of retries.
     pub fn new(handle: TrafficHandle, clock: Clock, limits: Limits, seed: u64) -> Rc<Self> {
         Rc::new(Self {
             in_flight: Rc::new(RefCell::new(InFlightTable::new(clock))),
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Lets `act` use the service's retry budget and backoff.
+    /// Runs `act` with the service's retry budget and backoff.
     pub fn with_retries<T>(
         &self,
         service: &ServiceName,
@@ -83,12 +83,13 @@
         act(retries.expect("inserted above"))
     }
 
-    /// When a hedge is due at a server, after the write.
+    /// Delay between the write of a request to a server and its hedge, once enough
+    /// latencies are known.
     pub fn hedge_delay(&self, address: SocketAddr) -> Option<Duration> {
         self.hedges.borrow().get(&address)?.delay()
     }
 
-    /// Counts the latency of an answer.
+    /// Records the latency of a response, from the write to its head.
     pub fn observe_latency(&self, address: SocketAddr, latency: Duration) {
         let mut hedges = self.hedges.borrow_mut();
         hedges.entry(address).or_default().observe(latency);
--- a/crates/citronproxy/src/traffic/target.rs
+++ b/crates/citronproxy/src/traffic/target.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and under which snapshot.
+//! Destination of a request by the current snapshot.
 
 use {
     super::{
@@ -16,40 +16,40 @@
     std::{cell::RefCell, rc::Rc, sync::Arc},
 };
 
-/// The owner of a request's key.
+/// Owner of a request's key, with the permit to write to it.
 #[derive(Debug)]
 pub struct Target {
-    /// The service.
+    /// Service.
     pub service: Arc<ServiceRoutes>,
-    /// The owner.
+    /// Backend server that owns the key.
     pub server: Arc<ServerRow>,
     /// Scope and epoch.
     pub route: Route,
-    /// Until when the request may be written.
+    /// Permit to write the request.
     pub permit: WritePermit,
     /// The request's entry in the in-flight table.
     pub in_flight: InFlightRequest,
 }
 
-/// Why there is no target.
+/// Reason why a request has no target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetError {
-    /// No table has been read yet.
+    /// No table was read yet.
     NoTable,
-    /// No service answers to this host and path.
+    /// No service matches the host and path.
     UnknownService,
-    /// The request has no key where the service's rule says.
+    /// The request has no key where the service's rule expects it.
     MissingKey,
-    /// Nobody owns the key, or its shard is moving.
+    /// The key has no owner, or its shard is moving. Contains the revision of the table.
     NoOwner(Revision),
 }
 
 impl Target {
-    /// Looks a request up in the snapshot in force and enters it in the
-    /// in-flight table in the same step.
+    /// Looks up the target of a request in the current snapshot and registers the request
+    /// in the in-flight table in the same step.
     ///
     /// # Errors
-    /// [`TargetError`] if it can go nowhere now.
+    /// [`TargetError`] if the request cannot be routed at present.
     pub fn find(
         handle: &TrafficHandle,
         in_flight_table: &Rc<RefCell<InFlightTable>>,
--- a/crates/citronproxy/src/traffic/worker.rs
+++ b/crates/citronproxy/src/traffic/worker.rs
@@ -31,26 +31,26 @@
     },
 };
 
-/// Connections that wait to be accepted, per thread.
+/// Length of the queue of connections to be accepted, per thread.
 const BACKLOG: i32 = 1_024;
-/// Shorter than the timers of requests; 50 wakes a second cost an idle thread
-/// next to nothing.
+/// Interval of the permanent timer. It is shorter than the timers of requests; 50 wakeups
+/// per second cost an idle thread next to nothing.
 const TIMER_TICK: Duration = Duration::from_millis(20);
-/// The pause after a failed accept, which is mostly a lack of descriptors.
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The running traffic threads.
+/// Running traffic threads.
 #[derive(Debug)]
 pub struct Workers {
-    /// Where they listen.
+    /// Address on which the threads listen.
     pub address: SocketAddr,
     handle: TrafficHandle,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Workers {
-    /// Takes no more connections and waits until all requests under way have
-    /// ended. Blocks the calling thread.
+    /// Stops accepting connections and waits until all requests in progress are
+    /// completed. Blocks the calling thread.
     pub fn close(self) {
         self.handle.stop();
         self.join();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Starts `count` threads that share one address, with the standard limits.
+/// Starts `count` threads that listen on the same address, with the default limits.
 ///
 /// # Errors
 /// If the address cannot be bound or a thread cannot be started.
@@ -77,10 +77,10 @@
     start_with_limits(address, count, handle, clock, Limits::default())
 }
 
-/// As [`start`], with limits.
+/// Same as [`start`], with the given limits.
 ///
 /// # Errors
-/// As [`start`].
+/// Same as [`start`].
 pub fn start_with_limits(
     address: SocketAddr,
     count: usize,
@@ -109,7 +109,8 @@
     })
 }
 
-/// Binds with port reuse: the kernel spreads connections over the threads.
+/// Binds a socket with `SO_REUSEPORT`, by which the kernel distributes connections over
+/// the threads.
 fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -120,7 +121,7 @@
     Ok(socket.into())
 }
 
-/// What one thread is started with.
+/// Parameters of one thread.
 struct Worker {
     handle: TrafficHandle,
     commands: mpsc::UnboundedReceiver<Command>,
@@ -153,7 +154,8 @@
         });
     }
 
-    /// Takes connections until the instance closes, then waits for the last one.
+    /// Accepts connections until the instance stops, then waits until all of them are
+    /// closed.
     async fn serve(self, listener: TcpListener) {
         let seed = rand::random();
         let state = ThreadState::new(self.handle.clone(), self.clock, self.limits, seed);
@@ -172,8 +174,9 @@
         drop(open);
         // Every connection holds a clone of `open`.
         let _: Option<()> = all_closed.recv().await;
-        // While this thread lives, moves wait for what it has abandoned: such a
-        // request may still run at its server until its deadline.
+        // A move of a shard waits for the abandoned requests of running threads only, and
+        // such a request may run at its server until its deadline. The thread therefore
+        // ends only after the last of these deadlines.
         let abandoned_until = state.in_flight.borrow().abandoned_until();
         if let Some(abandoned_until) = abandoned_until {
             sleep(abandoned_until - self.clock.now()).await;
@@ -181,16 +184,16 @@
     }
 }
 
-/// Keeps a timer running that ends before those of requests. A timer that ends
-/// before all others makes the runtime wake its own thread, which costs a write
-/// and another wait for each; every request sets two.
+/// Keeps a timer pending that fires before those of requests. Each request sets two
+/// timers; whenever a new timer is the earliest one, the runtime wakes its own thread,
+/// which costs a write and an additional poll.
 async fn tick_timer() {
     loop {
         sleep(TIMER_TICK).await;
     }
 }
 
-/// Held by a connection while it is open.
+/// Held by each connection while it is open.
 type OpenToken = mpsc::Sender<()>;
 
 async fn accept(listener: &TcpListener, proxy: &Proxy, handle: &TrafficHandle, open: &OpenToken) {
@@ -205,8 +208,8 @@
     }
 }
 
-/// Takes the connections that the kernel has completed already: closing the
-/// listener would reset them, and with them requests that are on their way.
+/// Accepts the connections that the kernel has already completed. Closing the listener
+/// would reset them and lose the requests on them.
 async fn accept_pending(
     listener: &TcpListener,
     proxy: &Proxy,
