--- a/crates/citronproxy/src/edge/traffic/attempt.rs
+++ b/crates/citronproxy/src/edge/traffic/attempt.rs
@@ -263,7 +263,7 @@
         Err(_) => return not_sent("timed out connecting to the server".to_string()),
     };
     in_flight.started = state.clock.now();
-    in_flight.is_new_connection = !connection.reused;
+    in_flight.is_new_connection = !connection.is_reused;
     if in_flight.is_new_connection
         && is_closed_at_once(state, server, outgoing.idempotency, &connection).await
     {
@@ -272,7 +272,7 @@
     let mut pooled = PooledConnection::new(&state.pool, address, connection);
     let written_before = pooled.connection_mut().socket.written_bytes();
     let idle = state.clock.now() - pooled.connection_mut().socket.last_read();
-    let reused = pooled.connection_mut().reused;
+    let reused = pooled.connection_mut().is_reused;
     let recorder =
         reused.then(|| ReuseRecorder::start(&state.idle_limits, service, idle, state.clock));
     let request = build_request(state, server, outgoing);
--- a/crates/citronproxy/src/traffic/attempts.rs
+++ b/crates/citronproxy/src/traffic/attempts.rs
@@ -169,7 +169,7 @@
             }
         };
         let now = self.state.clock.now();
-        if connection.reused {
+        if connection.is_reused {
             let _ = self.first_reused.set((now, address));
             self.reuse_notify.notify_one();
         }
@@ -249,9 +249,9 @@
     if response.status() == StatusCode::SWITCHING_PROTOCOLS {
         return false;
     }
-    let chunked = response.headers().contains_key(header::TRANSFER_ENCODING);
+    let is_chunked = response.headers().contains_key(header::TRANSFER_ENCODING);
     let body = response.body();
-    chunked || body.is_end_stream() || body.size_hint().exact().is_some()
+    is_chunked || body.is_end_stream() || body.size_hint().exact().is_some()
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
--- a/crates/citronproxy/src/traffic/driver.rs
+++ b/crates/citronproxy/src/traffic/driver.rs
@@ -167,10 +167,10 @@
     fn step(&mut self, event: Event) -> Step {
         let state = &self.attempts.state;
         let now = state.clock.now();
-        let consumed = !self.attempts.body.is_replayable();
+        let is_consumed = !self.attempts.body.is_replayable();
         let retry_state = &mut self.retry_state;
         state.with_retries(self.service, |retries| {
-            if consumed {
+            if is_consumed {
                 retry_state.step(Event::BodyStarted, now, retries);
             }
             retry_state.step(event, now, retries)
--- a/crates/citronproxy/src/traffic/guard/stream.rs
+++ b/crates/citronproxy/src/traffic/guard/stream.rs
@@ -187,7 +187,7 @@
     /// many bytes belong to the body.
     fn consume_body(&mut self, bytes: Option<&[u8]>) -> io::Result<usize> {
         let bytes = bytes.unwrap_or(&self.unread);
-        let (consumed, done) = match &mut self.mode {
+        let (consumed, is_done) = match &mut self.mode {
             Mode::Body(remaining) => {
                 let consumed = usize::try_from(*remaining)
                     .unwrap_or(usize::MAX)
@@ -201,7 +201,7 @@
             }
             Mode::Head(_) | Mode::Refused => (0, false),
         };
-        if done {
+        if is_done {
             self.mode = Mode::Head(0);
         }
         Ok(consumed)
--- a/crates/citronproxy/src/traffic/pool.rs
+++ b/crates/citronproxy/src/traffic/pool.rs
@@ -65,7 +65,7 @@
     /// State of the socket.
     pub socket: Rc<SocketState>,
     /// Whether the connection has carried an exchange before.
-    pub reused: bool,
+    pub is_reused: bool,
     /// Keep-alive timeout that the server declared, if any.
     pub keep_alive: Option<Duration>,
     driver: AbortHandle,
@@ -167,7 +167,7 @@
         Ok(Connection {
             sender,
             socket,
-            reused: false,
+            is_reused: false,
             keep_alive: None,
             driver: driver.abort_handle(),
         })
@@ -180,7 +180,7 @@
         if connections.len() >= MAX_IDLE_CONNECTIONS || connection.sender.is_closed() {
             return;
         }
-        connection.reused = true;
+        connection.is_reused = true;
         connections.push(connection);
     }
 
