--- a/crates/fakes/examples/backend.rs
+++ b/crates/fakes/examples/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in backend server as a process:
+//! Runs the fake backend server as a process:
 //! `backend ADDRESS --name NAME [--slots N] [--work-ms N] [--fenced]`.
 
 use {
--- a/crates/fakes/examples/platform.rs
+++ b/crates/fakes/examples/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform as a process: `platform ADDRESS`.
+//! Runs the fake platform as a process: `platform ADDRESS`.
 
 use {citron_fakes::platform::PlatformServer, std::error::Error};
 
--- a/crates/fakes/src/backend/execution.rs
+++ b/crates/fakes/src/backend/execution.rs
@@ -1,38 +1,38 @@
-//! What a backend server ran, for tests to check.
+//! Log of the requests that a fake backend server executed.
 
 use {
     serde::{Deserialize, Serialize},
     std::sync::{Arc, Mutex, PoisonError},
 };
 
-/// One request that was run.
+/// One executed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// The scope it was routed under; empty if none was sent.
+    /// Scope from the request header; empty without the header.
     pub scope: String,
-    /// The epoch it was routed under; 0 if none was sent.
+    /// Epoch from the request header; 0 without the header.
     pub epoch: u64,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// The caller's mark, from the header `test-id`.
+    /// Id that the test set in the header `test-id`.
     pub id: String,
-    /// When it began, microseconds on the wall clock of the machine.
+    /// Start time, in Unix microseconds of the machine's wall clock.
     pub at_us: u64,
-    /// When it ended, on the same clock; 0 while it runs.
+    /// End time on the same clock; 0 while the request runs.
     #[serde(default)]
     pub end_us: u64,
 }
 
-/// All runs of one server; clones share them.
+/// Log of all executions of one server. Clones share the log.
 #[derive(Debug, Clone, Default)]
 pub struct ExecutionLog {
     executions: Arc<Mutex<Vec<Execution>>>,
 }
 
 impl ExecutionLog {
-    /// Adds a run, and gives its number.
+    /// Appends an execution and returns its index.
     pub fn push(&self, execution: Execution) -> usize {
         let mut executions = self
             .executions
@@ -42,7 +42,7 @@
         executions.len() - 1
     }
 
-    /// Notes that a run has ended.
+    /// Sets the end time of an execution, in Unix microseconds.
     pub fn finish(&self, index: usize, at: u64) {
         let mut executions = self
             .executions
@@ -51,7 +51,7 @@
         executions[index].end_us = at;
     }
 
-    /// Notes that all runs have ended.
+    /// Sets the end time of all unfinished executions, in Unix microseconds.
     pub fn finish_all(&self, at: u64) {
         let mut executions = self
             .executions
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether a run of a scope up to an epoch has not ended.
+    /// Returns whether a request of the scope with this epoch or a lower one still runs.
     pub fn is_running(&self, scope: &str, epoch: u64) -> bool {
         let executions = self
             .executions
@@ -75,7 +75,7 @@
         unfinished.any(|execution| execution.scope == scope && execution.epoch <= epoch)
     }
 
-    /// All so far, in order.
+    /// Returns all executions so far, in order of their start.
     pub fn all(&self) -> Vec<Execution> {
         self.executions
             .lock()
--- a/crates/fakes/src/backend/fence.rs
+++ b/crates/fakes/src/backend/fence.rs
@@ -1,4 +1,4 @@
-//! The check of fenced grants, as a backend server that has one does it.
+//! Check of fenced grants: requests run only under the newest grant and a valid lease.
 
 use {
     citron_core::{
@@ -8,13 +8,14 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
+/// Newest grant of a scope.
 #[derive(Debug, Clone, Copy)]
 struct HeldGrant {
     epoch: Epoch,
     kind: GrantKind,
 }
 
-/// Grants and lease of one start of a server.
+/// Newest grants and lease of one server process.
 ///
 /// ```
 /// use {citron_core::ownership::BootId, citron_fakes::backend::Fence, std::time::Duration};
@@ -26,12 +27,13 @@
 #[derive(Debug, Clone)]
 pub struct Fence {
     boot: BootId,
+    /// End of the lease on the server's own clock.
     lease_end: Duration,
     latest: BTreeMap<(ServiceName, Scope), HeldGrant>,
 }
 
 impl Fence {
-    /// The fence of a server that has just started: nothing is allowed.
+    /// Creates the fence of a process that has just started. It allows no request.
     pub fn new(boot: BootId) -> Self {
         Self {
             boot,
@@ -40,7 +42,11 @@
         }
     }
 
-    /// Takes an order; `clock` is the server's own.
+    /// Applies an order with grants and possibly a lease, and returns the result of each
+    /// grant. `clock` is the time since the start of the server process.
+    ///
+    /// Grants for another process of the server, with an epoch below the newest one, or
+    /// that would undo a revocation of the same epoch are stale.
     pub fn apply(
         &mut self,
         boot: Option<BootId>,
@@ -79,7 +85,7 @@
         GrantResult::Accepted
     }
 
-    /// Whether a request may be run.
+    /// Returns whether a request with this scope and epoch may run at the time `clock`.
     pub fn allows(
         &self,
         service: &ServiceName,
--- a/crates/fakes/src/backend/mod.rs
+++ b/crates/fakes/src/backend/mod.rs
@@ -1,4 +1,5 @@
-//! A backend server: slots, fenced grants, and a record of all that it ran.
+//! Fake backend server with a limited number of slots, fenced grants, and a log of the
+//! requests that it executed.
 
 mod execution;
 mod fence;
--- a/crates/fakes/src/backend/server.rs
+++ b/crates/fakes/src/backend/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the stand-in backend server.
+//! HTTP server of the fake backend server.
 
 use {
     super::{Execution, ExecutionLog, Fence},
@@ -32,28 +32,28 @@
     },
 };
 
-/// Request header: milliseconds that the request may still take.
+/// Request header with the milliseconds left until the caller's deadline.
 const HEADER_TIMEOUT: &str = "citron-timeout-ms";
 
-/// How a stand-in backend server behaves.
+/// Settings of a fake backend server.
 #[derive(Debug, Clone)]
 pub struct BackendConfig {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Requests it runs at a time.
+    /// Number of requests that run at the same time.
     pub slots: usize,
-    /// How long a request runs.
+    /// Execution time of a request.
     pub work: Duration,
-    /// Whether it checks grants.
+    /// Whether the server rejects requests that its grants do not allow.
     pub checks_grants: bool,
 }
 
-/// The stand-in, listening; it stops when its runtime does.
+/// Fake backend server with its HTTP server, which stops with its runtime.
 #[derive(Debug, Clone)]
 pub struct BackendServer {
-    /// Where it listens.
+    /// Address of the HTTP server.
     pub address: SocketAddr,
-    /// What it ran.
+    /// Log of the executed requests.
     pub executions: ExecutionLog,
     config: BackendConfig,
     slots: Arc<Semaphore>,
@@ -65,7 +65,7 @@
 }
 
 impl BackendServer {
-    /// Starts on an address, port 0 for any, within the current runtime.
+    /// Starts the server in the current runtime. Port 0 chooses a free port.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -127,36 +127,37 @@
         }
     }
 
-    /// Stops the server as if its process were paused: connections are accepted,
-    /// what is sent waits, and its clock goes on.
+    /// Suspends the server as SIGSTOP does: connections are still accepted and requests
+    /// wait, while the server's clock goes on.
     pub fn freeze(&self) {
         self.frozen.send_replace(true);
     }
 
-    /// Ends the server as if its process were killed: connections are cut, new
-    /// ones refused, and what runs ends at once.
+    /// Stops the server as SIGKILL does: open connections are closed, new ones are refused,
+    /// and running requests end at once.
     pub fn crash(&self) {
         self.crashed.send_replace(true);
         self.executions.finish_all(unix_micros());
     }
 
-    /// Resolves once the server has crashed.
+    /// Waits until [`Self::crash`] is called.
     async fn wait_crashed(&self) {
         let mut crashed = self.crashed.subscribe();
         let _ = crashed.wait_for(|crashed| *crashed).await;
     }
 
-    /// Goes on as if nothing had happened.
+    /// Resumes the server after [`Self::freeze`].
     pub fn thaw(&self) {
         self.frozen.send_replace(false);
     }
 
+    /// Waits while the server is suspended.
     async fn wait_thawed(&self) {
         let mut frozen = self.frozen.subscribe();
         let _ = frozen.wait_for(|frozen| !frozen).await;
     }
 
-    /// Says that it is leaving, to control and to callers, from now on.
+    /// Makes health checks report that the server is draining, from now on.
     pub fn drain(&self) {
         self.is_draining.store(true, Ordering::Relaxed);
     }
@@ -187,7 +188,7 @@
         let clock = self.started_at.elapsed();
         self.wait_thawed().await;
         let reply = self.fence().apply(boot, &grants, lease, clock);
-        // A revocation is accepted once nothing of the scope runs any more.
+        // A revocation is acknowledged only after all running requests of the scope ended.
         for grant in grants.iter().filter(|g| g.kind == GrantKind::Revoke) {
             while self
                 .executions
@@ -226,9 +227,9 @@
         let Some(index) = self.start_execution(path, headers) else {
             return misdirected("epoch");
         };
-        // What has begun goes on to its end, whether or not the caller waits, but
-        // no longer than its deadline: a server that finds itself past that
-        // after a freeze gives the request up.
+        // A started request runs to its end even if the caller disconnects. Its recorded end
+        // is capped at its deadline, as a server that is past the deadline after a
+        // suspension abandons the request.
         let server = self.clone();
         let deadline = unix_micros().saturating_add(remaining_micros(headers));
         let work = tokio::spawn(async move {
@@ -241,8 +242,9 @@
         json_response(StatusCode::OK, &body)
     }
 
-    /// Begins a run; in one step with the check, so that no revocation comes
-    /// between the two.
+    /// Checks the grant and records the execution under one lock, so that no revocation
+    /// can come between the two. Returns the index of the execution, or `None` if the
+    /// grants do not allow the request.
     fn start_execution(&self, path: &str, headers: &HeaderMap) -> Option<usize> {
         let fence = self.fence();
         let is_allowed = !self.config.checks_grants || self.is_allowed(&fence, headers);
@@ -272,7 +274,7 @@
     }
 }
 
-/// How long a request may take, in microseconds.
+/// Returns the time until the request's deadline in microseconds.
 fn remaining_micros(headers: &HeaderMap) -> u64 {
     let millis: Option<u64> = header_text(headers, HEADER_TIMEOUT).parse().ok();
     millis.map_or(u64::MAX, |millis| millis.saturating_mul(1_000))
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' servers share.
+//! HTTP helpers shared by the fake servers.
 
 use {
     bytes::Bytes,
@@ -7,7 +7,7 @@
     serde::Serialize,
 };
 
-/// An answer of any stand-in.
+/// Response type of all fake servers.
 pub(crate) type HttpResponse = Response<Full<Bytes>>;
 
 pub(crate) fn json_response(status: StatusCode, body: &impl Serialize) -> HttpResponse {
@@ -21,7 +21,7 @@
     response
 }
 
-/// The value of one query parameter, as it stands.
+/// Returns the value of a query parameter, without percent-decoding it.
 pub(crate) fn query_param<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let pairs = query?.split('&').filter_map(|pair| pair.split_once('='));
     pairs
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the systems around citronproxy, for tests and trials.
+//! Fakes of the systems around citronproxy, for tests and manual runs: the deployment
+//! platform, backend servers, and network links with faults.
 
 pub mod backend;
 pub mod link;
--- a/crates/fakes/src/link/mod.rs
+++ b/crates/fakes/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! A network link that can be cut: a TCP relay between two processes.
+//! Fake network link: a TCP relay that can drop, delay, throttle or truncate traffic.
 
 mod relay;
 
--- a/crates/fakes/src/link/relay.rs
+++ b/crates/fakes/src/link/relay.rs
@@ -1,4 +1,4 @@
-//! The relay.
+//! TCP relay of the fake network link.
 
 use {
     std::{
@@ -18,47 +18,48 @@
     },
 };
 
-/// The pause after a failed accept.
+/// Delay before the next attempt after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
+/// Faults of the link.
 #[derive(Debug, Clone, Copy)]
 struct State {
-    /// Where new connections go.
+    /// Target of new connections.
     target: SocketAddr,
-    /// Nothing passes; what was sent passes once the link is whole again, as
-    /// TCP sends again what was not acknowledged.
+    /// Whether no bytes pass. Bytes sent meanwhile pass once the link is healed, as TCP
+    /// retransmits segments that were not acknowledged.
     is_cut: bool,
-    /// Nothing comes back.
+    /// Whether no bytes pass from the target to the client.
     blocks_replies: bool,
-    /// How long bytes are held up on their way there.
+    /// Delay of bytes, in both directions.
     delay: Duration,
-    /// Bytes a second that come back, over all connections.
+    /// Limit on the bytes per second from the target to clients, over all connections.
     rate: Option<u32>,
-    /// Connections opened before this many silencings carry nothing any more.
+    /// Incremented by each stall. Connections opened under a lower value pass no bytes.
     stall_generation: u64,
-    /// Connections opened before this many closings are closed.
+    /// Incremented by each close. Connections opened under a lower value are closed.
     close_generation: u64,
-    /// The answers on the next so many connections are torn.
+    /// Number of next connections whose replies are truncated.
     truncated_replies: u32,
-    /// After so many bytes.
+    /// Number of reply bytes that pass on such a connection.
     truncate_after: usize,
 }
 
-/// A link from one address to a target; it ends with its runtime.
+/// Network link from a local address to a target, which stops with its runtime.
 ///
-/// A cut is silent: connections stay open and carry nothing.
+/// Cutting the link closes no connection: connections stay open and pass no bytes.
 #[derive(Debug, Clone)]
 pub struct Link {
-    /// Where the near end listens.
+    /// Local address that clients connect to.
     pub address: SocketAddr,
     state: watch::Sender<State>,
 }
 
-/// Until when the link is taken by what comes back.
+/// Time until which the bandwidth towards the clients is used up.
 type RateSlot = Arc<Mutex<Instant>>;
 
 impl Link {
-    /// Starts a link to a target, on a port of its own.
+    /// Starts a link to a target on a free loopback port.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -82,32 +83,32 @@
         Ok(link)
     }
 
-    /// Leads new connections to another target.
+    /// Connects new connections to another target. Open connections keep theirs.
     pub fn set_target(&self, target: SocketAddr) {
         self.state.send_modify(|state| state.target = target);
     }
 
-    /// Cuts the link in both directions, silently.
+    /// Stops all bytes in both directions without closing connections.
     pub fn cut(&self) {
         self.state.send_modify(|state| state.is_cut = true);
     }
 
-    /// What is sent arrives, and nothing comes back.
+    /// Stops all bytes from the target to clients.
     pub fn block_replies(&self) {
         self.state.send_modify(|state| state.blocks_replies = true);
     }
 
-    /// Holds everything up that is sent.
+    /// Delays all bytes by this time.
     pub fn set_delay(&self, duration: Duration) {
         self.state.send_modify(|state| state.delay = duration);
     }
 
-    /// Lets so many bytes a second come back, over all connections together.
+    /// Limits the rate from the target to clients, in bytes per second over all connections.
     pub fn limit_rate(&self, rate: u32) {
         self.state.send_modify(|state| state.rate = Some(rate));
     }
 
-    /// Makes the link whole, quick and wide.
+    /// Ends a cut, blocked replies, a delay and a rate limit.
     pub fn heal(&self) {
         self.state.send_modify(|state| {
             state.is_cut = false;
@@ -117,18 +118,17 @@
         });
     }
 
-    /// Closes all connections open now; new ones work.
+    /// Closes all open connections. New connections work.
     pub fn close_connections(&self) {
         self.state.send_modify(|state| state.close_generation += 1);
     }
 
-    /// All connections open now go silent for good; new ones work.
+    /// Stops all bytes on the open connections for good. New connections work.
     pub fn stall_connections(&self) {
         self.state.send_modify(|state| state.stall_generation += 1);
     }
 
-    /// On each of the next `count` connections, the answer is cut off by a close
-    /// after `after` bytes.
+    /// Closes each of the next `count` connections after `limit_bytes` bytes of replies.
     pub fn truncate_replies(&self, count: u32, limit_bytes: usize) {
         self.state.send_modify(|state| {
             state.truncated_replies = count;
@@ -156,7 +156,7 @@
     }
 }
 
-/// How many bytes of the next connection's answer pass.
+/// Returns the number of reply bytes that pass on the next connection.
 fn next_reply_limit(state: &watch::Sender<State>) -> usize {
     let mut limit = usize::MAX;
     state.send_if_modified(|state| {
@@ -175,7 +175,8 @@
     limit: usize,
     rate_slot: RateSlot,
 ) {
-    // One borrow: a second one beside it blocks for ever if a change waits between them.
+    // Both fields are read under one borrow. A second borrow in this function would
+    // deadlock if a writer waits for the lock between the two.
     let State {
         stall_generation: generation,
         close_generation,
@@ -212,15 +213,15 @@
     );
     tokio::select! {
         _ = state.wait_for(|state| state.close_generation != close_generation) => {}
-        // The end of an answer ends both directions; a caller's half-close does
-        // not.
+        // When the target closes, both directions end. A half-close by the client does not
+        // end the connection.
         () = backward => {}
         () = async { forward.await; std::future::pending().await } => {}
     }
 }
 
-/// Waits until bytes may pass; `false` if the link is gone, or if the sender has
-/// reset its connection meanwhile: a network then loses what it had held up.
+/// Waits until bytes may pass. Returns `false` if the link was dropped, or if the sender
+/// reset its connection meanwhile: a network then loses the bytes that it had delayed.
 async fn wait_open(
     from: &OwnedReadHalf,
     state: &mut watch::Receiver<State>,
@@ -232,7 +233,7 @@
     is_open && matches!(from.as_ref().take_error(), Ok(None))
 }
 
-/// Waits for a turn on a narrow link.
+/// Waits until the rate limit allows `bytes` more bytes.
 async fn wait_for_rate(rate_slot: &RateSlot, rate: Option<u32>, bytes: usize) {
     let Some(rate) = rate else { return };
     let duration = Duration::from_secs_f64(bytes as f64 / f64::from(rate));
--- a/crates/fakes/src/platform/faults.rs
+++ b/crates/fakes/src/platform/faults.rs
@@ -1,36 +1,37 @@
-//! What goes wrong with the platform, set by a test while it runs.
+//! Faults of the fake platform, which a test changes at run time.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
     time::Duration,
 };
 
-/// What goes wrong now.
+/// Faults currently in effect.
 #[derive(Debug, Clone, Default)]
 pub struct FaultSettings {
-    /// Calls are cut off without an answer, and have no effect.
+    /// Whether the platform closes the connection of each request without a response and
+    /// without an effect.
     pub is_down: bool,
-    /// Every answer takes so much longer.
+    /// Delay added before each request is processed.
     pub delay: Duration,
-    /// The answers of the next so many commits are lost after taking effect.
+    /// Number of next commits that take effect but whose responses are lost.
     pub lost_replies: u32,
-    /// The next so many commits are cut off without effect.
+    /// Number of next commits whose connections are closed without an effect.
     pub dropped_commits: u32,
 }
 
-/// A shared handle to the platform's troubles.
+/// Shared handle to the faults of a fake platform.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     settings: Arc<Mutex<FaultSettings>>,
 }
 
 impl Faults {
-    /// Changes what goes wrong.
+    /// Changes the faults with a closure.
     pub fn update(&self, change: impl FnOnce(&mut FaultSettings)) {
         change(&mut self.settings.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// What goes wrong now.
+    /// Returns a copy of the faults currently in effect.
     pub fn current(&self) -> FaultSettings {
         self.settings
             .lock()
@@ -38,7 +39,7 @@
             .clone()
     }
 
-    /// Whether one of a counted trouble is due; counts it.
+    /// Decrements a counter of faults, and returns whether it was above 0.
     pub(crate) fn consume(&self, counter: impl FnOnce(&mut FaultSettings) -> &mut u32) -> bool {
         let mut settings = self.settings.lock().unwrap_or_else(PoisonError::into_inner);
         let remaining = counter(&mut settings);
--- a/crates/fakes/src/platform/mod.rs
+++ b/crates/fakes/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's table, object store and instance list over HTTP, with outages.
+//! Fake platform: table, object store and instance list over HTTP, with configurable
+//! faults.
 
 mod faults;
 mod server;
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the stand-in platform.
+//! HTTP server of the fake platform.
 
 use {
     super::Faults,
@@ -15,24 +15,24 @@
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// Cuts the connection instead of answering.
+/// Error that makes hyper close the connection without a response.
 #[derive(Debug, Error)]
-#[error("cut off")]
+#[error("connection closed by an injected fault")]
 struct ConnectionAborted;
 
-/// The stand-in, listening; it stops when its runtime does.
+/// Fake platform with its HTTP server, which stops with its runtime.
 #[derive(Debug, Clone)]
 pub struct PlatformServer {
-    /// Where it listens.
+    /// Address of the HTTP server.
     pub address: SocketAddr,
-    /// What it holds.
+    /// Stored table rows, objects and instance list.
     pub memory: MemoryPlatform,
-    /// What goes wrong with it.
+    /// Faults, changeable at run time.
     pub faults: Faults,
 }
 
 impl PlatformServer {
-    /// Starts on an address, port 0 for any, within the current runtime.
+    /// Starts the server in the current runtime. Port 0 chooses a free port.
     ///
     /// # Errors
     /// If the address cannot be bound.
--- a/crates/fakes/src/scripted/mod.rs
+++ b/crates/fakes/src/scripted/mod.rs
@@ -1,5 +1,5 @@
-//! A backend server on raw sockets: it breaks off, answers late, twice or in
-//! part, wherever its script says.
+//! Fake backend servers on plain TCP sockets. Scripts define byte for byte what they read
+//! and write, so that responses can be truncated, late or duplicated at any point.
 
 mod server;
 mod step;
--- a/crates/fakes/src/scripted/server.rs
+++ b/crates/fakes/src/scripted/server.rs
@@ -1,4 +1,4 @@
-//! The scripted server.
+//! TCP server that follows a script on each connection.
 
 use {
     super::Step,
@@ -14,7 +14,7 @@
     },
 };
 
-/// What arrived on one connection.
+/// Record of one connection.
 #[derive(Debug, Clone, Default)]
 struct ConnectionLog {
     bytes: Vec<u8>,
@@ -22,17 +22,17 @@
     is_closed: bool,
 }
 
-/// Plays one script a connection, in the order of their arrival; the last script
-/// is played again for all further ones.
+/// Server that runs one script per connection, in the order in which connections are
+/// accepted. All connections after the last script run the last script again.
 #[derive(Debug, Clone)]
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
     logs: Arc<Mutex<Vec<ConnectionLog>>>,
 }
 
 impl ScriptedServer {
-    /// Starts on any free port of this host within the current runtime.
+    /// Starts the server on a free loopback port in the current runtime.
     ///
     /// # Errors
     /// If no port is free.
@@ -46,28 +46,28 @@
         Ok(server)
     }
 
-    /// Requests that were read whole.
+    /// Returns the number of requests that were read completely.
     pub fn request_count(&self) -> usize {
         self.lock().iter().map(|log| log.requests).sum()
     }
 
-    /// Connections on which at least a byte arrived.
+    /// Returns the number of connections on which at least one byte arrived.
     pub fn used_connections(&self) -> usize {
         let logs = self.lock();
         logs.iter().filter(|log| !log.bytes.is_empty()).count()
     }
 
-    /// Connections taken.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> usize {
         self.lock().len()
     }
 
-    /// Connections that the other side has ended.
+    /// Returns the number of connections that were closed before the script ended.
     pub fn closed_connections(&self) -> usize {
         self.lock().iter().filter(|log| log.is_closed).count()
     }
 
-    /// What arrived on a connection, as text.
+    /// Returns the bytes received on a connection as text. Connections are numbered from 0.
     pub fn received_text(&self, connection: usize) -> String {
         let logs = self.lock();
         let bytes = logs.get(connection).map(|log| log.bytes.as_slice());
@@ -97,7 +97,7 @@
     }
 }
 
-/// One connection's script being played.
+/// Execution of a script on one connection.
 struct ScriptRun {
     server: ScriptedServer,
     number: usize,
@@ -126,7 +126,7 @@
                 Ok(())
             }
             Step::Reset => {
-                // Closing with no time to linger sends a reset.
+                // With a linger time of zero, closing the socket sends a reset.
                 self.stream.set_zero_linger()?;
                 Err(io::ErrorKind::ConnectionReset.into())
             }
--- a/crates/fakes/src/scripted/step.rs
+++ b/crates/fakes/src/scripted/step.rs
@@ -1,29 +1,29 @@
-//! Steps of a script.
+//! Steps of a connection's script.
 
 use std::time::Duration;
 
-/// One step on one connection.
+/// One step of a connection's script.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// Reads so many bytes.
+    /// Reads this number of bytes.
     Read(usize),
-    /// Reads one request to the end of its head.
+    /// Reads the head of a request, up to the blank line.
     ReadHead,
-    /// Reads one whole request, by `Content-Length` or in chunks, and counts it
-    /// as run.
+    /// Reads a complete request with a `Content-Length` or chunked body, and counts it.
     ReadRequest,
     /// Writes this text.
     Write(String),
-    /// Waits.
+    /// Waits for this time.
     Pause(Duration),
-    /// Ends the connection with a reset.
+    /// Closes the connection with a TCP reset.
     Reset,
-    /// Keeps the connection, and reads and writes no more until it is closed.
+    /// Keeps the connection open without writing, and discards input until the peer closes
+    /// the connection.
     Hang,
 }
 
 impl Step {
-    /// Writes an answer with this body and its length.
+    /// Creates a step that writes a response with status 200 and this body.
     ///
     /// ```
     /// use citron_fakes::scripted::Step;
@@ -37,7 +37,7 @@
         ))
     }
 
-    /// Writes this text.
+    /// Creates a step that writes this text.
     pub fn write(text: &str) -> Self {
         Self::Write(text.to_string())
     }
--- a/crates/fakes/src/scripted/upload.rs
+++ b/crates/fakes/src/scripted/upload.rs
@@ -1,4 +1,4 @@
-//! A server that reads uploads and keeps nothing of them.
+//! Server that reads uploads slowly and discards them.
 
 use {
     std::{io, net::SocketAddr, time::Duration},
@@ -9,14 +9,14 @@
     },
 };
 
-/// Bytes read at a time.
+/// Size of the read buffer.
 const READ_BYTES: usize = 64 * 1_024;
 
-/// Bytes after which it pauses.
+/// Number of bytes after which the server pauses.
 const PAUSE_INTERVAL_BYTES: usize = 1_024 * 1_024;
 
-/// Starts a server on any free port that reads uploads by their length, pausing
-/// now and then, and answers how much it received.
+/// Starts a server on a free port that reads uploads with a `Content-Length`, pauses after
+/// each MiB, and responds with the number of bytes received.
 ///
 /// # Errors
 /// If no port is free.
--- a/crates/fakes/tests/link.rs
+++ b/crates/fakes/tests/link.rs
@@ -1,4 +1,4 @@
-//! The link, under many connections.
+//! Concurrency test of the fake network link.
 
 use {
     citron_fakes::link::Link,
@@ -18,7 +18,7 @@
 };
 
 const CONNECTIONS: u32 = 4_000;
-/// Far more than the connections take.
+/// Far longer than all connections take.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn connect_during_changes() {
@@ -40,7 +40,8 @@
     changer.join().unwrap();
 }
 
-/// Guards against a link that stands still for good when it is changed as a connection opens.
+/// Guards against a deadlock of the link: it occurred when the link's state was changed
+/// while a connection was being opened, between two borrows of the state.
 #[test]
 fn a_link_is_changed_while_connections_open() {
     let (done, ended) = mpsc::channel();
