--- a/crates/citronctl/src/args.rs
+++ b/crates/citronctl/src/args.rs
@@ -1,4 +1,4 @@
-//! What is common to all commands.
+//! Command-line options common to all commands.
 
 use {
     crate::error::CtlError,
@@ -6,31 +6,34 @@
     std::{env, fs, net::SocketAddr, time::Duration},
 };
 
-/// How long `--wait` waits unless told otherwise, in seconds.
+/// Default timeout of `--wait` in seconds.
 const DEFAULT_WAIT_SECS: u64 = 30;
 
-/// Options of every command.
+/// Options common to all commands.
 #[derive(Debug)]
 pub struct Options {
-    /// Admin addresses of instances; the first that can be reached is used.
+    /// Admin addresses of instances. The first one that accepts a connection is used.
     pub admins: Vec<SocketAddr>,
-    /// Who makes the edits.
+    /// Author of the edits, recorded in the history.
     pub author: String,
-    /// Where the token is, unless it is in the environment.
+    /// File with the token, if `--token-file` was given.
     pub token_file: Option<String>,
-    /// Whether to wait until an edit is in force everywhere.
+    /// Whether to wait until an edit is in force on all instances.
     pub wait: bool,
-    /// How long to wait.
+    /// Timeout of [`Self::wait`].
     pub wait_timeout: Duration,
-    /// Whether to apply without asking.
+    /// Whether to apply edits without confirmation.
     pub skip_confirm: bool,
 }
 
-/// Who makes an edit if nobody is named, as in a bare container.
+/// Author of edits if neither `--by` nor `USER` is set, as in a minimal container.
 const DEFAULT_AUTHOR: &str = "unnamed";
 
 impl Options {
-    /// Takes the common options out of the arguments.
+    /// Parses the common options and removes them from the arguments.
+    ///
+    /// # Errors
+    /// If a value is missing or not valid.
     pub fn parse(args: &mut Arguments) -> Result<Self, CtlError> {
         let at: Option<String> = args.opt_value_from_str("--at")?;
         let admins = at.or_else(|| env::var("CITRON_ADMIN").ok());
@@ -48,8 +51,11 @@
         })
     }
 
-    /// The bearer token. It is never an argument: arguments are seen by every
-    /// user of the machine and kept in the shell's history.
+    /// Returns the bearer token from a file or the environment. It cannot be an argument:
+    /// arguments are visible to all users of the machine and kept in the shell's history.
+    ///
+    /// # Errors
+    /// If no token is set or its file cannot be read.
     pub fn token(&self) -> Result<String, CtlError> {
         let file = self.token_file.clone();
         if let Some(file) = file.or_else(|| env::var("CITRON_TOKEN_FILE").ok()) {
@@ -73,16 +79,16 @@
 
 macro_rules! commands {
     ($($variant:ident = $name:literal),* $(,)?) => {
-        /// Which command.
+        /// The command to run.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Command {
-            /// The list of commands.
+            /// `help`, or no command: prints the list of commands.
             Help,
             $(#[doc = concat!("`", $name, "`")] $variant),*
         }
 
         impl Command {
-            /// Finds a command by its word.
+            /// Returns the command with this name on the command line.
             fn from_name(name: &str) -> Option<Self> {
                 match name {
                     $($name => Some(Self::$variant),)*
@@ -109,12 +115,15 @@
 }
 
 impl Command {
-    /// Takes the command out of the arguments.
+    /// Parses the command and removes it from the arguments.
+    ///
+    /// # Errors
+    /// If there is no such command.
     pub fn parse(args: &mut Arguments) -> Result<Self, CtlError> {
         match args.subcommand()?.as_deref() {
             None | Some("help") => Ok(Self::Help),
             Some(name) => {
-                let unknown = || CtlError::Usage(format!("no command '{name}'; see --help"));
+                let unknown = || CtlError::Usage(format!("unknown command '{name}'; see --help"));
                 Self::from_name(name).ok_or_else(unknown)
             }
         }
--- a/crates/citronctl/src/client.rs
+++ b/crates/citronctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the admin API.
+//! Client of the admin API.
 
 use {
     crate::{args::Options, error::CtlError},
@@ -19,14 +19,15 @@
     tokio::{net::TcpStream, time::timeout},
 };
 
-/// How long connecting may take.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an answer may take; an instance settles an edit for a few seconds.
+/// Timeout of a response. An instance may need a few seconds to determine the outcome of
+/// an edit.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Calls whichever instance can be reached.
+/// Client that sends requests to the first instance that accepts a connection.
 #[derive(Debug)]
 pub struct Client {
     /// Admin addresses, in the order they are tried.
@@ -36,7 +37,10 @@
 }
 
 impl Client {
-    /// A client; nothing is sent yet.
+    /// Creates a client without connecting.
+    ///
+    /// # Errors
+    /// If no admin address or no token is set.
     pub fn new(options: &Options) -> Result<Self, CtlError> {
         if options.admins.is_empty() {
             let message = "name an instance with --at or CITRON_ADMIN";
@@ -49,60 +53,60 @@
         })
     }
 
-    /// Rows of a kind, or all.
+    /// Returns the rows of one kind, or of all kinds.
     pub async fn rows(&self, kind: Option<&str>) -> Result<RowsWire, CtlError> {
         let query = kind.map(|kind| format!("?kind={kind}"));
         self.get(&format!("/v1/rows{}", query.unwrap_or_default()))
             .await
     }
 
-    /// The status of one instance.
+    /// Returns the status of one instance.
     pub async fn status(&self, admin: SocketAddr) -> Result<StatusWire, CtlError> {
         let connection = connect(admin).await?;
         self.send(connection, admin, Method::GET, "/v1/status", &())
             .await
     }
 
-    /// The status of the first instance that can be reached.
+    /// Returns the status of the first instance that accepts a connection.
     pub async fn any_status(&self) -> Result<StatusWire, CtlError> {
         self.get("/v1/status").await
     }
 
-    /// Who owns a key.
+    /// Returns the owner of a key.
     pub async fn owner(&self, service: &str, key: &str) -> Result<OwnerWire, CtlError> {
         let (service, key) = (escape(service), escape(key));
         self.get(&format!("/v1/owner?service={service}&key={key}"))
             .await
     }
 
-    /// Accepted edits.
+    /// Returns at most `limit` accepted edits after a revision.
     pub async fn history(&self, after: u64, limit: usize) -> Result<HistoryPageWire, CtlError> {
         self.get(&format!("/v1/history?after={after}&limit={limit}"))
             .await
     }
 
-    /// What all instances counted for service-level objectives.
+    /// Returns the counts of all instances for service-level objectives.
     pub async fn burn(&self) -> Result<BurnWire, CtlError> {
         self.get("/v1/burn").await
     }
 
-    /// Requests that crashed servers, as one instance knows of them.
+    /// Returns the requests that crashed backend servers, as known to one instance.
     pub async fn refused(&self) -> Result<RefusedWire, CtlError> {
         self.get("/v1/refused").await
     }
 
-    /// Lets requests through that crashed servers.
+    /// Ends the refusal of requests with this fingerprint, which crashed backend servers.
     pub async fn lift(&self, fingerprint: String) -> Result<LiftWire, CtlError> {
         self.post("/v1/lifts", &LiftWire { fingerprint }).await
     }
 
-    /// Commits an edit.
+    /// Commits an edit and returns its revision.
     pub async fn edit(&self, rows: Vec<RowEditWire>) -> Result<u64, CtlError> {
         let accepted: RevisionWire = self.post("/v1/edits", &EditWire { rows }).await?;
         Ok(accepted.revision)
     }
 
-    /// Begins a move.
+    /// Starts a move and returns its revision.
     pub async fn begin_move(&self, request: &MoveWire) -> Result<u64, CtlError> {
         let accepted: RevisionWire = self.post("/v1/moves", request).await?;
         Ok(accepted.revision)
@@ -122,11 +126,11 @@
         self.send(connection, admin, Method::POST, path, body).await
     }
 
-    /// The first instance that takes a connection. Once a request is sent it is
-    /// not sent to another one: an edit could then be reported as a lost race
-    /// against itself.
+    /// Connects to the first instance that accepts a connection. A request that was sent is
+    /// never repeated at another instance: an edit could then be reported as a version
+    /// conflict with itself.
     async fn connect(&self) -> Result<(Connection, SocketAddr), CtlError> {
-        let mut last_error = CtlError::Failed("no instance".to_string());
+        let mut last_error = CtlError::Failed("no admin address".to_string());
         for admin in &self.admins {
             match connect(*admin).await {
                 Ok(connection) => return Ok((connection, *admin)),
@@ -164,7 +168,7 @@
             let bytes = response.into_body().collect().await?.to_bytes();
             Ok::<_, hyper::Error>((status, bytes))
         };
-        let timed_out = |_| unconfirmed(format!("{admin} gave no answer"));
+        let timed_out = |_| unconfirmed(format!("{admin} did not respond in {RESPONSE_TIMEOUT:?}"));
         let response = timeout(RESPONSE_TIMEOUT, response_parts)
             .await
             .map_err(timed_out)?;
@@ -193,7 +197,7 @@
     CtlError::Failed(error.to_string())
 }
 
-/// Percent escapes, for all but plain characters.
+/// Percent-encodes all bytes except the unreserved characters of a URI.
 fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/citronctl/src/commands/edits.rs
+++ b/crates/citronctl/src/commands/edits.rs
@@ -1,4 +1,4 @@
-//! Commands that change one field of one row.
+//! Commands that set a field of one row.
 
 use {
     super::reject_extra_args,
@@ -84,14 +84,20 @@
     confirm::apply(client, options, &table, edits, false).await
 }
 
-/// A row of the table.
+/// Returns the row with this key.
+///
+/// # Errors
+/// If the table has no such row.
 pub fn find_row<'a>(table: &'a RowsWire, key: &str) -> Result<&'a VersionedRowWire, CtlError> {
     let row = table.rows.iter().find(|row| row.key == key);
     row.ok_or_else(|| CtlError::Failed(format!("there is no {key}")))
 }
 
-/// The edit that sets fields of a row; null takes a field out, and `None` says
-/// that nothing changes.
+/// Builds the edit that sets fields of a row; null removes a field. `None` if the row
+/// already has these values.
+///
+/// # Errors
+/// If the result is not a valid row.
 pub fn field_edit(
     row: &VersionedRowWire,
     version: u64,
--- a/crates/citronctl/src/commands/explain.rs
+++ b/crates/citronctl/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! One request's story, from the log lines of several instances.
+//! Explanation of one request from the log lines of several instances.
 
 use {
     super::{
@@ -10,24 +10,27 @@
     std::collections::BTreeMap,
 };
 
-/// Events of a request, by the beginning of their number.
+/// Prefix of the numbers of events that concern a single request.
 const REQUEST_EVENT_PREFIX: &str = "C05";
-/// Events that end a request, and what they mean for its caller.
+/// Events that end a request, and their meaning for the caller.
 const OUTCOMES: [(&str, &str); 3] = [
-    ("C0500", "refused: it has not run, and never will"),
-    ("C0501", "its outcome is not known: it may have run"),
+    ("C0500", "refused: the request has not run, and never will"),
+    ("C0501", "outcome unknown: the request may have run"),
     (
         "C0503",
-        "denied: it has not run, and its caller was told not to try again",
+        "denied: the request has not run, and the response told the caller not to retry",
     ),
 ];
-/// Without an end of its own, some try was answered in the end.
-const ANSWERED_OUTCOME: &str = "answered by a server after the tries below";
-/// Events that tell what an instance knew: the last ones before a request's end
-/// are its background.
+/// Outcome of a request without an event that ends it.
+const ANSWERED_OUTCOME: &str = "answered by a server after the failed attempts below";
+/// Events about the state of servers, services and the platform. The latest ones before
+/// the end of a request are shown as its context.
 const CONTEXT_EVENTS: [&str; 6] = ["C0400", "C0401", "C0410", "C0420", "C0430", "C0434"];
 
-/// Prints the lines of a request in order of time, and what was known then.
+/// Prints the lines of a request in order of time, and the latest earlier context events.
+///
+/// # Errors
+/// If no line mentions the request, or a file cannot be read.
 pub fn run(mut args: Arguments) -> Result<(), CtlError> {
     if args.contains("--all") {
         return summary::run(args);
@@ -47,8 +50,8 @@
 fn explain(id: &str, request_lines: Vec<&LogLine>, lines: &[LogLine]) -> Result<String, CtlError> {
     let Some(last) = request_lines.last() else {
         let message = format!(
-            "no line about {id}: a request that was answered at its first try leaves none, \
-             or its instance's file is missing"
+            "no line about {id}: a request that was answered at its first attempt leaves \
+             none, or the log file of its instance is missing"
         );
         return Err(CtlError::Failed(message));
     };
@@ -60,14 +63,16 @@
     for line in &request_lines {
         text.push_str(&format_line(line));
     }
-    text.push_str("known before:\n");
+    text.push_str("earlier events:\n");
     for line in context_lines(&request_lines, last, lines) {
         text.push_str(&format_line(line));
     }
     Ok(text)
 }
 
-/// The last word before a request's end on each matter that its lines name.
+/// Returns the latest context event of each kind before the end of the request, for each
+/// server and service that the request's lines name, and for the instance that logged the
+/// end.
 fn context_lines<'a>(
     request_lines: &[&LogLine],
     last: &LogLine,
@@ -90,7 +95,7 @@
     lines
 }
 
-/// Servers and services in the lines of a request.
+/// Returns the servers and services named in the lines of a request.
 fn mentioned_names(request_lines: &[&LogLine]) -> Vec<String> {
     let words = request_lines.iter().flat_map(|line| line.text.split(' '));
     let values = words.filter_map(|word| {
--- a/crates/citronctl/src/commands/log_lines.rs
+++ b/crates/citronctl/src/commands/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of instances' log files.
+//! Reading of instances' log files.
 
 use {
     super::reject_extra_args,
@@ -7,19 +7,23 @@
     std::{fs, path::Path},
 };
 
-/// A line of a log, with what is needed of it.
+/// A parsed log line.
 pub struct LogLine {
-    /// As it was written; lines of all instances sort by it.
+    /// Timestamp as text. All instances use the same format, so the text sorts by time.
     pub time: String,
-    /// The name of its file.
+    /// Name of the log file, without its directory.
     pub file: String,
-    /// The number of its event.
+    /// Number of the event, such as `C0500`.
     pub event: String,
-    /// The event and what follows.
+    /// Rest of the line, from the event's number on.
     pub text: String,
 }
 
-/// Reads the files that are left as arguments; lines in order of time.
+/// Reads the log files named by the remaining arguments. Returns their lines in order of
+/// time.
+///
+/// # Errors
+/// If no file is named, or a file cannot be read.
 pub fn read_files(mut args: Arguments) -> Result<Vec<LogLine>, CtlError> {
     let mut files = Vec::new();
     while let Some(file) = args.opt_free_from_str::<String>()? {
@@ -27,13 +31,13 @@
     }
     reject_extra_args(args)?;
     if files.is_empty() {
-        return Err(CtlError::Usage("name the log files to read".to_string()));
+        return Err(CtlError::Usage("no log files given".to_string()));
     }
     let mut lines = Vec::new();
     for file in &files {
         read_file(file, &mut lines)?;
     }
-    // Times are written alike, so that text sorts as they do.
+    // All timestamps have the same format, so sorting the text sorts by time.
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     Ok(lines)
 }
@@ -47,8 +51,8 @@
     Ok(())
 }
 
-/// `[time level module] C0500 request-refused id=…`; nothing for other lines, as
-/// those of a process that crashed.
+/// Parses `[time level module] C0500 request-refused id=…`. `None` for other lines, such as
+/// a panic message.
 fn parse(file: &str, line: &str) -> Option<LogLine> {
     let (prefix, text) = line.strip_prefix('[')?.split_once("] ")?;
     let event = text.split(' ').next()?;
@@ -57,8 +61,8 @@
         time: prefix.split(' ').next()?.to_string(),
         file: file.to_string(),
         event: event.to_string(),
-        // A request's id and path are the caller's: nothing of them may reach a
-        // terminal as a command.
+        // The id and path of a request come from the caller. Control characters are escaped
+        // so that they cannot reach the terminal as escape sequences.
         text: text.escape_debug().to_string().replace("\\\"", "\""),
     })
 }
--- a/crates/citronctl/src/commands/mod.rs
+++ b/crates/citronctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file per group of commands.
+//! Commands, with one file per group.
 
 mod edits;
 pub mod explain;
@@ -17,7 +17,10 @@
     pico_args::Arguments,
 };
 
-/// Runs a command with the arguments that are left.
+/// Runs a command with the remaining arguments.
+///
+/// # Errors
+/// [`CtlError`] of the command.
 pub async fn run(
     command: Command,
     args: Arguments,
@@ -36,12 +39,13 @@
         Command::History => queries::history(args, client).await,
         Command::Refused => queries::refused(args, client).await,
         Command::Report => queries::report(args, client).await,
-        // Neither of them asks an instance.
+        // Both were handled before: they need no client.
         Command::Explain | Command::Help => Ok(()),
     }
 }
 
-/// Refuses arguments that no command took, so that a slip changes nothing.
+/// Rejects arguments that the command does not know, so that a mistyped option has no
+/// effect.
 fn reject_extra_args(args: Arguments) -> Result<(), CtlError> {
     let extra = args.finish();
     match extra.first() {
--- a/crates/citronctl/src/commands/moves.rs
+++ b/crates/citronctl/src/commands/moves.rs
@@ -7,7 +7,11 @@
     pico_args::Arguments,
 };
 
-/// Begins a move.
+/// Starts a move of a shard or a key.
+///
+/// # Errors
+/// If the arguments are not valid, the move is refused, or it is not done within the wait
+/// time.
 pub async fn run(mut args: Arguments, options: &Options, client: &Client) -> Result<(), CtlError> {
     let request = MoveWire {
         shard: args.opt_value_from_str("--shard")?,
@@ -20,7 +24,7 @@
         return Err(CtlError::Usage("name either --shard or --key".to_string()));
     }
     let revision = client.begin_move(&request).await?;
-    println!("release accepted as revision {revision}");
+    println!("move accepted as revision {revision}");
     match &request.key {
         Some(key) if options.wait => {
             wait::until_moved(client, options, &request.service, key, &request.to).await
--- a/crates/citronctl/src/commands/queries.rs
+++ b/crates/citronctl/src/commands/queries.rs
@@ -1,4 +1,4 @@
-//! Commands that only look.
+//! Read-only commands, and `refused --lift`.
 
 use {
     super::reject_extra_args,
@@ -19,7 +19,7 @@
     std::collections::BTreeMap,
 };
 
-/// History entries unless told otherwise.
+/// Default number of history entries.
 const DEFAULT_HISTORY_LIMIT: usize = 100;
 
 /// `status [--format table|json]`
@@ -112,7 +112,7 @@
     reject_extra_args(args)?;
     if let Some(fingerprint) = lift {
         let lifted = client.lift(fingerprint).await?;
-        println!("{} is let through again", lifted.fingerprint);
+        println!("{} is no longer refused", lifted.fingerprint);
         return Ok(());
     }
     let refused = client.refused().await?;
--- a/crates/citronctl/src/commands/summary.rs
+++ b/crates/citronctl/src/commands/summary.rs
@@ -1,4 +1,5 @@
-//! All requests that were not answered at their first try, by reason and time.
+//! Counts of the requests that were not answered at their first attempt, by reason and
+//! time.
 
 use {
     super::log_lines::{LogLine, read_files},
@@ -7,28 +8,31 @@
     std::{collections::BTreeMap, fmt::Write},
 };
 
-/// Events that count, and how their reasons are told apart.
+/// Counted events, and the prefix of their reasons.
 const COUNTED_EVENTS: [(&str, &str); 4] = [
     ("C0500", "refused"),
     ("C0501", "unknown"),
     ("C0502", "try failed"),
     ("C0503", "denied"),
 ];
-/// Seconds of one row, unless given.
+/// Default interval covered by one row of the table, in seconds.
 const DEFAULT_INTERVAL_SECS: u32 = 2;
-/// Reasons with a column of their own; the rest is summed up.
+/// Number of reasons with a column of their own. All other reasons share one column.
 const MAX_COLUMNS: usize = 9;
 
-/// Lines of one reason, by the first second of their row.
+/// Number of lines with one reason, by the first second of the table row.
 type Counts = BTreeMap<u32, u32>;
 
-/// Prints how many requests were refused, lost or tried again, why, and when.
+/// Prints how many requests were refused, lost or retried, by reason and time.
+///
+/// # Errors
+/// If the arguments are not valid, or a file cannot be read.
 pub fn run(mut args: Arguments) -> Result<(), CtlError> {
     let interval = args
         .opt_value_from_str("--every")?
         .unwrap_or(DEFAULT_INTERVAL_SECS);
     if interval == 0 {
-        return Err(CtlError::Usage("--every takes 1 s or more".to_string()));
+        return Err(CtlError::Usage("--every must be at least 1 s".to_string()));
     }
     let lines = read_files(args)?;
     print!("{}", table(&lines, interval));
@@ -49,7 +53,7 @@
     format_table(&merge_rest(columns))
 }
 
-/// The most frequent reasons, and all others as one.
+/// Keeps the most frequent reasons and merges all others into one column.
 fn merge_rest(mut columns: Vec<(String, Counts)>) -> Vec<(String, Counts)> {
     let rest = columns.split_off(columns.len().min(MAX_COLUMNS));
     let mut sum = Counts::new();
@@ -98,7 +102,7 @@
     char::from(b'a' + index as u8)
 }
 
-/// The words after the last colon; `None` for other events.
+/// Returns the reason, which follows the last colon; `None` for events that do not count.
 fn reason(line: &LogLine) -> Option<String> {
     let kind = COUNTED_EVENTS
         .iter()
@@ -107,7 +111,7 @@
     Some(format!("{}: {words}", kind.1))
 }
 
-/// The second of the day of a time such as `2026-12-02T10:00:03.300Z`.
+/// Returns the second of the day of a timestamp such as `2026-12-02T10:00:03.300Z`.
 fn second_of_day(time: &str) -> Option<u32> {
     let (_, clock) = time.split_once('T')?;
     let mut parts = clock.split([':', '.']);
--- a/crates/citronctl/src/commands/table.rs
+++ b/crates/citronctl/src/commands/table.rs
@@ -19,10 +19,13 @@
     std::fs,
 };
 
-/// Kinds that operators edit.
+/// Kinds of rows that operators edit.
 const OPERATOR_KINDS: &[&str] = &["domain", "service", "server"];
 
 /// Runs a `table` command.
+///
+/// # Errors
+/// If the arguments are not valid, or the call fails.
 pub async fn run(mut args: Arguments, options: &Options, client: &Client) -> Result<(), CtlError> {
     match args.subcommand()?.as_deref() {
         Some("show") => show(args, client, "table").await,
@@ -31,7 +34,7 @@
         Some("set") => set(args, options, client).await,
         Some("delete") => delete(args, options, client).await,
         _ => Err(CtlError::Usage(
-            "table show, set, import, export or delete".to_string(),
+            "unknown table command; allowed: show, set, import, export, delete".to_string(),
         )),
     }
 }
@@ -62,7 +65,7 @@
     row.key.split('/').next().unwrap_or("")
 }
 
-/// One grid a kind: their columns differ.
+/// Formats each kind as a table of its own, as their columns differ.
 fn format_table(table: &RowsWire) -> String {
     let mut text = String::new();
     for rows in table
@@ -76,7 +79,7 @@
     let staleness = if table.fresh {
         ""
     } else {
-        ", last known: the platform is not reached"
+        " may be out of date: the instance cannot reach the platform"
     };
     text.push_str(&format!("revision {}{staleness}\n", table.revision));
     text
@@ -105,7 +108,7 @@
     confirm::apply(client, options, &table, edits, dry_run).await
 }
 
-/// The edit that a line asks for; `None` if the row is like that already.
+/// Builds the edit for an imported row. `None` if the table already has this row.
 fn import_edit(imported: ImportRow, table: &RowsWire) -> Result<Option<RowEditWire>, CtlError> {
     let key = sheet::row_key(&imported.row)?;
     let current = table.rows.iter().find(|row| row.key == key);
--- a/crates/citronctl/src/confirm.rs
+++ b/crates/citronctl/src/confirm.rs
@@ -1,4 +1,4 @@
-//! Shows an edit, asks, applies it and waits.
+//! Applies edits: shows the changes, asks for confirmation, sends them and waits.
 
 use {
     crate::{args::Options, client::Client, diff::diff, error::CtlError, wait},
@@ -9,7 +9,10 @@
     std::io::{self, BufRead, IsTerminal},
 };
 
-/// Applies an edit after showing what it changes.
+/// Shows the changes of an edit, and applies it after confirmation.
+///
+/// # Errors
+/// If the edit is not confirmed, is refused, or is not in force within the wait time.
 pub async fn apply(
     client: &Client,
     options: &Options,
@@ -40,13 +43,13 @@
     row.map(|row| &row.row)
 }
 
-/// Asks on a terminal; elsewhere nobody could answer, so `--yes` must be given.
+/// Asks for confirmation on a terminal. Without a terminal, `--yes` is required.
 fn confirm(options: &Options) -> Result<(), CtlError> {
     if options.skip_confirm {
         return Ok(());
     }
     if !io::stdin().is_terminal() {
-        let message = "no terminal to ask on: give --yes to apply";
+        let message = "no terminal for a confirmation: use --yes to apply";
         return Err(CtlError::Usage(message.to_string()));
     }
     eprint!("apply? [y/N] ");
--- a/crates/citronctl/src/diff.rs
+++ b/crates/citronctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! What an edit changes.
+//! Text form of the changes of an edit.
 
 use {
     crate::sheet::{cell_text, row_fields},
@@ -7,7 +7,8 @@
     std::collections::BTreeSet,
 };
 
-/// One line a row that is added or deleted, one a field that changes.
+/// Formats the changes of one row: one line if the row is added or deleted, otherwise one
+/// line for each changed field.
 pub fn diff(edit: &RowEditWire, before: Option<&RowWire>) -> String {
     match (before, &edit.row) {
         (None, Some(row)) => format!("+ {} {}\n", edit.key, row_text(row)),
@@ -17,7 +18,7 @@
     }
 }
 
-/// The fields that two rows differ in, as `field: old -> new`.
+/// Formats the fields in which two versions of a row differ, as `field: old -> new`.
 pub fn changes(key: &str, before: &RowWire, after: &RowWire) -> String {
     let (before, after) = (row_fields(before), row_fields(after));
     let names: BTreeSet<_> = before.keys().chain(after.keys()).collect();
@@ -38,10 +39,11 @@
     text
 }
 
-/// A field, before and after.
+/// Path of a field, and its values before and after.
 type FieldChange<'a> = (String, Option<&'a Value>, Option<&'a Value>);
 
-/// A long list of owners is compared item by item: a move changes one of them.
+/// Splits a change of a list of objects into changes of its items. Lists of shard owners
+/// are long, and a move changes only one item.
 fn field_changes<'a>(
     name: &str,
     old: Option<&'a Value>,
--- a/crates/citronctl/src/error.rs
+++ b/crates/citronctl/src/error.rs
@@ -1,37 +1,37 @@
-//! Errors and the exit codes they end with.
+//! Errors of commands and their exit codes.
 
 use {citron_wire::admin::ErrorWire, thiserror::Error};
 
-/// Why a command did not do what it was asked to.
+/// Error that ends a command.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// Nothing took effect.
+    /// The command failed, and nothing took effect.
     #[error("{0}")]
     Failed(String),
     /// The command line is wrong; nothing was sent.
     #[error("{0}")]
     Usage(String),
-    /// The instance refused, and nothing took effect.
+    /// The instance refused the request, and nothing took effect.
     #[error("{}{}", wire.message, current_row(wire))]
     Refused {
-        /// What the instance said.
+        /// Error response of the instance.
         wire: Box<ErrorWire>,
     },
-    /// The edit may or may not have taken effect.
-    #[error("outcome unknown: {0}; look at 'citronctl history'")]
+    /// No usable response arrived: the edit may or may not have taken effect.
+    #[error("outcome unknown: {0}; check 'citronctl history'")]
     Unknown(String),
-    /// The edit is accepted, but was not seen in force everywhere in time.
-    #[error("revision {revision} is accepted, but not yet seen in force on: {missing}")]
+    /// The edit is accepted, but was not in force on all instances within the wait time.
+    #[error("revision {revision} is accepted, but not yet in force on: {missing}")]
     Pending {
-        /// The revision.
+        /// Revision of the edit.
         revision: u64,
-        /// Where it is missing.
+        /// Names of the instances without the revision, or the owner of a key to be moved.
         missing: String,
     },
 }
 
 impl CtlError {
-    /// The exit code, as `citronctl --help` lists them.
+    /// Returns the exit code, as listed by `citronctl --help`.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Failed(_) => 1,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The row as it is, after a lost race.
+/// Formats the current row for a version conflict; empty for other errors.
 fn current_row(wire: &ErrorWire) -> String {
     let Some(current) = &wire.current else {
         return String::new();
--- a/crates/citronctl/src/grid.rs
+++ b/crates/citronctl/src/grid.rs
@@ -1,6 +1,6 @@
-//! Aligned columns.
+//! Text tables with aligned columns.
 
-/// Lays cells out under headings; numbers are set flush right.
+/// Formats rows of cells under headings. Numbers are aligned to the right.
 pub fn layout(headings: &[String], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().map(|cells| cells[column].chars().count());
--- a/crates/citronctl/src/help.rs
+++ b/crates/citronctl/src/help.rs
@@ -1,4 +1,4 @@
-//! Help texts.
+//! Help texts of the commands.
 
 use crate::args::Command;
 
@@ -6,123 +6,129 @@
 citronctl: the operators' command line of citronproxy
 
 usage: citronctl [OPTIONS] COMMAND ...
-  table show|set|import|export|delete   look at rows and edit them
-  drain SERVER          give a backend server no new work
-  cap SERVER RATE       cap a backend server's requests a second; 'none' ends it
-  retire SERVER         keep a drained backend server's row for the record only
+  table show|set|import|export|delete   show and edit rows of the table
+  drain SERVER          stop sending new requests to a backend server
+  cap SERVER RATE       limit a backend server's requests per second; 'none' removes
+                        the limit
+  retire SERVER         retire a drained backend server; its row is kept
   move SERVICE          move a shard or a key to a backend server
-  declare-lost DOMAIN   state that nothing in a failure domain runs any more
-  status                instances, failure domains and revisions in force
+  declare-lost DOMAIN   declare that nothing in a failure domain runs any more
+  status                instances, their failure domains and revisions in force
   owner SERVICE KEY     who owns a key, and why
   history               accepted edits
   refused               requests refused because they crash backend servers
-  report                service-level burn, imbalance, churn, unavailable time
-  explain ID FILE...    one request's story, from instances' log files
-  explain --all FILE... what all requests were refused or lost for, and when
-'citronctl COMMAND --help' tells more.
+  report                SLO burn rates, load imbalance, churn, unavailable time
+  explain ID FILE...    what happened to a request, from instances' log files
+  explain --all FILE... counts of failed requests by reason and time
+See 'citronctl COMMAND --help' for details.
 
 options:
   --at ADDR[,ADDR]   admin addresses of instances (or CITRON_ADMIN); the first
-                     that can be reached is asked
-  --by NAME          who makes the edit (or USER); kept in the history
-  --token-file FILE  file with the token (or CITRON_TOKEN_FILE, or the token
-                     itself in CITRON_TOKEN); never an argument
+                     reachable one is used
+  --by NAME          author of the edit (or USER), recorded in the history
+  --token-file FILE  file with the token (or CITRON_TOKEN_FILE; CITRON_TOKEN holds
+                     the token itself); the token cannot be an argument
   --wait             wait until the edit is in force on every instance
-  --wait-time SECS   how long at most, 30 unless given
-  --yes              apply without asking
+  --wait-time SECS   timeout of --wait, default 30
+  --yes              apply without confirmation
 
-exit codes: 0 done; 1 failed or refused, nothing took effect; 2 wrong usage;
-3 lost a race, nothing took effect; 4 outcome unknown; 5 accepted, but not seen
-in force everywhere (or moved) within the wait
+exit codes: 0 success; 1 failed or refused, nothing changed; 2 usage error;
+3 version conflict, nothing changed; 4 outcome unknown; 5 accepted, but not in
+force on every instance (or not moved) within the wait time
 ";
 
 const TABLE: &str = "\
-citronctl table: look at rows and edit them
+citronctl table: show and edit rows of the table
 
   table show [KIND] [--format table|csv|json]
-      rows of KIND: service, server, domain, instance, block or override;
-      services, servers and domains unless given
+      shows rows of KIND: service, server, domain, instance, block or override;
+      by default services, servers and domains
   table export KIND [--format csv|json]
-      rows for a spreadsheet, with their versions; CSV unless given
+      prints rows with their versions for a spreadsheet, by default as CSV
   table import FILE [--dry-run]
-      applies a CSV or JSON file as one edit, after showing what changes. Rows
-      with a version change only if they still have it; rows without one are
-      added, or brought in line with the file. Rows that are not in the file stay.
+      applies a CSV or JSON file as one edit, after showing the changes. A row
+      with a version must still have that version in the table. A row without
+      a version is added or updated. Rows that are not in the file stay.
   table set KIND/NAME FIELD=VALUE... [--version N] [--dry-run]
-      changes fields of one row; an empty value ends a cap
+      changes fields of one row; an empty value removes a cap
   table delete KIND/NAME [--version N] [--dry-run]
 ";
 
 const DRAIN: &str = "\
 citronctl drain SERVER [--undo]
-  The server gets no new work and its shards move away. --undo makes it active.
+  Sends the server no new requests and moves its shards away. --undo makes it
+  active again.
 ";
 
 const CAP: &str = "\
 citronctl cap SERVER RATE|none
-  At most RATE requests a second, all instances together; 'none' ends the cap.
+  Limits the server to RATE requests per second over all instances; 'none'
+  removes the limit.
 ";
 
 const RETIRE: &str = "\
 citronctl retire SERVER
-  Refused while the server owns shards: drain it first.
+  Sets the server's state to retired. Refused while the server owns shards:
+  drain it first.
 ";
 
 const MOVE: &str = "\
 citronctl move SERVICE --shard N|--key KEY --to SERVER
-  Begins a move; with --wait (for a key) until the new owner has it.
+  Starts to move a shard or a key to another server. --wait with --key waits
+  until the new server owns the key.
 ";
 
 const LOST: &str = "\
 citronctl declare-lost DOMAIN [--undo]
-  States that no instance and no backend server of the failure domain runs any
+  Declares that no instance and no backend server of the failure domain runs any
   more. Moves then no longer wait for it. If something there still runs, two
-  servers may own one key. The statement is kept with your name.
+  servers may own one key. Your name is recorded with the declaration.
 ";
 
 const STATUS: &str = "\
 citronctl status [--format table|json]
-  Asks every instance that the table lists for its revision in force.
+  Shows the revision in force on every instance that the table lists.
 ";
 
 const OWNER: &str = "\
 citronctl owner SERVICE KEY
-  Who owns the key, under which epoch, and which row says so.
+  Shows which server owns the key, its epoch, and the row that assigns the key.
 ";
 
 const HISTORY: &str = "\
 citronctl history [--after REVISION] [--limit N] [--format table|json]
-  Accepted edits, oldest first: revision, time, who, and what changed.
+  Lists accepted edits, oldest first, with revision, author, time and changes.
 ";
 
 const REFUSED: &str = "\
 citronctl refused [--lift FINGERPRINT]
-  Requests that crashed backend servers, as the instance that is asked knows of
-  them: crashes, and for how many seconds more such requests are refused. --lift
-  lets them through until they crash servers again.
+  Lists requests that crashed backend servers, as known to the instance that
+  answers: the number of crashes, and the seconds for which such requests are
+  still refused. --lift ends the refusal until they crash servers again.
 ";
 
 const REPORT: &str = "\
 citronctl report [--format text|json|html]
-  Burn of each service's objectives over 5 min, 1 h, 30 min and 6 h: 1 spends a
-  budget exactly over its period. 'fast burn' is 14.4 over 5 min and 1 h, 'slow
-  burn' 6 over 30 min and 6 h. Imbalance is the fullest server's load over the
-  mean of the last hour, each by its weight, churn the shards that changed owner in 6 h, and
-  unavailable the seconds in 6 h that a key could not be reached on the mean.
-  'html' is one page that needs nothing else: citronctl report --format html > burn.html
+  Shows the burn rates of each service's error budgets over 5 min, 1 h, 30 min
+  and 6 h. A rate of 1 spends a budget exactly over its period. 'fast burn' means
+  14.4 over 5 min and 1 h, 'slow burn' 6 over 30 min and 6 h. Imbalance is the
+  load of the busiest server over the mean load in the last hour, both relative
+  to the servers' weights. Churn counts the shards that changed owner in 6 h.
+  Unavailable is the mean time in seconds that a key was unavailable in 6 h.
+  'html' writes a self-contained page: citronctl report --format html > burn.html
 ";
 
 const EXPLAIN: &str = "\
 citronctl explain ID FILE...
-  What became of a request and why: its lines in the log files of all instances,
-  in order of time, and the last that was known before of the servers and the
-  service that they name. Asks no instance and needs no token.
+  Shows what happened to a request and why: its lines in the log files of all
+  instances in order of time, and the latest earlier events of the servers, the
+  service and the instance concerned. Contacts no instance and needs no token.
 citronctl explain --all [--every SECS] FILE...
-  How many requests were refused, lost or tried again, by reason (the words after
-  the last colon of a line) and time, a row for every 2 s unless given.
+  Counts requests that were refused, lost or retried, by reason (the text after
+  the last colon of a log line) and time. Each row covers SECS seconds, default 2.
 ";
 
-/// The help of a command.
+/// Returns the help text of a command.
 pub fn text(command: &Command) -> &'static str {
     match command {
         Command::Help => GENERAL,
--- a/crates/citronctl/src/main.rs
+++ b/crates/citronctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command-line tool for the operators of citronproxy.
 
 mod args;
 mod client;
--- a/crates/citronctl/src/report/figures.rs
+++ b/crates/citronctl/src/report/figures.rs
@@ -1,4 +1,4 @@
-//! What the report is made of.
+//! Figures of the report.
 
 use {
     crate::error::CtlError,
@@ -12,49 +12,51 @@
     std::collections::BTreeMap,
 };
 
-/// Minutes that one point of a plot stands for.
+/// Length in minutes of the period that one point of a plot covers.
 const POINT_MINUTES: u64 = 5;
 
 /// Figures of all services.
 #[derive(Debug)]
 pub struct Figures {
-    /// As of when.
+    /// Time of the report, as text.
     pub at: String,
-    /// Instances that counted.
+    /// Names of the instances whose counts are included.
     pub instances: Vec<String>,
-    /// Pages of records that could not be read.
+    /// Number of stored pages of counts that could not be read.
     pub unread: u32,
-    /// One a service.
+    /// Figures of each service.
     pub services: Vec<ServiceFigures>,
 }
 
 /// Figures of one service.
 #[derive(Debug)]
 pub struct ServiceFigures {
-    /// Over the last six hours.
+    /// Figures of the last six hours.
     pub report: ServiceReport,
-    /// How they came about, oldest first, one each five minutes.
+    /// Course of the last six hours in steps of five minutes, oldest first.
     pub points: Vec<Point>,
 }
 
-/// Five minutes of a service; nothing counted leaves figures out.
+/// Figures of a service over five minutes; `None` where nothing was counted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Point {
-    /// Burn of the budget of failures.
+    /// Burn rate of the budget of failed requests.
     pub failures: Option<f64>,
-    /// Burn of the budget of slow answers.
+    /// Burn rate of the budget of slow responses.
     pub latency: Option<f64>,
-    /// Load of the busiest server over the mean.
+    /// Load of the busiest server divided by the mean load.
     pub imbalance: Option<f64>,
-    /// Shards whose owner changed.
+    /// Number of shards whose owner changed.
     pub churn: Option<f64>,
-    /// Share of keys and time that could not be reached, in percent.
+    /// Unavailable share of keys and time, in percent.
     pub unavailable: Option<f64>,
 }
 
 impl Figures {
-    /// Works the figures out from what instances counted and the objectives of
-    /// the table.
+    /// Computes the figures from the instances' counts and the objectives of the table.
+    ///
+    /// # Errors
+    /// If a count or a row is not valid.
     pub fn new(burn: BurnWire, table: RowsWire) -> Result<Self, CtlError> {
         let invalid = |error: WireError| CtlError::Failed(error.to_string());
         let now = Minute(burn.minute);
@@ -107,7 +109,7 @@
     }
 }
 
-/// Weights of the servers that are to share the load of a service.
+/// Weights of the active servers of a service.
 type Weights = BTreeMap<ServerName, Weight>;
 
 fn server_weights(rows: &[Row], service: &ServiceName) -> Weights {
@@ -120,7 +122,7 @@
     active.collect()
 }
 
-/// What a report calls for, as a word.
+/// Returns the label of the report's most severe alert.
 pub fn alert_label(report: &ServiceReport) -> &'static str {
     if report.requests == 0 {
         return "no data";
@@ -132,7 +134,7 @@
     }
 }
 
-/// A rate, short; a budget of nothing is spent at once.
+/// Formats a burn rate. It is infinite if failures occur with a budget of 0.
 pub fn format_rate(rate: f64) -> String {
     match rate.is_finite() {
         true => format!("{rate:.1}"),
--- a/crates/citronctl/src/report/html.rs
+++ b/crates/citronctl/src/report/html.rs
@@ -1,4 +1,4 @@
-//! The report as one page that needs nothing else.
+//! The report as a self-contained HTML page.
 
 use {
     super::{
@@ -24,7 +24,7 @@
 .ok { color: #fff; background: #27803b; padding: 0 .5rem; border-radius: .3rem; }
 ";
 
-/// The page.
+/// Renders the report as an HTML page without external resources.
 pub fn html(figures: &Figures) -> String {
     let mut page = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
--- a/crates/citronctl/src/report/json.rs
+++ b/crates/citronctl/src/report/json.rs
@@ -27,7 +27,7 @@
     unavailable_ms: u64,
 }
 
-/// Null where a budget of nothing is spent.
+/// Burn rates; null in JSON if the rate is infinite.
 #[derive(Debug, Serialize)]
 struct BurnsWire {
     m5: f64,
@@ -64,7 +64,10 @@
     }
 }
 
-/// The figures, without their course.
+/// Formats the report as JSON, without the points of the plots.
+///
+/// # Errors
+/// If serialization fails.
 pub fn json(figures: &Figures) -> Result<String, CtlError> {
     let wire = ReportWire {
         at: &figures.at,
--- a/crates/citronctl/src/report/mod.rs
+++ b/crates/citronctl/src/report/mod.rs
@@ -1,4 +1,5 @@
-//! The report on service-level burn: text, JSON, or one page with plots.
+//! Report on the burn rates of service-level objectives, as text, JSON or an HTML page with
+//! plots.
 
 mod figures;
 mod html;
--- a/crates/citronctl/src/report/plot.rs
+++ b/crates/citronctl/src/report/plot.rs
@@ -1,29 +1,29 @@
-//! A line over time as SVG.
+//! SVG plots of values over time.
 
-/// Size of the drawing, in its own units.
+/// Size of the drawing in SVG user units, as all lengths here.
 const WIDTH: f64 = 420.0;
 const HEIGHT: f64 = 130.0;
-/// Room for numbers on the left, and for the time below.
+/// Margins for the numbers on the left and the times at the bottom.
 const LEFT_MARGIN: f64 = 44.0;
 const BOTTOM_MARGIN: f64 = 18.0;
-/// Room above the highest point.
+/// Margin above the highest point.
 const TOP_MARGIN: f64 = 10.0;
 
-/// One plot.
+/// Plot of one figure over six hours.
 #[derive(Debug)]
 pub struct Plot {
-    /// What it shows, with its unit.
+    /// Caption with the unit.
     pub title: &'static str,
-    /// Oldest first; gaps where nothing was counted.
+    /// Values, oldest first; `None` leaves a gap in the line.
     pub points: Vec<Option<f64>>,
-    /// The least height of the vertical axis.
+    /// Smallest value at the top of the vertical axis.
     pub min_height: f64,
-    /// Where a limit lies.
+    /// Value of a dashed limit line.
     pub limit: Option<f64>,
 }
 
 impl Plot {
-    /// The plot in a figure of its own.
+    /// Renders the plot as an HTML `figure` element.
     pub fn svg(&self) -> String {
         let max = self.axis_max();
         let mut svg = format!(
@@ -44,7 +44,8 @@
         svg
     }
 
-    /// The highest finite point, or the floor.
+    /// Returns the value at the top of the vertical axis: the highest finite point, but at
+    /// least [`Self::min_height`].
     fn axis_max(&self) -> f64 {
         let finite = self
             .points
@@ -75,7 +76,7 @@
         axes
     }
 
-    /// Neighbouring points that were counted.
+    /// Splits the points at gaps into connected segments of index and value.
     fn segments(&self) -> Vec<Vec<(usize, f64)>> {
         let mut segments = Vec::new();
         let mut segment = Vec::new();
--- a/crates/citronctl/src/report/text.rs
+++ b/crates/citronctl/src/report/text.rs
@@ -22,7 +22,8 @@
     "churn",
 ];
 
-/// One line a service; rates are multiples of the allowed one.
+/// Formats the report with one line per service. Burn rates are multiples of the allowed
+/// rate.
 pub fn text(figures: &Figures) -> String {
     let headings = HEADINGS.iter().copied().chain(["unavailable s"]);
     let headings: Vec<String> = headings.map(str::to_string).collect();
@@ -40,7 +41,7 @@
     text
 }
 
-/// The instances that counted.
+/// Formats the names of the instances whose counts are included.
 pub fn instance_names(figures: &Figures) -> String {
     match figures.instances.as_slice() {
         [] => "no instance".to_string(),
@@ -61,7 +62,7 @@
     cells
 }
 
-/// Over 5 min, 1 h, 30 min and 6 h.
+/// Formats the burn rates over 5 min, 1 h, 30 min and 6 h.
 pub fn format_rates(burns: &BurnRates) -> [String; 4] {
     [burns.fast.0, burns.fast.1, burns.slow.0, burns.slow.1].map(format_rate)
 }
--- a/crates/citronctl/src/sheet.rs
+++ b/crates/citronctl/src/sheet.rs
@@ -1,4 +1,4 @@
-//! Rows as a spreadsheet has them: one line a row, one column a field.
+//! Conversion of rows to and from CSV and JSON, with one column per field.
 
 use {
     crate::error::CtlError,
@@ -10,7 +10,7 @@
     std::collections::BTreeSet,
 };
 
-/// Fields that hold a number; an empty cell leaves the field out.
+/// Fields with a number; an empty cell leaves the field out.
 const NUMBER_FIELDS: &[&str] = &[
     "weight",
     "cap",
@@ -25,26 +25,26 @@
     "slo_latency_ms",
     "slo_slower",
 ];
-/// Fields that hold true or false.
+/// Fields with `true` or `false`.
 const BOOL_FIELDS: &[&str] = &["fenced"];
-/// Fields that hold a list; cells separate its items by spaces.
+/// Fields with a list, whose items are separated by spaces in a cell.
 const LIST_FIELDS: &[&str] = &["hosts", "idempotent"];
-/// Columns that come first.
+/// Columns that precede all others, in this order.
 const LEADING_COLUMNS: &[&str] = &["kind", "version", "name", "id", "service", "domain"];
 
-/// Fields of a row.
+/// Fields of a row by name.
 pub type Fields = Map<String, Value>;
 
-/// A line of a file that is to be imported.
+/// A row of a file to import.
 #[derive(Debug)]
 pub struct ImportRow {
-    /// The version that the file names.
+    /// Version that the row must have in the table, if the file gives one.
     pub version: Option<u64>,
-    /// The row.
+    /// The new row.
     pub row: RowWire,
 }
 
-/// The fields of a row.
+/// Returns the fields of a row.
 pub fn row_fields(row: &RowWire) -> Fields {
     match serde_json::to_value(row) {
         Ok(Value::Object(fields)) => fields,
@@ -52,13 +52,19 @@
     }
 }
 
-/// A row from its fields.
+/// Builds a row from its fields.
+///
+/// # Errors
+/// If a field is missing, unknown or not valid.
 pub fn row_from_fields(fields: Fields) -> Result<RowWire, CtlError> {
     let invalid = |error: serde_json::Error| CtlError::Usage(error.to_string());
     serde_json::from_value(Value::Object(fields)).map_err(invalid)
 }
 
-/// The key of a row.
+/// Returns the key of a row, `kind/name`.
+///
+/// # Errors
+/// If the name is not valid.
 pub fn row_key(row: &RowWire) -> Result<String, CtlError> {
     let fields = row_fields(row);
     let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or("");
@@ -72,7 +78,7 @@
     Ok(parse_row_key(&key).map_err(invalid)?.to_string())
 }
 
-/// A field as a cell shows it.
+/// Formats a field as the text of a cell.
 pub fn cell_text(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => String::new(),
@@ -85,7 +91,10 @@
     }
 }
 
-/// A field from a cell; `None` leaves it out.
+/// Parses the cell of a field. `None` leaves the field out.
+///
+/// # Errors
+/// If the cell does not have the field's type.
 pub fn parse_cell(field: &str, cell: &str) -> Result<Option<Value>, CtlError> {
     let invalid = |what: &str| CtlError::Usage(format!("{field}: '{cell}' is not {what}"));
     if LIST_FIELDS.contains(&field) {
@@ -106,7 +115,7 @@
     Ok(Some(cell.into()))
 }
 
-/// Headings and cells of rows, but for columns to leave out.
+/// Returns the headings and the cells of rows, without the excluded columns.
 pub fn headings_and_cells(
     rows: &[VersionedRowWire],
     excluded: &[&str],
@@ -141,7 +150,7 @@
     fields
 }
 
-/// Rows as CSV.
+/// Formats rows as CSV.
 pub fn to_csv(rows: &[VersionedRowWire]) -> Result<String, CtlError> {
     let (headings, lines) = headings_and_cells(rows, &[]);
     let mut writer = csv::Writer::from_writer(Vec::new());
@@ -156,7 +165,7 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Rows from CSV with headings.
+/// Parses rows from CSV with headings.
 pub fn from_csv(text: &str) -> Result<Vec<ImportRow>, CtlError> {
     let mut reader = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
@@ -167,7 +176,7 @@
     for (number, record) in reader.records().enumerate() {
         let record = record.map_err(invalid)?;
         let line = parse_csv_row(&headings, &record);
-        // The headings are line 1.
+        // Line 1 has the headings, and lines are counted from 1.
         let with_line_number =
             |error: CtlError| CtlError::Usage(format!("line {}: {error}", number + 2));
         lines.push(line.map_err(with_line_number)?);
@@ -186,7 +195,7 @@
             version = parse_version(cell)?;
             continue;
         }
-        // A sheet of several kinds has columns that only some of them know.
+        // A file with several kinds has columns that do not apply to all of them.
         let is_empty = cell.is_empty();
         if let Some(value) = parse_cell(heading, cell)?.filter(|_| !is_empty) {
             fields.insert(heading.to_string(), value);
@@ -209,7 +218,7 @@
     cell.parse().map(Some).map_err(invalid)
 }
 
-/// Rows from a JSON array of rows, bare or as `export` writes them.
+/// Parses rows from a JSON array, with or without the versions that `export` writes.
 pub fn from_json(text: &str) -> Result<Vec<ImportRow>, CtlError> {
     let invalid = |error: serde_json::Error| CtlError::Usage(error.to_string());
     let items: Vec<Value> = serde_json::from_str(text).map_err(invalid)?;
--- a/crates/citronctl/src/wait.rs
+++ b/crates/citronctl/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until something is in force.
+//! Waiting until an edit or a move is in force.
 
 use {
     crate::{args::Options, client::Client, error::CtlError},
@@ -7,10 +7,13 @@
     tokio::time::{Instant, sleep},
 };
 
-/// The pause between two rounds of questions.
+/// Interval between two polls of the instances.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// With `--wait`: waits until every instance routes by a revision.
+/// With `--wait`, waits until all instances use a revision; prints the progress.
+///
+/// # Errors
+/// [`CtlError::Pending`] after the wait timeout.
 pub async fn until_in_force(
     client: &Client,
     options: &Options,
@@ -44,8 +47,9 @@
     }
 }
 
-/// What each instance says, by name or by address if it cannot be reached.
-/// Instances of the table are asked as well as those that were named.
+/// Returns the status of each instance by name; `None`, under the address if the name is
+/// not known, for instances that do not respond. Polls the instances given on the command
+/// line and those that the table lists.
 pub async fn poll_instances(client: &Client) -> BTreeMap<String, Option<StatusWire>> {
     let mut targets: Vec<(String, SocketAddr)> = Vec::new();
     let named = client
@@ -54,7 +58,7 @@
         .map(|admin| (admin.to_string(), *admin));
     targets.extend(named);
     if let Ok(status) = client.any_status().await {
-        // Expelled and leaving instances route nothing new.
+        // Expelled and leaving instances route no new requests.
         let listed = status
             .instances
             .iter()
@@ -84,7 +88,10 @@
     behind.map(|(name, _)| name.clone()).collect()
 }
 
-/// With `--wait`: waits until a key's owner is another one.
+/// Waits until a server owns a key and no move of the key is in progress.
+///
+/// # Errors
+/// [`CtlError::Pending`] after the wait timeout.
 pub async fn until_moved(
     client: &Client,
     options: &Options,
--- a/crates/citronctl/tests/ctl.rs
+++ b/crates/citronctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! The command line, end to end against a real admin API.
+//! End-to-end tests of the command line against a real admin API.
 
 mod support;
 
@@ -17,7 +17,7 @@
     ran.stdout
 }
 
-/// A file of this test, removed when dropped.
+/// Temporary file, removed when dropped.
 struct File(PathBuf);
 
 impl File {
@@ -68,8 +68,8 @@
     insta::assert_snapshot!(text);
 }
 
-/// A spreadsheet's way: import, export, change a cell, import again, and see
-/// what is refused.
+/// Round trip through a spreadsheet: import, export, change a cell, import again. Importing
+/// the older file once more must fail with a version conflict.
 #[test]
 fn a_table_goes_out_to_a_spreadsheet_and_back() {
     let shell = Shell::start();
@@ -96,7 +96,7 @@
     let ran = shell.run(&format!("table import {} --yes --wait", edited.path()));
     assert!(ran.stderr.contains("in force on 1 of 1"), "{ran:?}");
     let late = shell.run(&format!("table import {} --yes", sheet.path()));
-    assert_eq!(late.code, 3, "the older sheet lost: {late:?}");
+    assert_eq!(late.code, 3, "the older file must be refused: {late:?}");
     let json = expect_success(shell.run("table export server --format json"));
     let file = File::write("servers.json", &json);
     let same = expect_success(shell.run(&format!("table import {} --yes", file.path())));
@@ -148,14 +148,14 @@
         .lines()
         .map(|line| line.split(" at ").next().unwrap());
     text.push_str(&plain.collect::<Vec<_>>().join("\n"));
-    // Whether the revision is in force at the first look is a matter of time.
+    // Whether the first poll already sees the revision in force depends on timing.
     insta::with_settings!({ filters => vec![("in force on 0 of 1\n", "")] }, {
         insta::assert_snapshot!(text);
     });
 }
 
-/// The token is taken from a file or the environment; a wrong one is refused,
-/// and an instance that is not there is skipped for the next one.
+/// An admin address that does not accept connections is skipped for the next one. A wrong
+/// token is refused.
 #[test]
 fn the_next_instance_is_asked_if_one_is_not_reached() {
     let shell = Shell::start();
@@ -171,9 +171,9 @@
     expect_success(shell.run(&format!("history --token-file {}", right.path())));
 }
 
-/// The instance dies after it took the order and before it answered: the order
-/// may have been committed, so that the exit code must say neither yes nor no,
-/// and the order must not be sent to the next instance.
+/// The instance closes the connection after it received a request and before it responds.
+/// The request may have been committed: the exit code must be that of an unknown outcome,
+/// and the request must not be repeated at the next instance.
 #[test]
 fn an_order_without_an_answer_has_an_unknown_outcome() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -189,7 +189,7 @@
         shell.admin
     );
     let ran = shell.run(&line);
-    assert!(server.join().unwrap() > 0, "the order was sent");
+    assert!(server.join().unwrap() > 0, "the request was sent");
     assert_eq!(ran.code, 4, "{ran:?}");
     assert!(ran.stderr.contains("outcome unknown"), "{ran:?}");
 }
@@ -224,9 +224,9 @@
 [2026-12-02T10:00:03.300Z INFO  citronproxy::edge] C0500 request-refused id=ab12 route=r-1 service=balances server=i-7f waited=300ms tried=0 again=300ms: the key is changing hands
 ";
 
-/// An operator has the id of a request that was refused, and the files of two
-/// instances. The one that refused it had lost the store, and so did not hear of
-/// the commit that the other one had made before.
+/// A request was refused by an instance that had lost the store, and so did not know of a
+/// commit that the other instance had made before. The explanation must show the refusal
+/// and the earlier events of both instances.
 #[test]
 fn a_request_is_explained_from_the_logs_of_all_instances() {
     let shell = Shell {
@@ -243,8 +243,8 @@
     assert_eq!(shell.run("explain ab12").code, 2);
 }
 
-/// A service refuses many requests for a while. The operator has the files of two
-/// instances and asks what for, and since when.
+/// The summary counts the refusals and failed attempts in the files of two instances, by
+/// reason and time.
 #[test]
 fn refusals_are_summed_up_by_reason_and_time() {
     let shell = Shell {
--- a/crates/citronctl/tests/report.rs
+++ b/crates/citronctl/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report, from pages in the object store to text, JSON and a page.
+//! The report as text, JSON and HTML, from pages of counts in the object store.
 
 mod support;
 
@@ -15,8 +15,8 @@
     "/../../examples/tables/kubbahus.json"
 );
 
-/// Six hours and more of two instances, the same in every minute, so that the figures
-/// do not depend on when the test runs.
+/// Stores pages of counts of two instances for more than six hours. All minutes have the
+/// same counts, so that the figures do not depend on the time of the test.
 fn recorded_pages() -> MemoryPlatform {
     let memory = MemoryPlatform::default();
     let now = SystemTime::UNIX_EPOCH.elapsed().unwrap().as_secs() / 60;
@@ -91,7 +91,7 @@
     assert_eq!(shell.run("report --format pdf").code, 2);
 }
 
-/// Without any record the report says so instead of showing a calm service.
+/// Without any stored counts the report must say so instead of showing healthy services.
 #[test]
 fn a_report_without_records_says_that_nobody_counted() {
     let shell = Shell::start();
--- a/crates/citronctl/tests/support/mod.rs
+++ b/crates/citronctl/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! An instance's admin API within the test, and the command line as a process.
+//! The admin API of an instance inside the test process, and the command line as a child
+//! process.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use {
@@ -26,11 +27,11 @@
     },
 };
 
-/// The pause between two reads of the table.
+/// Interval between two reads of the table.
 const READ_PAUSE: Duration = Duration::from_millis(50);
 const TOKEN: &str = "a-token-for-tests";
 
-/// What a command left.
+/// Exit code and output of a command.
 #[derive(Debug)]
 pub struct CommandOutput {
     pub code: i32,
@@ -38,19 +39,19 @@
     pub stderr: String,
 }
 
-/// An operator at a shell.
+/// Runs `citronctl` commands against one admin address.
 #[derive(Debug, Clone, Copy)]
 pub struct Shell {
     pub admin: SocketAddr,
 }
 
 impl Shell {
-    /// Serves an empty table; ends with the test's process.
+    /// Serves the admin API with an empty table until the test process ends.
     pub fn start() -> Self {
         Self::start_with(MemoryPlatform::default())
     }
 
-    /// As [`Self::start`], with what the platform holds.
+    /// Serves the admin API with the contents of this platform storage.
     pub fn start_with(memory: MemoryPlatform) -> Self {
         let (sender, address) = mpsc::channel();
         thread::spawn(move || {
@@ -66,7 +67,7 @@
         Self { admin }
     }
 
-    /// Runs a command as ann; the words are separated by spaces.
+    /// Runs a command as the operator `ann`. Arguments are separated by whitespace.
     pub fn run(&self, line: &str) -> CommandOutput {
         let output = Command::new(env!("CARGO_BIN_EXE_citronctl"))
             .args(line.split_whitespace())
@@ -103,7 +104,7 @@
     serve(server, Rc::new(admin)).await;
 }
 
-/// A request that is refused, and one that may yet be.
+/// Creates a tracker with a refused request, and one below the threshold of refusal.
 fn crashes() -> CrashTracker {
     let mut tracker = CrashTracker::new(CrashConfig::STANDARD);
     for (path, servers) in [("/sets/666", 3), ("/sets/7", 1)] {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Follows the table, and has each revision in force as soon as it is read.
+/// View of the table that puts each revision in force as soon as it is read.
 #[derive(Clone)]
 struct TableView {
     store: Rc<IdempotentStore<MemoryPlatform>>,
