--- a/crates/core/tests/alternatives/cluster.rs
+++ b/crates/core/tests/alternatives/cluster.rs
@@ -1,4 +1,5 @@
-//! Rows, keys and load of a cluster of today's size.
+//! Table rows, keys and loads of the simulated cluster: 20 backend servers, 256 shards and
+//! 10,000 keys, the present size of a deployment.
 
 use {
     super::scenario::{DOMAINS, Scenario, TARGET},
@@ -17,29 +18,38 @@
     std::{net::SocketAddr, rc::Rc, time::Duration},
 };
 
+/// Backend servers of the service at the start of a run.
 pub const SERVER_COUNT: usize = 20;
+/// Shards of the service; `2^SHARD_BITS`.
 pub const SHARD_COUNT: usize = 256;
+/// Distinct keys of the service.
 pub const KEY_COUNT: usize = 10_000;
-/// The service's deadline: what a silent instance's last request may take.
+/// Request deadline of the service: an upper bound for the last request that an unreachable
+/// instance has sent.
 pub const DEADLINE: Duration = Duration::from_secs(2);
+/// Base-two logarithm of the shard count.
 const SHARD_BITS: u8 = 8;
-/// Exponent of the keys' zipf load. At 0.99 the hottest key alone is more than
-/// a server's share, which would hide what the ways do to the imbalance.
+/// Exponent of the Zipf distribution of load over keys. At 0.99 the hottest key alone exceeds
+/// one server's share, which would hide the effect of the strategies on the imbalance.
 const ZIPF_EXPONENT: f64 = 0.8;
+/// Load of all keys together.
 const TOTAL_LOAD: f64 = 60_000_000.0;
-/// Rank of the key that turns hot, and its load then: two fifths of a server's.
+/// Rank of the key whose load rises in the hot-key scenario.
 const HOT_KEY_RANK: usize = 5_000;
+/// Load of that key after the rise: two fifths of the mean load of a server.
 const HOT_KEY_LOAD: u64 = 1_200_000;
 
+/// Name of the only service.
 pub fn service_name() -> ServiceName {
     "balances".parse().unwrap()
 }
 
+/// Name of the backend server with this number.
 pub fn server_name(number: usize) -> ServerName {
     format!("server-{number:02}").parse().unwrap()
 }
 
-/// The number that a name was made of.
+/// Number at the end of a server or instance name.
 pub fn parse_number(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
@@ -48,6 +58,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
+/// Row of an active backend server with an unchecked epoch, in domain `number % DOMAINS`.
 pub fn server_row(number: usize) -> ServerRow {
     ServerRow {
         name: server_name(number),
@@ -112,7 +123,8 @@
     }
 }
 
-/// The table at the begin of a run.
+/// Table at the start of a run: the service, its servers and shards, all instances, and the
+/// domains with their instances as confirmers.
 pub fn initial_table(instances: usize, grace: Duration) -> Rc<Table> {
     let service = service_row(grace);
     let servers: Vec<ServerRow> = (0..SERVER_COUNT).map(server_row).collect();
@@ -131,7 +143,7 @@
     table
 }
 
-/// Writes rows as one new revision.
+/// Writes or deletes rows unconditionally, as one new revision.
 pub fn write_rows(
     table: &mut Rc<Table>,
     rows: impl Iterator<Item = (citron_core::table::RowKey, Option<Row>)>,
@@ -146,7 +158,8 @@
     Rc::make_mut(table).apply(changes).unwrap();
 }
 
-/// Commits as the platform does: all rows, or none if one has changed.
+/// Applies a conditional commit as the platform does: all rows are written, or none if the
+/// version of any row differs from the expected one.
 pub fn commit(table: &mut Rc<Table>, commit: Commit) {
     let version_of = |key| table.get(key).map_or(Revision(0), |row| row.version);
     if commit.writes.iter().all(|w| version_of(&w.key) == w.expect) {
@@ -154,7 +167,8 @@
     }
 }
 
-/// The operator's edit of a scenario, if it has one.
+/// Row that the operator writes when the scenario's fault starts, if it has such an edit:
+/// draining the target server, or adding a new one.
 pub fn operator_edit(scenario: Scenario) -> Option<Row> {
     match scenario {
         Scenario::ServerLeaving | Scenario::InstanceCutOff => Some(Row::Server(ServerRow {
@@ -166,19 +180,20 @@
     }
 }
 
-/// Keys, and the load of shards and of the key that turns hot.
+/// Load of each shard, with the key of the hot-key scenario accounted separately.
 pub struct KeyLoads {
-    /// How many keys each shard has.
+    /// Number of keys of each shard.
     pub keys_per_shard: Vec<usize>,
-    /// The key that turns hot.
+    /// Hash of the key whose load rises in the hot-key scenario.
     pub hot_key: KeyHash,
-    /// Its load.
+    /// Present load of that key.
     pub hot_key_load: u64,
-    /// Load of each shard without that key.
+    /// Load of each shard, without that key.
     shard_loads: Vec<u64>,
 }
 
 impl KeyLoads {
+    /// Distributes `TOTAL_LOAD` over the keys by rank.
     pub fn new() -> Self {
         let weights = (1..=KEY_COUNT).map(|rank| (rank as f64).powf(-ZIPF_EXPONENT));
         let sum: f64 = weights.clone().sum();
@@ -204,16 +219,18 @@
         KeyHash::from_key(format!("set-{rank}").as_bytes())
     }
 
+    /// Index of the shard of a key.
     pub fn shard_of(key: KeyHash) -> usize {
         ShardBits::new(SHARD_BITS).unwrap().shard_of(key).0 as usize
     }
 
-    /// Makes the hot key hot.
+    /// Raises the load of the hot key to `HOT_KEY_LOAD`.
     pub fn raise_hot_key(&mut self) {
         self.hot_key_load = HOT_KEY_LOAD;
     }
 
-    /// Load of every shard, and of the hot key if it is out of its own.
+    /// Load of every shard, in order; if the hot key is extracted from its shard, its own load
+    /// follows as the last entry.
     pub fn scope_loads(&self, is_extracted: bool) -> Vec<(Scope, u64)> {
         let shards = self.shard_loads.iter().copied().enumerate();
         let shards = shards.map(|(shard, load)| (Scope::Shard(ShardId(shard as u32)), load));
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -1,4 +1,5 @@
-//! The instance that plans and moves: expulsions, plans, hot keys and movers.
+//! The leading instance: expels lost instances, plans moves, extracts the hot key and steps
+//! the movers, with the production components for each.
 
 use {
     super::{
@@ -24,26 +25,31 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// The pause between two plans for balance; a server lost or gained is planned
-/// for at once.
+/// Interval between plans for balance. A change of the set of usable servers is planned for
+/// without delay.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
-/// An instance that the platform lists no more is expelled after so long.
+/// Time after the fault at which an instance that is no longer running is expelled.
 const EXPEL_AFTER: Duration = Duration::from_secs(10);
 
+/// Control loop of the leading instance, under the protocol rules `R`.
 pub struct Driver<R: ProtocolRules> {
+    /// Number of the leading instance.
     pub leader: usize,
+    /// Moves that have ended with a new owner.
     pub moved: usize,
     membership: Membership<R>,
     planner: Planner,
     hot_keys: HotKeyTracker,
-    /// The servers of the last plan, and when it was made.
+    /// Usable servers of the last plan, and its time.
     last_plan: (Vec<usize>, Time),
-    /// The table whose releases have been taken up.
+    /// Table revision at which releases were last looked for.
     scanned_revision: Revision,
+    /// Moves in progress.
     tasks: BTreeMap<Scope, Task<R>>,
 }
 
 impl<R: ProtocolRules> Driver<R> {
+    /// A control loop without state, as after a change of the leader.
     pub fn new(leader: usize) -> Self {
         Self {
             leader,
@@ -57,6 +63,7 @@
         }
     }
 
+    /// Runs one step; `routers` are all instances.
     pub fn step(
         &mut self,
         trial: &Trial,
@@ -117,7 +124,7 @@
         }
     }
 
-    /// Takes the key that has turned hot out of its shard.
+    /// Starts the move of the hot key out of its shard, to the least loaded server.
     fn extract_hot_key(&mut self, keys: &KeyLoads, platform_table: &mut Rc<Table>, now: Time) {
         let watched = [(
             keys.hot_key,
@@ -130,7 +137,7 @@
         let least_loaded = loads.iter().min_by_key(|(_, load)| **load);
         for change in changes {
             if let (HotKeyChange::Extract(key), Some((to, _))) = (change, least_loaded) {
-                // Refused while its shard moves; then it is tried again.
+                // Refused while the shard of the key is moving; retried in a later step.
                 let release_commit =
                     begin_move(platform_table, &service_name(), Scope::Key(key), to);
                 if let Ok(release_commit) = release_commit {
@@ -163,6 +170,7 @@
         self.tasks.retain(|_, task| !task.mover.is_done());
     }
 
+    /// Creates a mover for every release in the table that has none.
     fn resume_moves(&mut self, platform_table: &mut Rc<Table>, routers: &mut [Router], now: Time) {
         if platform_table.revision() == self.scanned_revision {
             return;
@@ -194,6 +202,7 @@
     members.collect()
 }
 
+/// Scopes that their owner is releasing, with the number of that owner.
 fn releasing_scopes(table: &Table) -> Vec<(Scope, usize)> {
     let mut found = Vec::new();
     for (key, row) in table.rows() {
@@ -219,7 +228,7 @@
     found
 }
 
-/// The servers that are to own something.
+/// Servers whose row is active, which may therefore own scopes.
 fn active_servers(table: &Table) -> impl Iterator<Item = &ServerRow> {
     table.rows().filter_map(|(_, row)| match &row.value {
         Row::Server(row) if row.state == ServerState::Active => Some(row),
@@ -227,12 +236,12 @@
     })
 }
 
-/// Whether the hot key is owned alone.
+/// Whether the hot key is owned separately from its shard.
 fn is_extracted(table: &Table, keys: &KeyLoads) -> bool {
     assignment(table, &service_name(), Scope::Key(keys.hot_key)).is_some()
 }
 
-/// The servers that may own, as the leader sees them.
+/// Active servers that the leader's probes reach.
 fn usable_servers<'a>(
     leader: &'a Router,
     table: &'a Table,
@@ -241,6 +250,7 @@
     active_servers(table).filter(move |row| !leader.is_lost(parse_number(row.name.id()), now))
 }
 
+/// Input of the planner: usable servers and the owners and loads of all scopes.
 fn service_view(leader: &Router, keys: &KeyLoads, table: &Table, now: Time) -> ServiceView {
     let usable = usable_servers(leader, table, now);
     let servers = usable.map(|row| Candidate {
@@ -265,7 +275,7 @@
     });
     let row = table.get(&RowKey::Service(service_name()));
     let Some(Row::Service(row)) = row.map(|found| &found.value) else {
-        panic!("the service has a row");
+        panic!("no row for the service");
     };
     ServiceView {
         servers: servers.collect(),
@@ -274,7 +284,7 @@
     }
 }
 
-/// Load of each active server, by the owners of the table.
+/// Load of each active server, from the owners in the table.
 pub fn server_loads(table: &Table, keys: &KeyLoads) -> BTreeMap<ServerName, u64> {
     let mut loads: BTreeMap<ServerName, u64> = active_servers(table)
         .map(|row| (row.name.clone(), 0))
--- a/crates/core/tests/alternatives/main.rs
+++ b/crates/core/tests/alternatives/main.rs
@@ -1,7 +1,7 @@
-//! Ways to decide ownership, weighed in focused scenarios in virtual time.
+//! Strategies for deciding ownership, compared in focused scenarios in virtual time.
 //!
-//! One fixed-step loop drives the production decisions; see
-//! docs/design/ALTERNATIVES.md for what is measured and what was left out.
+//! A loop with fixed time steps drives the production decision code.
+//! docs/design/ALTERNATIVES.md lists what is measured and what is left out.
 
 mod cluster;
 mod driver;
@@ -23,12 +23,13 @@
     strategy::{Strategy, Trial},
 };
 
-/// The page that reads the table.
+/// Documentation page that must contain the result table.
 const PAGE: &str = include_str!("../../../../docs/design/ALTERNATIVES.md");
 const TABLE_HEADER: &str = "\
 | scenario                         | way                 | H, s  | worst, s | mean, s | moved | max/mean, % | overlaps |
 |----------------------------------|---------------------|------:|---------:|--------:|------:|------------:|---------:|";
 
+/// Every strategy with each of its graces, in every scenario.
 fn all_trials() -> Vec<Trial> {
     let mut trials = Vec::new();
     for scenario in Scenario::ALL {
@@ -54,6 +55,7 @@
     }
 }
 
+/// Row of the result table for one trial.
 fn format_row(trial: &Trial, stats: &Stats) -> String {
     let grace = match trial.grace.as_secs() {
         0 => "-".to_string(),
@@ -71,8 +73,9 @@
     )
 }
 
-/// Every way in every scenario. No way that waits has a key with two owners
-/// that would run requests; the baseline has them whenever its servers change.
+/// Runs every strategy in every scenario and compares the result table with the snapshot and
+/// the documentation. Under a strategy that waits for leases, no key may have two owners that
+/// run requests at the same time; the modulo baseline has them whenever the server set changes.
 #[test]
 fn strategies_in_focused_scenarios() {
     let trials = all_trials();
@@ -89,7 +92,10 @@
     let mut table = vec![TABLE_HEADER.to_string()];
     table.extend(lines);
     let table = table.join("\n");
-    assert!(PAGE.contains(&table), "the page shows other figures");
+    assert!(
+        PAGE.contains(&table),
+        "docs/design/ALTERNATIVES.md differs from the measured table"
+    );
     insta::assert_snapshot!(table);
     for (trial, stats) in trials.iter().zip(&results) {
         let has_lease = trial.strategy != Strategy::Modulo;
@@ -97,8 +103,8 @@
     }
 }
 
-/// Shows that overlaps are counted: without the wait for routers, a domain that
-/// was cut off goes on with its keys while others have taken them over.
+/// Checks that overlaps are counted: if a mover does not wait for routers, a domain that is cut
+/// off continues to serve its keys after other servers have become their owners.
 #[test]
 fn a_mover_that_does_not_wait_makes_two_owners() {
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -117,9 +123,9 @@
     assert!(Simulation::run::<SkippedWait>(trial).overlaps() > 0);
 }
 
-/// An instance is cut off alone and would confirm itself by its own vote, while
-/// the others of its domain acknowledge and the majority's wait ends: two
-/// owners. Under the rule of way (a') it stops in time.
+/// An instance is cut off alone. If its own vote sufficed as a majority, it would confirm its
+/// own lease while the other instances of its domain acknowledge the release and the wait for
+/// the majority ends: two owners. With a true majority, strategy (a'), it stops in time.
 #[test]
 fn a_lone_vote_makes_two_owners() {
     let trial = |accepts_single_vote| Trial {
--- a/crates/core/tests/alternatives/modulo.rs
+++ b/crates/core/tests/alternatives/modulo.rs
@@ -1,4 +1,4 @@
-//! The baseline: each instance hashes over the servers that it reaches itself.
+//! Baseline without ownership: each instance hashes keys over the servers that it reaches.
 
 use {
     super::{
@@ -15,14 +15,18 @@
     std::time::Duration,
 };
 
-/// How far apart two instances learn of the same thing.
+/// Largest difference between the times at which two instances detect the same change.
 const DETECTION_SPREAD: Duration = Duration::from_millis(400);
 
+/// State of the baseline.
 pub struct Modulo {
-    /// The servers that each instance hashes over.
+    /// Servers that each instance hashes over.
     views: Vec<Vec<usize>>,
+    /// Time of the last answer of each server, by instance.
     last_seen: Vec<Vec<Time>>,
+    /// Delay with which each instance detects changes.
     detection_lags: Vec<Duration>,
+    /// Shard of the hot key, which is never extracted here.
     hot_shard: usize,
 }
 
@@ -43,6 +47,7 @@
 }
 
 impl Modulo {
+    /// Runs a trial of the baseline.
     pub fn run(trial: Trial) -> Stats {
         let mut keys = KeyLoads::new();
         let mut random = ChaCha8Rng::seed_from_u64(SEED);
@@ -75,7 +80,7 @@
         stats
     }
 
-    /// Owners as the first instance sees them; no scenario harms it.
+    /// Owners from the view of the first instance, which no scenario affects.
     fn owners(&self) -> Vec<Option<usize>> {
         (0..SHARD_COUNT).map(|shard| self.owner(0, shard)).collect()
     }
--- a/crates/core/tests/alternatives/router.rs
+++ b/crates/core/tests/alternatives/router.rs
@@ -1,4 +1,4 @@
-//! One instance: its reads of the platform, its leave and its map.
+//! One instance: its reads of the platform, its routing lease and its routes.
 
 use {
     super::{
@@ -16,35 +16,40 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// The pause between two reads of the platform, or two rounds of votes.
+/// Interval between reads of the platform, or between rounds of votes.
 pub const READ_INTERVAL: Duration = Duration::from_millis(400);
-/// A server that was not seen for so long counts as lost, a probe's pause
-/// included.
+/// Time without an answer after which a server counts as lost; includes the probe interval.
 pub const LOST_AFTER: Duration = Duration::from_millis(850);
 
-/// A question under way; its answer comes one step later.
+/// A read or round of votes in progress; the answer arrives one step later.
 struct PendingRead {
     started: Time,
-    /// What the platform answers; `None` for a round of votes.
+    /// Table in the platform's answer; `None` for a round of votes.
     table: Option<Rc<Table>>,
 }
 
+/// An instance that routes requests.
 pub struct Router {
+    /// Number of the instance.
     pub instance: usize,
+    /// Last table that was read.
     pub table: Rc<Table>,
+    /// Lease under which the instance may route.
     pub lease: RoutingLease,
-    /// The revision that others have heard of.
+    /// Table revision that the instance has acknowledged.
     pub acked_revision: Revision,
-    /// Asked to acknowledge, so that it reads at once.
+    /// Whether an acknowledgement was requested, which makes the next read immediate.
     pub is_ack_requested: bool,
-    /// When each server last answered.
+    /// Time of the last answer of each server to a probe.
     pub last_seen: Vec<Time>,
+    /// Owner of each scope by number; the last entry is the hot key.
     routes: Vec<Option<usize>>,
     next_read: Time,
     pending: Option<PendingRead>,
 }
 
 impl Router {
+    /// An instance whose first read is due at `phase`.
     pub fn new(instance: usize, table: &Rc<Table>, phase: Duration) -> Self {
         Self {
             instance,
@@ -59,7 +64,8 @@
         }
     }
 
-    /// Hears the answer to the last question, if it is not a round of votes.
+    /// Acknowledges the present revision, then applies the answer of a read that was started in
+    /// the previous step. Does nothing more during a round of votes.
     pub fn receive_read(&mut self, strategy: Strategy, hot: KeyHash) {
         self.acked_revision = self.table.revision();
         let Some(PendingRead { started, table }) =
@@ -67,7 +73,7 @@
         else {
             return;
         };
-        // The answer is a step old; the confirmation counts from the begin.
+        // The lease counts from the start of the read, which is one step ago.
         let mut read = RoutingLease::from_read(started, started, LeaseDurations::default());
         if strategy == Strategy::Majority {
             read.own_domain_until = Time::ZERO;
@@ -80,9 +86,9 @@
         }
     }
 
-    /// Counts a round of votes that was begun in the last step. A confirmer
-    /// that knows a newer revision votes against; its answer is as late as can
-    /// be, which tells the most.
+    /// Ends a round of votes that was started in the previous step, and extends the lease for
+    /// the own domain on a majority of `voters`. A confirmer with a newer revision votes
+    /// against. Votes arrive as late as possible, which is the worst case for overlaps.
     pub fn receive_votes(&mut self, votes: usize, has_newer: bool, voters: usize) {
         if let Some(read) = self.pending.take()
             && !has_newer
@@ -93,13 +99,15 @@
         }
     }
 
+    /// Whether a round of votes is in progress.
     pub fn is_voting(&self) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|read| read.table.is_none())
     }
 
-    /// Begins what is due: a read, or a round of votes if cut off.
+    /// Starts a read if one is due. Without access to the platform, a round of votes is started
+    /// instead, under the majority strategy only.
     pub fn start_read(
         &mut self,
         strategy: Strategy,
@@ -120,6 +128,8 @@
         });
     }
 
+    /// Records the servers that answer a probe now. With a router for each server, a server is
+    /// reachable only while its router runs.
     pub fn probe_servers(&mut self, strategy: Strategy, faults: &FaultState, now: Time) {
         for server in 0..self.last_seen.len() {
             let router = strategy != Strategy::RouterPerServer || faults.is_instance_up(server);
@@ -129,6 +139,7 @@
         }
     }
 
+    /// Whether a server has not answered probes for `LOST_AFTER`.
     pub fn is_lost(&self, server: usize, now: Time) -> bool {
         now - self.last_seen[server] >= LOST_AFTER
     }
@@ -144,19 +155,19 @@
         };
     }
 
-    /// Where its map sends a scope.
+    /// Server to which the instance routes a scope.
     pub fn owner(&self, scope: usize) -> Option<usize> {
         self.routes[scope]
     }
 
-    /// Whether it may send to a server now.
+    /// Whether the lease and the strategy allow sending to a server now.
     pub fn may_send(&self, trial: &Trial, server: usize, now: Time) -> bool {
         let is_own_domain = server % DOMAINS == self.instance % DOMAINS;
         let may_use_server = trial.strategy != Strategy::RouterPerServer || server == self.instance;
         may_use_server && self.lease.allows(now, is_own_domain, trial.grace)
     }
 
-    /// Its own row, while the table that it knows lists it.
+    /// Whether the instance's own table lists it under this incarnation.
     pub fn is_listed<R: ProtocolRules>(&self) -> bool {
         let key = RowKey::Instance(format!("instance-{}", self.instance).parse().unwrap());
         let row: Option<&InstanceRow> = match self.table.get(&key).map(|found| &found.value) {
@@ -167,6 +178,7 @@
     }
 }
 
+/// Owner of a scope, unless the scope is moving.
 fn routable_owner(table: &Table, scope: Scope) -> Option<usize> {
     let found = assignment(table, &service_name(), scope)?.value;
     found.is_routable().then(|| parse_number(found.owner.id()))
--- a/crates/core/tests/alternatives/scenario.rs
+++ b/crates/core/tests/alternatives/scenario.rs
@@ -1,27 +1,36 @@
-//! What goes wrong, and when.
+//! Scenarios: which fault or operator edit occurs, and when.
 
 use {citron_core::time::Time, std::time::Duration};
 
-/// Everything goes wrong so long after the begin of a run.
+/// Time from the start of a run to the fault or edit.
 pub const FAULT_START: Duration = Duration::from_secs(180);
-/// The server, instance and failure domain that the faults are about.
+/// Number of the server and of the instance that faults affect; their domain is
+/// `TARGET % DOMAINS`.
 pub const TARGET: usize = 4;
-/// Failure domains; number `n` of anything is in domain `n % DOMAINS`.
+/// Number of failure domains. Server or instance `n` is in domain `n % DOMAINS`.
 pub const DOMAINS: usize = 3;
 
-/// The focused scenarios.
+/// A scenario with one kind of fault or edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
+    /// The target server stops.
     ServerLost,
+    /// The target instance stops.
     InstanceLost,
+    /// The target server and the target instance, of one domain, stop.
     BothLost,
+    /// The target's domain is disconnected from the others and from the platform for 300 s.
     DomainCutOff,
+    /// The platform is down for 600 s; the target server stops after 300 s.
     PlatformDown,
+    /// The operator drains the target server.
     ServerLeaving,
-    /// An instance reaches neither the platform nor other instances, while a
-    /// server of its domain, which it still reaches, is to leave.
+    /// The target instance reaches neither the platform nor other instances for 360 s, while
+    /// the operator drains a server of its domain that it still reaches.
     InstanceCutOff,
+    /// The load of one key rises.
     HotKey,
+    /// The operator adds a server, which is warming up.
     ColdServer,
 }
 
@@ -38,7 +47,7 @@
         Self::ColdServer,
     ];
 
-    /// How long a run goes on after the fault: until all ways have settled.
+    /// Time from the fault to the end of the run; long enough for all strategies to settle.
     pub fn run_after_fault(self) -> Duration {
         Duration::from_secs(match self {
             Self::PlatformDown => 720,
@@ -46,6 +55,7 @@
         })
     }
 
+    /// Name of the scenario in the result table.
     pub fn title(self) -> &'static str {
         match self {
             Self::ServerLost => "server lost",
@@ -61,15 +71,17 @@
     }
 }
 
-/// What works at one moment.
+/// Which servers, instances and connections work at one moment of a scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultState {
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// How long ago the fault struck.
+    /// Time since the fault; `None` before it.
     pub elapsed: Option<Duration>,
 }
 
 impl FaultState {
+    /// State at a time of the run.
     pub fn at(scenario: Scenario, now: Time) -> Self {
         let start = Time::ZERO + FAULT_START;
         let elapsed = (now >= start).then(|| now - start);
@@ -86,6 +98,7 @@
         self.elapsed.is_some()
     }
 
+    /// Whether a server is running.
     pub fn is_server_up(&self, server: usize) -> bool {
         let lost = match self.scenario {
             Scenario::ServerLost | Scenario::BothLost => self.has_started(),
@@ -95,6 +108,7 @@
         !(lost && server == TARGET)
     }
 
+    /// Whether an instance is running.
     pub fn is_instance_up(&self, instance: usize) -> bool {
         let lost = matches!(self.scenario, Scenario::InstanceLost | Scenario::BothLost);
         !(lost && self.has_started() && instance == TARGET)
@@ -105,19 +119,19 @@
         cut && domain == TARGET % DOMAINS
     }
 
-    /// Whether two numbers' domains reach each other.
+    /// Whether the domains of two servers or instances reach each other.
     pub fn is_connected(&self, one: usize, other: usize) -> bool {
         let (one, other) = (one % DOMAINS, other % DOMAINS);
         one == other || !(self.is_domain_cut(one) || self.is_domain_cut(other))
     }
 
-    /// Whether an instance is cut off alone.
+    /// Whether an instance alone is disconnected from the platform and other instances.
     pub fn is_isolated(&self, instance: usize) -> bool {
         let cut = self.scenario == Scenario::InstanceCutOff && self.is_within(0, 360);
         cut && instance == TARGET
     }
 
-    /// Whether a running instance is heard by another.
+    /// Whether instance `one` reaches the running instance `other`.
     pub fn can_reach(&self, one: usize, other: usize) -> bool {
         let alone = one != other && (self.is_isolated(one) || self.is_isolated(other));
         !alone && self.is_connected(one, other) && self.is_instance_up(other)
--- a/crates/core/tests/alternatives/simulation.rs
+++ b/crates/core/tests/alternatives/simulation.rs
@@ -1,4 +1,4 @@
-//! A run of one way in one scenario, under the production rules.
+//! Simulation of one strategy in one scenario, with the production decision code.
 
 use {
     super::{
@@ -15,13 +15,15 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// A commit, a read, a probe or a word to another instance takes one step.
+/// Length of a step. A commit, a read, a probe and a message to another instance each take
+/// one step.
 pub const STEP: Duration = Duration::from_millis(100);
-/// An instance whose last read is older leaves planning to the next.
+/// Largest age of an instance's last read at which the instance may lead.
 const LEADER_READ_MAX_AGE: Duration = Duration::from_millis(1_200);
-/// Of the phases of the instances' reads.
+/// Seed for the phases of the instances' reads, and for the detection lags of the baseline.
 pub const SEED: u64 = 4;
 
+/// State of a run: the platform's table, the instances and the load.
 pub struct Simulation {
     trial: Trial,
     now: Time,
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Runs a trial under the protocol rules `R` and returns what was measured from the fault on.
     pub fn run<R: ProtocolRules>(trial: Trial) -> Stats {
         let mut simulation = Self::new(trial);
         let mut driver = Driver::<R>::new(0);
@@ -112,7 +115,7 @@
         }
     }
 
-    /// The rounds of way (a'), among the instances of each domain.
+    /// Ends the rounds of votes of strategy (a') among the instances of each domain.
     fn count_votes(&mut self, faults: &FaultState) {
         for asker in 0..self.routers.len() {
             if !self.routers[asker].is_voting() {
@@ -132,6 +135,7 @@
         }
     }
 
+    /// Steps the driver on the first instance that may lead; a new leader starts without state.
     fn run_leader<R: ProtocolRules>(&mut self, faults: &FaultState, driver: &mut Driver<R>) {
         let mut candidates = self.routers.iter().filter(|router| {
             let fresh = self.now - router.lease.read_started <= LEADER_READ_MAX_AGE;
@@ -151,7 +155,7 @@
         driver.step(&self.trial, faults, &self.keys, state, self.now);
     }
 
-    /// Load of the fullest running server over the mean, in percent.
+    /// Load of the most loaded running server over the mean, in percent.
     fn imbalance(&self) -> u64 {
         let faults = FaultState::at(self.trial.scenario, self.now);
         let mut loads = server_loads(&self.platform_table, &self.keys);
@@ -160,7 +164,7 @@
     }
 }
 
-/// The greatest over the mean, in percent.
+/// Ratio of the greatest load to the mean, in percent.
 pub fn max_over_mean_percent(loads: Vec<u64>) -> u64 {
     let sum: u64 = loads.iter().sum();
     loads.iter().max().unwrap() * 100 * loads.len() as u64 / sum
--- a/crates/core/tests/alternatives/stats.rs
+++ b/crates/core/tests/alternatives/stats.rs
@@ -1,4 +1,4 @@
-//! What is measured of a run.
+//! Measurements of a run: outages, moves, imbalance and keys with two owners.
 
 use {
     super::{
@@ -9,30 +9,33 @@
     std::time::Duration,
 };
 
-/// Who routes what where, at one moment.
+/// Routing decisions of all instances at one moment.
 pub trait Routes {
-    /// The server that an instance would send a request of a scope to; scope
-    /// `SHARDS` is the hot key.
+    /// Server to which an instance would send a request for a scope; scope `SHARD_COUNT` is the
+    /// hot key.
     fn owner(&self, instance: usize, scope: usize) -> Option<usize>;
 
-    /// Whether it may send to a server at all now.
+    /// Whether an instance may send requests to a server now.
     fn may_send(&self, instance: usize, server: usize) -> bool;
 }
 
+/// Measurements of a run, from the fault to the end.
 #[derive(Debug, Clone, Default)]
 pub struct Stats {
-    /// Time that no instance could serve a scope, by scope.
+    /// Time during which no instance could serve a scope, by scope.
     outages: Vec<Duration>,
-    /// Scopes that ever had two owners that would run requests at once.
+    /// Whether a scope ever had two owners that would run requests at the same time, by scope.
     had_two_owners: Vec<bool>,
-    /// Unavailable key-seconds, of callers spread evenly over domains.
+    /// Unavailable key-seconds, for callers spread evenly over the domains.
     unavailable_key_seconds: f64,
+    /// Scopes that changed their owner.
     pub moved: usize,
-    /// Load of the fullest server over the mean at the end, in percent.
+    /// Load of the most loaded server over the mean at the end, in percent.
     pub imbalance: u64,
 }
 
 impl Stats {
+    /// Measurements before the first step.
     pub fn new() -> Self {
         Self {
             outages: vec![Duration::ZERO; SHARD_COUNT + 1],
@@ -41,16 +44,18 @@
         }
     }
 
-    /// The worst key's time without any instance that could serve it.
+    /// Longest total time, over all keys, without an instance that could serve the key; in
+    /// seconds.
     pub fn worst_outage(&self) -> f64 {
         self.outages.iter().max().unwrap().as_secs_f64()
     }
 
-    /// Unavailable seconds a key, for the mean key and caller.
+    /// Unavailable time of a key, as the mean over keys and callers; in seconds.
     pub fn mean_outage(&self) -> f64 {
         self.unavailable_key_seconds / KEY_COUNT as f64
     }
 
+    /// Scopes that had two owners at the same time at any step.
     pub fn overlaps(&self) -> usize {
         self.had_two_owners
             .iter()
@@ -58,7 +63,7 @@
             .count()
     }
 
-    /// Counts one step of a run.
+    /// Adds one step of a run.
     pub fn record_step(
         &mut self,
         routes: &impl Routes,
@@ -79,7 +84,8 @@
         }
     }
 
-    /// The part of each domain's callers that are served.
+    /// Share of each domain's callers whose requests for a scope are served; records an overlap
+    /// if two instances would send to different servers.
     fn served_shares(
         &mut self,
         routes: &impl Routes,
@@ -107,17 +113,19 @@
     }
 }
 
-/// What one instance reaches and is reached from.
+/// Servers that one instance reaches, and callers that reach it.
 struct InstanceReach {
-    /// The running servers that it reaches and may send to.
+    /// Whether each server is running, reachable and allowed for the instance.
     usable_servers: Vec<bool>,
-    /// The domains whose callers it takes.
+    /// Whether the instance serves the callers of each domain.
     domains: [bool; DOMAINS],
 }
 
+/// Reachability of all instances at one moment.
 struct Reachability {
     instances: Vec<InstanceReach>,
-    /// The instances that share the callers of each domain.
+    /// Number of instances over which the callers of each domain are spread; 1 if any instance
+    /// in reach can serve them all.
     instances_per_domain: [usize; DOMAINS],
 }
 
--- a/crates/core/tests/alternatives/strategy.rs
+++ b/crates/core/tests/alternatives/strategy.rs
@@ -1,23 +1,24 @@
-//! The ways that are weighed.
+//! The strategies that are compared.
 
 use std::time::Duration;
 
 /// How ownership is decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Strategy {
-    /// (a) All listed routers of the owner's domain acknowledge, or grace ends.
-    /// The production rules as they are.
+    /// (a) All listed routers of the owner's domain acknowledge, or the grace ends. These are
+    /// the production rules, unchanged.
     AllAcknowledge,
-    /// (a) whose instances hand a request that they may not route themselves to
-    /// one of the owner's domain. The ownership rules are those of (a); the
-    /// hand-over exists in this test only.
+    /// (a), where an instance forwards a request that it may not route itself to an instance in
+    /// the owner's domain. The ownership rules are those of (a); forwarding exists only in this
+    /// test.
     Forwarding,
-    /// (a') A majority of a domain's confirmers. A variant that exists in this
-    /// test only: its rounds and its wait are written here.
+    /// (a') A majority of the confirmers of a domain confirms leases and acknowledges releases.
+    /// This variant exists only in this test, which implements its rounds of votes and its
+    /// wait.
     Majority,
-    /// (b) One router for each backend server, and no other routes to it.
+    /// (b) One router for each backend server; no other instance routes to that server.
     RouterPerServer,
-    /// (c) No serving past the confirmation: production rules without grace.
+    /// (c) The production rules with a grace of zero: no serving after the confirmation ends.
     NoGrace,
     /// Plain modulo hashing over the servers that each instance reaches.
     Modulo,
@@ -33,6 +34,7 @@
         Self::Modulo,
     ];
 
+    /// Name of the strategy in the result table.
     pub fn title(self) -> &'static str {
         match self {
             Self::AllAcknowledge => "(a) all acknowledge",
@@ -44,7 +46,7 @@
         }
     }
 
-    /// The graces to try, in seconds.
+    /// Graces that are tried, in seconds.
     pub fn grace_seconds(self) -> &'static [u64] {
         match self {
             Self::NoGrace | Self::Modulo => &[0],
@@ -52,11 +54,13 @@
         }
     }
 
-    /// Whether a caller is served if any instance in reach can serve it.
+    /// Whether a request is served if any instance in reach of its caller can serve it.
     pub fn forwards(self) -> bool {
         matches!(self, Self::Forwarding | Self::RouterPerServer)
     }
 
+    /// Number of instances; one more than the servers at the start where each server, also the
+    /// one that joins, has its own router.
     pub fn instance_count(self) -> usize {
         match self {
             Self::RouterPerServer => super::cluster::SERVER_COUNT + 1,
@@ -65,12 +69,17 @@
     }
 }
 
-/// One way in one scenario.
+/// One strategy with one grace in one scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct Trial {
+    /// The scenario.
     pub scenario: super::scenario::Scenario,
+    /// The strategy.
     pub strategy: Strategy,
+    /// Time from the start of its last read of the platform for which an instance may continue
+    /// to route to servers of its own domain.
     pub grace: Duration,
-    /// Way (a') broken on purpose: an instance's own vote is a majority.
+    /// Deliberate fault in strategy (a'): one vote, such as the instance's own, counts as a
+    /// majority.
     pub accepts_single_vote: bool,
 }
--- a/crates/core/tests/alternatives/task.rs
+++ b/crates/core/tests/alternatives/task.rs
@@ -1,4 +1,4 @@
-//! A mover, what it hears and what it asks for.
+//! A move in progress: a production mover, the events it receives and the actions it requests.
 
 use {
     super::{
@@ -16,20 +16,24 @@
     std::rc::Rc,
 };
 
-/// A move under way.
+/// A move in progress.
 pub struct Task<R: ProtocolRules> {
+    /// State machine of the move.
     pub mover: Mover<R>,
-    /// The old owner.
+    /// Number of the server that releases the scope.
     old_owner: usize,
+    /// Time at which the leader saw the release.
     observed: Time,
+    /// Table revision of the release.
     release_revision: Revision,
-    /// When a majority of the owner's domain's confirmers had acknowledged.
+    /// Time at which a majority of the confirmers of the owner's domain had acknowledged.
     majority_at: Option<Time>,
-    /// What the driver has to tell the mover next.
+    /// Event for the mover in the next step.
     pub pending_event: Option<MoveEvent>,
 }
 
 impl<R: ProtocolRules> Task<R> {
+    /// A task for a mover that has just been started.
     pub fn new(
         mover: Mover<R>,
         (old_owner, release_revision): (usize, Revision),
@@ -45,7 +49,7 @@
         }
     }
 
-    /// The acknowledgements that have come, and those that a way does without.
+    /// Acknowledgements that have arrived, and those that the strategy does not require.
     pub fn acks(
         &mut self,
         trial: &Trial,
@@ -78,9 +82,10 @@
         acks.collect()
     }
 
-    /// The wait of way (a'): no vote is given under an older revision once a
-    /// majority of confirmers has acknowledged, and what was confirmed before
-    /// has run out a confirmation later; the last request is given its deadline.
+    /// Whether the wait of strategy (a') has ended. Once a majority of the confirmers has
+    /// acknowledged the release, no lease can be confirmed under an older revision. Leases
+    /// confirmed before end after one lease duration with clock margin, and the last request
+    /// under them after its deadline.
     fn is_majority_wait_over(
         &mut self,
         routers: &[Router],
@@ -103,7 +108,7 @@
         end.is_some_and(|end| now >= end)
     }
 
-    /// Does as the mover says; returns how many moves were done.
+    /// Carries out the mover's actions; returns the number of moves that have ended.
     pub fn apply_actions(
         &mut self,
         actions: Vec<MoveAction>,
@@ -122,7 +127,7 @@
                 }
                 MoveAction::Reread => self.pending_event = Some(MoveEvent::Reread),
                 MoveAction::Done { .. } => done += 1,
-                // Servers that do not check epochs get no orders.
+                // No orders are sent to servers that do not check epochs.
                 MoveAction::Revoke { .. } | MoveAction::Grant { .. } => {}
                 MoveAction::Superseded => {}
             }
