--- a/crates/core/examples/fleet_cost.rs
+++ b/crates/core/examples/fleet_cost.rs
@@ -1,5 +1,5 @@
-//! What one step of control costs as a deployment grows, ten servers an instance, seven
-//! in ten of which own keys: processor time and allocations.
+//! Cost of one control step by deployment size: wall-clock time and allocations. There are ten
+//! servers for each instance; seven in ten own keys.
 //!
 //!     cargo run --release -p citron-core --example fleet_cost
 
@@ -18,8 +18,9 @@
     std::time::{Duration, Instant},
 };
 
+/// Instances of the measured deployments.
 const INSTANCES: [usize; 7] = [12, 86, 195, 300, 1_000, 2_000, 4_400];
-/// Slices of a part at most, as the planner writes them.
+/// Largest number of slices of a map partition, as the planner writes it.
 const MAX_SLICES: usize = 64;
 
 fn main() {
@@ -30,6 +31,7 @@
     }
 }
 
+/// Control state of one deployment.
 struct Fleet {
     instances: usize,
     registry: Registry,
@@ -56,15 +58,15 @@
     }
 
     fn run(mut self) {
-        self.measure_step("take in all entries", |fleet| {
+        self.measure_step("apply all entries", |fleet| {
             (0..fleet.instances * 10).for_each(|n| fleet.registry.apply_entry(entry(n), at(0)));
             fleet.registry.server_lists();
         });
-        self.measure_step("take in one entry, make lists anew", |fleet| {
+        self.measure_step("apply one entry, rebuild server lists", |fleet| {
             fleet.registry.apply_entry(entry(7), at(10));
             fleet.registry.server_lists();
         });
-        self.measure_step("deal all keys, grant them", Self::assign_all);
+        self.measure_step("assign and grant all keys", Self::assign_all);
         self.measure_step("plan, nothing to do", |fleet| fleet.plan(at(2_000)));
         self.measure_step("orders, nothing due", |fleet| fleet.issue_orders(at(2_000)));
         self.measure_step("orders, all due, 40 sent", |fleet| {
@@ -72,7 +74,7 @@
         });
         let map = self.reconciler.map().clone();
         let mut partitions = PartitionedMap::default();
-        self.measure_step("divide a map into parts", |_| {
+        self.measure_step("divide a map into partitions", |_| {
             for range in partition_ranges(&map, &PartitionedMap::default(), MAX_SLICES) {
                 let slices = map.slices_in(range);
                 let version = 1;
@@ -84,7 +86,7 @@
             }
         });
         let mut copy = partitions.clone();
-        self.measure_step("take in one part", |_| {
+        self.measure_step("apply one partition", |_| {
             let range = copy.ranges().next().unwrap_or(KeyRange::ALL);
             let slices = map.slices_in(range);
             let version = 2;
@@ -99,6 +101,7 @@
         });
     }
 
+    /// Runs `work` once and prints its time and number of allocations.
     fn measure_step(&mut self, label: &str, work: impl FnOnce(&mut Self)) {
         let mut elapsed = Duration::ZERO;
         let info = measure(|| {
@@ -129,6 +132,7 @@
         self.reconciler.orders(now, &self.clock, &self.registry);
     }
 
+    /// Plans owners for all keys and completes orders until none is left.
     fn assign_all(&mut self) {
         self.plan(at(1_000));
         loop {
@@ -154,6 +158,7 @@
     name.unwrap_or_else(|error| panic!("{error}"))
 }
 
+/// Registry entry of a server; seven in ten are of the service `keyed`.
 fn entry(number: usize) -> ServerEntry {
     let is_keyed = number % 10 < 7;
     let name = match is_keyed {
--- a/crates/core/examples/policy_cost.rs
+++ b/crates/core/examples/policy_cost.rs
@@ -1,4 +1,5 @@
-//! What the decisions on the request path cost: nanoseconds and bytes.
+//! Cost of the decisions on the request path: nanoseconds for each call, and bytes for each
+//! state value.
 //!
 //! `cargo run --release -p citron-core --example policy_cost`
 
@@ -23,25 +24,29 @@
     },
 };
 
+/// Calls for each measurement.
 const ROUNDS: u64 = 1_000_000;
+/// Instances that report demand, this one included.
 const INSTANCES: usize = 10;
 const SERVERS: usize = 20;
+/// Time for which a request holds its slot.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 fn main() {
     println!(
-        "bytes: gate {}, attempt {}",
+        "bytes: admission {}, retry state {}",
         size_of::<AdmissionController>(),
         size_of::<RetryState>()
     );
-    measure("attempt, one try", retry());
-    measure("gate, a free slot", admit_free());
-    measure("gate, shed by a full queue", shed_full());
+    measure("retry state, one attempt", retry());
+    measure("admission, a free slot", admit_free());
+    measure("admission, shed by a full queue", shed_full());
     measure("health, check and answer", health());
-    measure("crash log, with 256 entries", crash_check());
-    measure("a part from ten reports", quota());
+    measure("crash check, 256 entries", crash_check());
+    measure("quota from ten reports", quota());
 }
 
+/// Prints the mean time of `round` over `ROUNDS` calls.
 fn measure(name: &str, mut round: impl FnMut(u64)) {
     let started = Instant::now();
     (0..ROUNDS).for_each(&mut round);
--- a/crates/core/examples/shard_cost.rs
+++ b/crates/core/examples/shard_cost.rs
@@ -1,6 +1,7 @@
-//! Measures what state costs per shard, for docs/CAPACITY.md. One size a run, so
-//! that no run gets memory that an earlier one gave back:
-//! `cargo run --release -p citron-core --example shard_cost -- BITS`, with the
+//! Measures the memory and time that table and route map need per shard, for
+//! docs/CAPACITY.md. Each run measures one size, since memory freed by an earlier size would
+//! be reused and not counted:
+//! `cargo run --release -p citron-core --example shard_cost -- BITS`, where `BITS` is the
 //! base-two logarithm of the shard count.
 
 use {
@@ -21,8 +22,9 @@
     },
 };
 
-/// Shards of one server.
+/// Shards that each server owns.
 const SHARDS_PER_SERVER: u32 = 64;
+/// Route lookups for one measurement.
 const LOOKUPS: u64 = 2_000_000;
 
 fn main() {
@@ -40,7 +42,7 @@
         revision: Revision(1),
         rows: rows(bits),
     };
-    table.apply(changes).expect("from the start");
+    table.apply(changes).expect("changes from revision 0 apply");
     let with_table = resident_bytes();
     let started = Instant::now();
     let map = RouteMap::build(&table);
@@ -61,7 +63,7 @@
     bytes as f64 / f64::from(shards)
 }
 
-/// From a changed block to the next map.
+/// Time from a changed block of shards to the updated route map.
 fn time_block_update(table: &mut Table, map: &RouteMap) -> Duration {
     let (key, row) = block(0, 2);
     let changed = [key.clone()];
@@ -71,15 +73,18 @@
         rows: vec![(key, Revision(2), Some(row))],
     };
     let started = Instant::now();
-    table.apply(changes).expect("next");
+    table.apply(changes).expect("changes from revision 1 apply");
     black_box(map.with_changes(table, &changed));
     started.elapsed()
 }
 
+/// Mean time of a route lookup, in nanoseconds.
 fn time_lookup(map: &RouteMap) -> f64 {
     let started = Instant::now();
     for number in 0..LOOKUPS {
-        let service = map.service("any", "/kegs/1").expect("the service");
+        let service = map
+            .service("any", "/kegs/1")
+            .expect("a service for the prefix");
         let key = KeyHash(number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         black_box(service.route(key));
     }
@@ -125,7 +130,7 @@
         prefix: "/kegs".to_string(),
         key_source: KeySource::Segment(1),
         idempotent_methods: vec!["GET".to_string()],
-        shard_bits: ShardBits::new(bits).expect("few enough"),
+        shard_bits: ShardBits::new(bits).expect("a valid shard count"),
         deadline: Duration::from_secs(5),
         grace: Duration::from_secs(30),
         move_budget: MoveBudget {
