--- a/crates/citronproxy/examples/bench.rs
+++ b/crates/citronproxy/examples/bench.rs
@@ -1,5 +1,5 @@
-//! Requests a second and added latency of the request path, against a direct
-//! connection to the same stand-in, side by side:
+//! Throughput and added latency of the request path. The same test server is called through
+//! the proxy and over direct connections, alternately:
 //! `cargo run --release --example bench [-- --seconds N] [--post]`.
 
 use {
@@ -24,11 +24,13 @@
 
 /// Traffic threads of the instance.
 const THREADS: usize = 2;
-/// The two ways alternate in slices of this length, so that whatever else the
-/// machine does meets both alike.
+/// Time after which callers switch between direct and proxied requests, so that other load on
+/// the machine affects both equally.
 const SLICE: Duration = Duration::from_millis(100);
+/// Response of the test server.
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nhello, keg!\n";
 
+/// Latencies in nanoseconds.
 type LatencyNanos = Histogram<u64>;
 type CallError = Box<dyn Error + Send + Sync>;
 
@@ -41,7 +43,7 @@
     };
     let server = start_server()?;
     let proxy = start_proxy(server)?;
-    println!("connections  way     requests/s  p50 us  p99 us  added p50  added p99  CPU us");
+    println!("connections  target  requests/s  p50 us  p99 us  added p50  added p99  CPU us");
     for connections in [1, 4, 16] {
         let targets = [server, proxy];
         let before = thread_time()?;
@@ -56,6 +58,7 @@
     Ok(())
 }
 
+/// Prints throughput, latency and the latency added over `base`, in microseconds.
 fn print_row(
     connections: usize,
     target: &str,
@@ -64,7 +67,7 @@
     seconds: u64,
 ) {
     let micros = |histogram: &LatencyNanos, q| histogram.value_at_quantile(q) as f64 / 1_000.0;
-    // Each way has half of the time.
+    // Each target is called for half of the time.
     let rate = nanos.len() as f64 / (seconds as f64 / 2.0);
     let [p50, p99] = [0.5, 0.99].map(|q| micros(nanos, q));
     let [added_50, added_99] = [0.5, 0.99].map(|q| micros(nanos, q) - micros(base, q));
@@ -73,7 +76,7 @@
     );
 }
 
-/// Processor time of the traffic threads so far, in steps of 10 ms.
+/// CPU time of the traffic threads so far, with a resolution of 10 ms.
 fn thread_time() -> std::io::Result<Duration> {
     let mut ticks = 0;
     for task in fs::read_dir("/proc/self/task")? {
@@ -92,7 +95,7 @@
     Ok(Duration::from_millis(10 * ticks))
 }
 
-/// Latencies of the two ways, over connections that are kept.
+/// Latencies of the two targets over persistent connections.
 fn measure(
     targets: [SocketAddr; 2],
     connections: usize,
@@ -104,7 +107,7 @@
     let callers: Vec<_> = (0..connections).map(|_| thread::spawn(run)).collect();
     let mut sums = [LatencyNanos::new(3)?, LatencyNanos::new(3)?];
     for caller in callers {
-        let measured = caller.join().map_err(|_| "a caller failed")?;
+        let measured = caller.join().map_err(|_| "a caller thread panicked")?;
         let measured = measured.map_err(|error| error.to_string())?;
         for (sum, one) in sums.iter_mut().zip(measured) {
             sum.add(one)?;
@@ -113,6 +116,7 @@
     Ok(sums)
 }
 
+/// Sends requests to both targets until `time` has passed since `started`.
 fn run_caller(
     targets: [SocketAddr; 2],
     request: &[u8],
@@ -126,7 +130,8 @@
     let mut nanos = [LatencyNanos::new(3)?, LatencyNanos::new(3)?];
     for stream in &mut streams {
         stream.set_nodelay(true)?;
-        // The first request on a connection makes the instance connect.
+        // The first request on a connection makes the proxy connect to the server; it is not
+        // measured.
         exchange(stream, request)?;
     }
     while started.elapsed() < time {
@@ -139,6 +144,7 @@
     Ok(nanos)
 }
 
+/// Sends one request and reads the response.
 fn exchange(stream: &mut TcpStream, request: &[u8]) -> Result<(), CallError> {
     let mut answer = [0; 1_024];
     let mut length = 0;
@@ -146,14 +152,14 @@
     while !answer[..length].ends_with(b"hello, keg!\n") {
         let read = stream.read(&mut answer[length..])?;
         if read == 0 || !answer.starts_with(b"HTTP/1.1 200") {
-            return Err("not the answer".into());
+            return Err("connection closed or unexpected response".into());
         }
         length += read;
     }
     Ok(())
 }
 
-/// A server with a thread for each connection and a fixed answer.
+/// Starts a server with one thread for each connection and a fixed response.
 fn start_server() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -187,7 +193,7 @@
     }
 }
 
-/// Traffic threads that route to the stand-in.
+/// Starts traffic threads that route to the server, under a lease of one hour.
 fn start_proxy(server: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
     let rows = dev::sample_rows(server)?;
     let rows = rows
--- a/crates/citronproxy/examples/control_cost.rs
+++ b/crates/citronproxy/examples/control_cost.rs
@@ -1,9 +1,10 @@
-//! Measures what control costs an instance at rest, for docs/CAPACITY.md:
+//! Measures the cost of control for each instance while nothing changes, for
+//! docs/CAPACITY.md:
 //! `cargo run --release -p citronproxy --example control_cost -- INSTANCES SERVERS SECONDS`.
 //!
-//! All instances run their real control tasks on this one thread, with the
-//! platform in memory and backend servers that accept every order; calls
-//! between instances go over loopback. One size a run.
+//! All instances run the production control tasks on one thread, with an in-memory platform
+//! and backend servers that accept every order. Instances call each other over loopback. Each
+//! run measures one size.
 
 use {
     citron_core::{
@@ -37,15 +38,16 @@
     tokio::{task::LocalSet, time::sleep},
 };
 
+/// Failure domains.
 const DOMAINS: usize = 6;
-/// Base-two logarithm of the shard count: 64 shards a server at 64 servers.
+/// Base-two logarithm of the shard count, which gives 64 shards for each of 64 servers.
 const SHARD_BITS: u8 = 12;
-/// Time to join and to learn of all others, before anything is measured.
+/// Time before the measurement in which all instances join and learn of each other.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Clock ticks a second, as Linux counts processor time.
+/// Unit of CPU times in /proc on Linux, in ticks per second.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Calls to the outside, by kind, of all instances together.
+/// Number of outgoing calls of all instances together, by kind.
 #[derive(Debug, Default)]
 struct CallCounts {
     reads: Cell<u64>,
@@ -59,7 +61,7 @@
     cell.set(cell.get() + 1);
 }
 
-/// The platform, counted.
+/// In-memory platform that counts calls.
 struct CountingStore {
     inner: IdempotentStore<MemoryPlatform>,
     calls: Rc<CallCounts>,
@@ -101,7 +103,7 @@
     }
 }
 
-/// Backend servers that accept every order, counted.
+/// Backend servers that accept every order and count calls.
 struct CountingServers {
     calls: Rc<CallCounts>,
     clock: Instant,
@@ -179,8 +181,8 @@
         .map(|(now, before_count)| each(*now, before_count))
         .collect();
     println!(
-        "instances {instances} servers {servers}: core {:.3}% an instance ({cpu:.1}% in all), \
-         {} KiB an instance; a second and instance: reads {:.2} commits {:.2} lists {:.2} \
+        "instances {instances} servers {servers}: CPU {:.3}% per instance ({cpu:.1}% in total), \
+         {} KiB per instance; per second and instance: reads {:.2} commits {:.2} lists {:.2} \
          orders {:.2} probes {:.2}",
         cpu / instances as f64,
         memory_each / 1024,
@@ -193,6 +195,7 @@
     Ok(())
 }
 
+/// Starts the control tasks of one instance.
 async fn start(
     number: usize,
     memory: &MemoryPlatform,
@@ -230,6 +233,7 @@
     format!("domain-{}", number % DOMAINS)
 }
 
+/// Commit that creates the service, its domains, servers and shards.
 fn rows(servers: usize) -> Result<Commit, Box<dyn Error>> {
     let shards = ShardBits::new(SHARD_BITS).ok_or("too many shards")?;
     let name = |shard: u32| -> Result<ServerName, Box<dyn Error>> {
@@ -320,7 +324,7 @@
     kib.unwrap_or(0) * 1024
 }
 
-/// Processor time of this process so far, in seconds.
+/// CPU time of this process so far, in seconds.
 fn processor_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
--- a/crates/citronproxy/examples/table_sizes.rs
+++ b/crates/citronproxy/examples/table_sizes.rs
@@ -1,8 +1,9 @@
-//! Measures tables that instances hand to each other, for docs/CAPACITY.md:
+//! Measures the size of tables that instances relay to each other, and the time to encode and
+//! decode them, for docs/CAPACITY.md:
 //! `cargo run --release -p citronproxy --example table_sizes`.
 //!
-//! Names and prefixes are random: nothing of them can be packed but that they are few
-//! kinds of letters. Times are the least of some runs.
+//! Names and prefixes are random, so that they compress only by their small alphabet. Times
+//! are the shortest of `RUNS` runs.
 
 use {
     citron_core::freshness::Age,
@@ -15,12 +16,15 @@
     },
 };
 
+/// Runs of which the shortest time counts.
 const RUNS: usize = 9;
 const HOSTS: usize = 6;
 const SERVICES: usize = 40;
 const SERVERS: usize = 40;
+/// Limit for the unpacked size.
 const MAX_BYTES: usize = 8 << 20;
 
+/// Random digits and lower-case letters.
 fn random_text(rng: &mut StdRng, letters: usize) -> String {
     let letter = |_| char::from_digit(rng.random_range(0..36), 36).unwrap_or('0');
     (0..letters).map(letter).collect()
@@ -41,6 +45,7 @@
     })
 }
 
+/// A configuration with its routes spread evenly over the hosts.
 fn config(rng: &mut StdRng, routes: usize) -> Value {
     let mut host = |number| {
         let routes = (0..routes / HOSTS).map(|_| route(rng));
@@ -51,7 +56,7 @@
     json!({"version": "0000001f", "hosts": hosts})
 }
 
-/// Half of the slices carry the end of a lease, some of these a handover.
+/// A range map. Half of its slices have a lease expiry, and a fifth of these a handover.
 fn map(rng: &mut StdRng, slices: usize) -> Value {
     let servers =
         (0..SERVERS).map(|number| format!("front-north-{number}-{}", random_text(rng, 6)));
@@ -72,7 +77,7 @@
     json!({"servers": servers, "slices": slices})
 }
 
-/// What came out, and the least time of all runs.
+/// Result and time of the fastest run.
 fn fastest<T, E>(mut run: impl FnMut() -> Result<T, E>) -> Result<(T, Duration), E> {
     let mut timed = || {
         let started = Instant::now();
--- a/crates/citronproxy/examples/upload.rs
+++ b/crates/citronproxy/examples/upload.rs
@@ -1,6 +1,6 @@
-//! Memory that a large upload takes: caller, instance and server in one process,
-//! none of which keeps the body.
-//! `cargo run --release --example upload [-- --mib N]`, 1024 MiB if not given.
+//! Memory growth during a large upload. Caller, instance and server run in one process, and
+//! none of them keeps the body.
+//! `cargo run --release --example upload [-- --mib N]`, 1024 MiB by default.
 
 use {
     citron_core::{
@@ -25,14 +25,14 @@
 };
 
 const MIB: usize = 1_024 * 1_024;
-/// Long enough for any upload here.
+/// Deadline and lease; longer than any upload here.
 const HOUR: Duration = Duration::from_secs(3_600);
 
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let mut args = pico_args::Arguments::from_env();
     let mib: usize = args.opt_value_from_str("--mib")?.unwrap_or(1_024);
-    // The server pauses a little after each MiB, so that the caller is faster.
+    // The server pauses for 1 ms after each MiB, so that the caller is faster than the server.
     let server = upload_server(Duration::from_millis(1)).await?;
     let instance = start_instance(server)?;
     let before = read_status_kib("VmRSS:")?;
@@ -45,6 +45,7 @@
     Ok(())
 }
 
+/// Uploads `size` bytes and returns the response.
 async fn upload(address: SocketAddr, size: usize) -> Result<String, Box<dyn Error>> {
     let mut stream = TcpStream::connect(address).await?;
     let head = "PUT /kegs/photos HTTP/1.1\r\nhost: kegs\r\nconnection: close\r\n";
@@ -59,13 +60,17 @@
     Ok(answer)
 }
 
+/// Reads a field of /proc/self/status, in KiB.
 fn read_status_kib(name: &str) -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     let number = line.and_then(|line| line.split_whitespace().next());
-    Ok(number.ok_or("no such line")?.parse()?)
+    Ok(number
+        .ok_or("field not found in /proc/self/status")?
+        .parse()?)
 }
 
+/// Starts one traffic thread that routes to the server.
 fn start_instance(server: SocketAddr) -> Result<SocketAddr, Box<dyn Error>> {
     let mut rows = dev::sample_rows(server)?;
     for row in &mut rows {
