--- a/crates/citronproxy/tests/admin.rs
+++ b/crates/citronproxy/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin API's contract, call by call, on a real instance.
+//! Contract of the admin API: each call and each refusal, on a real instance.
 
 mod support;
 
@@ -20,7 +20,7 @@
     tokio::task::{LocalSet, spawn_local},
 };
 
-/// A control thread that knows nothing.
+/// Control with an empty table and no crash entries.
 struct EmptyControl;
 
 impl ControlView for EmptyControl {
@@ -45,7 +45,8 @@
     fn on_edit_accepted(&self) {}
 }
 
-/// The instance's own row is revision 1, the starting rows are revision 2.
+/// Starts a platform and an instance. The instance's own row is revision 1, the starting rows
+/// are revision 2.
 async fn start() -> (PlatformServer, Instance, Operator) {
     let any = "127.0.0.1:0".parse().unwrap();
     let platform = PlatformServer::start(any).await.unwrap();
@@ -56,6 +57,7 @@
     (platform, instance, operator)
 }
 
+/// Snapshot line for a call: status, code, message and the version of the current row.
 fn format_case(case: &str, (status, body): &(u16, Value)) -> String {
     let text_of = |name: &str| body[name].as_str().unwrap_or("-").to_string();
     let current = &body["current"]["version"];
@@ -136,8 +138,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Without the right token nothing is answered, whatever the call; without a
-/// token in the settings there is no right one.
+/// Every call without the right token is refused, also calls to unknown paths.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_without_the_token_are_refused() {
     let (_platform, instance, _ann) = start().await;
@@ -159,6 +160,7 @@
     }
 }
 
+/// If the settings have no token, no token is right, not even an empty one.
 #[tokio::test]
 async fn an_instance_without_a_token_in_its_settings_refuses_all() {
     let run = async {
@@ -210,7 +212,8 @@
     insta::assert_json_snapshot!(page, { ".entries[].at_ms" => "[time]" });
 }
 
-/// First servers own all shards at once, and status tells who owns a key.
+/// The servers of a new service own all shards at once, and the API reports the owner of a key,
+/// whether the key in the query is percent-encoded or not.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_service_is_owned_and_status_says_why() {
     let (_platform, _instance, ann) = start().await;
@@ -224,8 +227,8 @@
     assert_eq!(owner, escaped);
 }
 
-/// A move is accepted once the release is committed; the key's owner then shows
-/// whom it goes to. A server that is not there is refused.
+/// A move is accepted once the release is committed, and the history shows its target. A move to
+/// an unknown server, or without a shard, is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_begins_with_a_release_and_is_in_the_history() {
     let (_platform, _instance, ann) = start().await;
--- a/crates/citronproxy/tests/ahead.rs
+++ b/crates/citronproxy/tests/ahead.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends before the one in front of them is answered.
+//! Pipelining: requests that a caller sends before the previous one is answered.
 
 mod support;
 
@@ -13,6 +13,7 @@
     },
 };
 
+/// Time in which nothing must happen.
 const QUIET_WAIT: Duration = Duration::from_millis(300);
 
 fn get(path: &str) -> String {
@@ -22,7 +23,10 @@
 async fn wait_until(event: &str, done: impl Fn() -> bool) {
     let started = Instant::now();
     while !done() {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{event} did not come");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for {event}"
+        );
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -33,9 +37,9 @@
     caller
 }
 
-/// A caller sends three reads in a row, and the first one takes long. The others
-/// run meanwhile, each at its server; the answers still come in the order of the
-/// requests, as the caller tells them apart by nothing else.
+/// A caller pipelines three idempotent requests, the first of which is slow. The others must run
+/// meanwhile. Responses must still arrive in request order, since a caller matches them to
+/// requests by order alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_request_does_not_hold_up_those_behind_it() {
     let slow = vec![
@@ -52,7 +56,10 @@
     caller.write_all(more.as_bytes()).await.unwrap();
     wait_until("the other requests", || server.request_count() == 3).await;
     let early = timeout(Duration::ZERO, caller.read_u8()).await;
-    assert!(early.is_err(), "the first answer was waited for");
+    assert!(
+        early.is_err(),
+        "a later response was sent before the first one"
+    );
     let answers = read_all(&mut caller, TEST_TIMEOUT / 4).await;
     let positions: Vec<_> = answers
         .match_indices("first")
@@ -66,8 +73,8 @@
     );
 }
 
-/// The caller leaves while its requests run: the servers see their connections end
-/// and stop, for those behind the first one, too.
+/// A caller disconnects while its pipelined requests run. The connections to the servers must be
+/// closed for all of them, not only for the first, so that the servers can stop the work.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_all_its_servers() {
     let hang = vec![Step::ReadRequest, Step::Hang];
@@ -82,8 +89,8 @@
     .await;
 }
 
-/// A read behind a request that changes something may depend on it, and a request
-/// that changes something may depend on a read in front of it: both wait.
+/// An idempotent request and a non-idempotent one are pipelined, in either order. Either may
+/// depend on the other, so the second must not start before the first has ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_changes_something_is_not_overtaken() {
     let post = "POST /kegs/bar-2 HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\nhi";
--- a/crates/citronproxy/tests/cli.rs
+++ b/crates/citronproxy/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it says and its exit codes.
+//! Command line: exit codes, and that errors are printed to standard error.
 
 use std::process::{Command, Output};
 
--- a/crates/citronproxy/tests/crashes.rs
+++ b/crates/citronproxy/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A request that crashes every server that runs it.
+//! A request that crashes every backend server that runs it.
 
 mod support;
 
@@ -9,10 +9,10 @@
     tokio::time::sleep,
 };
 
-/// The caller sends a request that makes its server drop the connection, and
-/// sends it again after each failure. After three crashes it is refused before it
-/// reaches a server, with the time to come back; another request for the same key
-/// is served; an operator lifts the entry, and the request goes through again.
+/// A caller retries a request that makes its server reset the connection each time. After three
+/// crashes the request must be refused before it reaches a server, with `Retry-After`, while
+/// another request for the same key is served. Once an operator lifts the entry, the request is
+/// forwarded again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_servers_is_refused() {
     let crash = vec![Step::ReadRequest, Step::Reset];
@@ -29,7 +29,7 @@
         let reply = post(path.address, "/kegs/a", "", "bad").await.unwrap();
         assert_eq!(reply.status.as_u16(), 502);
         assert_eq!(reply.header("citron-outcome"), "unknown");
-        // Connections that die together count as one crash.
+        // Resets that occur close together count as one crash.
         sleep(Duration::from_millis(550)).await;
     }
     let reply = post(path.address, "/kegs/a", "", "bad").await.unwrap();
--- a/crates/citronproxy/tests/cut.rs
+++ b/crates/citronproxy/tests/cut.rs
@@ -1,4 +1,4 @@
-//! A failure domain that is cut off from the platform and the other domain.
+//! A failure domain that is cut off from the platform and from the other domain.
 
 mod support;
 
@@ -14,10 +14,11 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
+/// Distinct keys of the callers.
 const KEYS: u32 = 48;
 
-/// An instance whose calls to the platform, and those of others to it, go
-/// through links.
+/// An instance that calls the platform, and is called by other instances, through links that the
+/// test can cut.
 struct LinkedInstance {
     instance: Instance,
     links: [Link; 2],
@@ -44,10 +45,10 @@
     }
 }
 
-/// The domain `port` is cut off with its instance and its server. The instance
-/// goes on serving its own domain's keys for the grace, and nobody else's. In the
-/// other domain an operator drains that server: its keys move only once the
-/// grace has surely passed, so that never two servers run requests of a key.
+/// The domain `port` is cut off with its instance and its server, and an operator in the other
+/// domain drains that server. The cut-off instance must serve the keys of its own domain until
+/// the grace ends, and no other keys. The drained server's keys must move only after the grace,
+/// so that two servers never run requests for one key.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_domain_serves_its_keys_for_the_grace_and_no_longer() {
     let times = [4 * SECOND, SECOND / 2, Duration::from_millis(2)];
@@ -72,7 +73,7 @@
     near.heal();
     let near_records = near_callers.stop().await;
 
-    println!("moved {move_time:?} after the cut");
+    println!("keys moved {move_time:?} after the cut");
     check_single_owner(&deployment.runs());
     check_outcomes(&far_records, &deployment.runs());
     check_outcomes(&near_records, &deployment.runs());
@@ -83,18 +84,30 @@
         late.filter(|record| record.status == 200 && far_keys.contains(&record.key) == own)
             .count()
     };
-    assert!(served(2 * SECOND, true) > 0, "nothing served in the grace");
-    assert_eq!(served(2 * SECOND, false), 0, "keys of the other domain");
-    assert_eq!(served(5 * SECOND, true), 0, "served past the grace");
+    assert!(
+        served(2 * SECOND, true) > 0,
+        "no key of the own domain was served within the grace"
+    );
+    assert_eq!(
+        served(2 * SECOND, false),
+        0,
+        "keys of the other domain were served"
+    );
+    assert_eq!(
+        served(5 * SECOND, true),
+        0,
+        "keys were served after the grace"
+    );
     assert!(
         move_time >= 4 * SECOND,
-        "moved within the grace: {move_time:?}"
+        "keys moved within the grace: {move_time:?}"
     );
     wait_until_serving(far.instance.traffic).await;
 }
 
-/// As before, but an operator states that the cut-off domain is dead. That is
-/// only true once its instance and server are gone, and ends the wait at once.
+/// Instance and server of a domain are stopped, and an operator declares the domain lost. The
+/// declaration must end the wait for the grace of 30 s; it is valid only because nothing in the
+/// domain runs any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_that_an_operator_declares_lost_is_not_waited_for() {
     let times = [30 * SECOND, SECOND / 2, Duration::from_millis(2)];
@@ -105,10 +118,13 @@
     far.instance.kill();
     deployment.servers[1].crash();
     sleep(3 * SECOND).await;
-    assert!(deployment.moving_shards().await > 0, "waits for the grace");
+    assert!(
+        deployment.moving_shards().await > 0,
+        "the moves did not wait for the grace"
+    );
     deployment.declare_lost("port", "ann").await;
     let move_time = deployment.wait_until_empty("server-2").await;
-    println!("moved {move_time:?} after the statement");
+    println!("keys moved {move_time:?} after the declaration");
     assert!(move_time < 8 * SECOND, "{move_time:?}");
     wait_until_serving(near.instance.traffic).await;
 }
--- a/crates/citronproxy/tests/drain.rs
+++ b/crates/citronproxy/tests/drain.rs
@@ -1,4 +1,4 @@
-//! An instance leaves under traffic.
+//! An instance that leaves under traffic.
 
 mod support;
 
@@ -34,12 +34,13 @@
     },
 };
 
-/// Callers that send all the time.
+/// Callers that send requests continuously.
 const CALLER_COUNT: usize = 12;
-/// Size of the upload and of the download.
+/// Size of the upload and of the download, in bytes.
 const BODY_SIZE: usize = 24 * 1_024 * 1_024;
 /// Parts of the upload and of the download, with a pause after each.
 const PART_COUNT: usize = 48;
+/// Pause after each part; the download pauses for half of it after each read.
 const PART_PAUSE: Duration = Duration::from_millis(60);
 
 async fn is_ready(address: SocketAddr) -> bool {
@@ -58,8 +59,8 @@
     }
 }
 
-/// A caller behind a balancer of two instances: it keeps its connection until
-/// told to close it, and then takes the first instance that is ready.
+/// A caller that balances over two instances: it keeps a connection until a response closes it,
+/// and then connects to the first instance that is ready.
 struct Caller {
     instances: [SocketAddr; 2],
     sender: Option<SendRequest<Full<Bytes>>>,
@@ -72,7 +73,7 @@
                 if !is_ready(address).await {
                     continue;
                 }
-                // Nothing was sent to an instance that refuses the connection.
+                // A refused connection loses no request; the next instance is tried.
                 let Ok(stream) = TcpStream::connect(address).await else {
                     continue;
                 };
@@ -94,7 +95,7 @@
             .body(Full::from("pickup"))
             .expect("a request");
         let sent = sender.send_request(request).await;
-        let answer = sent.map_err(|error| format!("{id}: no answer: {error}"))?;
+        let answer = sent.map_err(|error| format!("{id}: no response: {error}"))?;
         let close = answer.headers().contains_key(header::CONNECTION);
         check_response(id, answer).await?;
         if !close && sender.ready().await.is_ok() {
@@ -104,6 +105,7 @@
     }
 }
 
+/// Checks that a response is complete, has status 200 and reports that the request ran.
 async fn check_response(id: &str, answer: Response<Incoming>) -> Result<(), String> {
     let ran = answer
         .headers()
@@ -112,7 +114,7 @@
     let status = answer.status();
     let body = answer.into_body().collect().await;
     let body = body
-        .map_err(|error| format!("{id}: cut: {error}"))?
+        .map_err(|error| format!("{id}: truncated response: {error}"))?
         .to_bytes();
     if !ran || status != 200 {
         return Err(format!("{id}: {status} {}", String::from_utf8_lossy(&body)));
@@ -120,6 +122,7 @@
     Ok(())
 }
 
+/// Sends requests until stopped; returns the id of each, or what failed.
 async fn run_caller(
     number: usize,
     instances: [SocketAddr; 2],
@@ -131,12 +134,13 @@
     while !stop.load(Ordering::Relaxed) {
         let id = format!("{number}-{}", results.len());
         results.push(caller.post(&id).await.map(|()| id));
-        // Some callers pause, so that their connections are idle at times.
+        // Callers other than the first pause, so that their connections are sometimes idle.
         sleep(Duration::from_millis(5 * number as u64)).await;
     }
     results
 }
 
+/// Uploads `BODY_SIZE` bytes slowly and returns the response.
 async fn slow_upload(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let head = format!(
@@ -145,13 +149,16 @@
     stream.write_all(head.as_bytes()).await.unwrap();
     let part = vec![b'x'; BODY_SIZE / PART_COUNT];
     for _ in 0..PART_COUNT {
-        stream.write_all(&part).await.expect("the upload goes on");
+        stream
+            .write_all(&part)
+            .await
+            .expect("the instance accepts the rest of the upload");
         sleep(PART_PAUSE).await;
     }
     support::read_all(&mut stream, TEST_TIMEOUT).await
 }
 
-/// Bytes of the body that arrived.
+/// Downloads a body slowly and returns the number of bytes that arrived.
 async fn slow_download(address: SocketAddr) -> usize {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = b"GET /photos/all HTTP/1.1\r\nhost: a\r\n\r\n";
@@ -169,7 +176,7 @@
     answer.len() - head.map_or(0, |head| head + 4)
 }
 
-/// The rows of a second service, `photos`, with a server of its own.
+/// Rows of a second service, `photos`, with a server of its own.
 fn photos_rows(address: SocketAddr) -> Vec<Row> {
     let servers = vec![("photos-1".to_string(), "harbour".to_string(), address)];
     let fencing = Fencing::Unchecked;
@@ -189,10 +196,10 @@
     rows
 }
 
-/// Twelve callers send all the time through two instances, one of which is asked
-/// to leave while an upload of 24 MiB and a slow download run through it. Both
-/// end whole, every request of every caller gets its whole answer, each runs
-/// once, and the instance exits with 0.
+/// Twelve callers send requests continuously through two instances. One instance is asked to
+/// leave while a 24 MiB upload and a slow download pass through it. Both transfers must
+/// complete, every request must run exactly once and get a complete response, and the instance
+/// must exit with code 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_leaves_and_no_request_is_lost() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -235,7 +242,10 @@
 
     leaving.terminate();
     sleep(Duration::from_millis(200)).await;
-    assert!(!is_ready(leaving.traffic).await, "still ready");
+    assert!(
+        !is_ready(leaving.traffic).await,
+        "the leaving instance still reports ready"
+    );
     let started = Instant::now();
     let code = loop {
         if let Some(code) = leaving.exit_code() {
@@ -243,7 +253,7 @@
         }
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "the instance does not end"
+            "the leaving instance does not exit"
         );
         sleep(Duration::from_millis(20)).await;
     };
@@ -282,7 +292,7 @@
     assert_eq!(
         ran.len(),
         sent.len(),
-        "a request ran more than once, or not at all"
+        "a request ran more than once or not at all"
     );
     assert_eq!(ran.into_iter().collect::<BTreeSet<_>>(), sent);
 }
--- a/crates/citronproxy/tests/events.rs
+++ b/crates/citronproxy/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events in docs is the one in the code.
+//! docs/EVENTS.md lists exactly the log events of the code.
 
 use {
     citronproxy::events::CATALOGUE,
--- a/crates/citronproxy/tests/exchange.rs
+++ b/crates/citronproxy/tests/exchange.rs
@@ -1,5 +1,5 @@
-//! Connections between exchanges: late, crossed and abandoned answers, silence,
-//! deadlines, and what control is told of requests under way.
+//! Reuse of connections to backend servers after late, surplus or abandoned responses; silent
+//! connections, deadlines, requests during moves, and when a server counts as quiescent.
 
 mod support;
 
@@ -22,6 +22,7 @@
 const POST: &[u8] = b"POST /kegs/bar-7 HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\nhi";
 const POST_300_MS: &[u8] =
     b"POST /kegs/bar-7 HTTP/1.1\r\nhost: a\r\ncitron-timeout-ms: 300\r\ncontent-length: 2\r\n\r\nhi";
+/// Unit of the short waits of these tests.
 const SHORT_WAIT: Duration = Duration::from_millis(300);
 
 fn server_1() -> ServerName {
@@ -31,13 +32,16 @@
 async fn wait_until(event: &str, done: impl Fn() -> bool) {
     let started = Instant::now();
     while !done() {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{event} did not come");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for {event}"
+        );
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The first caller's time is up before the server answers; the answer comes
-/// after all, when a second caller asks. The second must get its own.
+/// A server answers after the first caller's deadline, about when a second caller sends a
+/// request. The second caller must get the response to its own request, not the late one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_reaches_nobody() {
     let late = Step::Pause(Duration::from_millis(600));
@@ -61,8 +65,9 @@
     assert_eq!(server.request_count(), 2);
 }
 
-/// The server answers one request twice, in one piece or in chunks. The surplus
-/// answer waits on the connection when the next caller's request comes.
+/// A server sends two responses to one request, with a length or chunked. The surplus response
+/// is waiting on the connection when the next request arrives and must not be taken for its
+/// response.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_surplus_answer_reaches_nobody() {
     let length = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n";
@@ -81,7 +86,7 @@
         let fine = vec![Step::ReadRequest, Step::respond("own"), Step::Hang];
         let server = ScriptedServer::start(vec![script, fine]).await.unwrap();
         let path = DataPath::start(server.address);
-        // Both requests in one write, so that the second follows at once.
+        // One write for both requests, so that the second arrives immediately after the first.
         let both = [POST, POST].concat();
         let answers = path.send_raw(&both, SHORT_WAIT).await;
         let cross = answers.contains("cross");
@@ -90,8 +95,8 @@
     }
 }
 
-/// The caller leaves while the server works: the server sees its connection end
-/// at once, and no later request is put on it.
+/// A caller disconnects while the server works. The connection to the server must be closed at
+/// once, and no later request may be sent on it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_the_server() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
@@ -112,7 +117,8 @@
     assert_eq!(next.body, "own");
 }
 
-/// The caller leaves in the midst of a long answer.
+/// A caller disconnects while it receives a long response. The connection to the server must be
+/// closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_during_the_answer_frees_the_server() {
     let part = "HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\npart";
@@ -130,8 +136,9 @@
     .await;
 }
 
-/// The server answers before it has read the upload, and keeps its connection.
-/// The rest of the body must not be taken for a new request there.
+/// A server answers before it has read the whole upload, and keeps the connection open. The
+/// connection must not be reused, since the server could take the rest of the body for a new
+/// request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_with_half_a_request_is_not_used_again() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
@@ -149,7 +156,8 @@
     assert_eq!(next.body, "own");
 }
 
-/// The server learns how long it may take: the caller's time, less what is spent.
+/// The server receives the remaining time until the deadline: the caller's time-out or the
+/// service's deadline, less the time already spent.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_deadline_is_passed_on() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
@@ -168,9 +176,9 @@
     assert!((301..=5_000).contains(&timeout_ms(1)), "{}", timeout_ms(1));
 }
 
-/// A connection that worked goes silent for good: whatever is written to it is
-/// lost. New ones work. An idempotent request gets its answer by a second
-/// connection long before its deadline.
+/// An established connection goes silent: data written to it is lost, while new connections
+/// work. An idempotent request must get its response over a second connection, long before its
+/// deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_connection_is_replaced() {
     let silent = vec![Step::ReadRequest, Step::respond("one"), Step::Hang];
@@ -184,8 +192,8 @@
     assert!(started.elapsed() < Duration::from_secs(4));
 }
 
-/// The same, but the connection has been idle, and the request may run only once:
-/// it is not put on a connection that has received nothing lately.
+/// A connection goes silent and is then idle for 1.3 s. A request that may run only once must not
+/// be sent on a connection that has received nothing lately; it needs a new one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_may_run_once_avoids_old_connections() {
     let silent = vec![Step::ReadRequest, Step::respond("one"), Step::Hang];
@@ -198,6 +206,7 @@
     assert_eq!((reply.status.as_u16(), &reply.body[..]), (200, &b"two"[..]));
 }
 
+/// Sets phase and epoch of all shards.
 fn set_phase(path: &mut DataPath, phase: &Phase, epoch: u64) {
     for row in &mut path.rows {
         if let Row::Block(block) = row {
@@ -209,8 +218,8 @@
     }
 }
 
-/// A planned move: the key's owner is released, and named again 400 ms later.
-/// Requests of that time wait and are answered; none is refused.
+/// A key is released and owned again 400 ms later. A request in between must wait and then be
+/// served under the new epoch, not refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_wait_for_a_move_to_end() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
@@ -225,7 +234,7 @@
     assert_eq!(
         server.used_connections(),
         0,
-        "written while nobody owns the key"
+        "a request was sent while the key had no owner"
     );
     set_phase(&mut path, &Phase::Owned, 3);
     path.publish(3, TEST_TIMEOUT);
@@ -234,8 +243,8 @@
     assert!(server.received_text(0).contains("citron-epoch: 3"));
 }
 
-/// Nobody is named in time: the caller is told at once after the short wait, well
-/// before its own deadline, that nothing ran and when to come back.
+/// A move does not end within the short wait for it. The request must be refused then, well
+/// before its deadline, as not run and with `Retry-After`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_that_lasts_is_told() {
     let server = ScriptedServer::start(vec![vec![Step::Hang]]).await.unwrap();
@@ -251,8 +260,10 @@
     assert!(started.elapsed() < Duration::from_secs(4));
 }
 
-/// Control asks when a server gets nothing more under an older revision. It is
-/// told only after the request under way has its whole answer.
+/// Control waits until a server receives no more requests under a revision older than 2. The
+/// wait must not end before that revision is published and the request in progress has its
+/// complete response; a server without requests is quiescent at once. The request's load is
+/// reported once.
 #[tokio::test(flavor = "multi_thread")]
 async fn quiet_waits_for_requests_under_way() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nha";
@@ -269,7 +280,7 @@
     let early = server_1();
     let early = path.handle.wait_quiescent(&early, Revision(2));
     let early = timeout(SHORT_WAIT / 4, early).await;
-    assert!(early.is_err(), "quiet before the publication");
+    assert!(early.is_err(), "quiescent before the publication");
     let address = path.address;
     let call = tokio::spawn(async move { get(address, "/kegs/bar-7").await.unwrap() });
     wait_until("the request", || server.request_count() == 1).await;
@@ -277,7 +288,7 @@
     let quiet = handle.wait_quiescent(&server_1, Revision(2));
     assert!(
         timeout(SHORT_WAIT / 4, quiet).await.is_err(),
-        "quiet before the publication"
+        "quiescent before the publication"
     );
     path.publish(2, TEST_TIMEOUT);
     assert!(
@@ -304,8 +315,8 @@
     assert_eq!(handle.take_loads().await, Vec::new());
 }
 
-/// The caller left, but the server was told that it may run the request for
-/// 300 ms. It may still do so, and control must not take it for quiet.
+/// A caller disconnects, but the server was given 1.5 s for the request and may run it until
+/// then. The server must not count as quiescent before that deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_abandoned_request_counts_until_its_deadline() {
     let server = ScriptedServer::start(vec![vec![Step::ReadRequest, Step::Hang]])
@@ -327,9 +338,9 @@
     assert!(started.elapsed() >= Duration::from_millis(1_400));
 }
 
-/// The caller sends a request again under the same `Idempotency-Key`, through the
-/// same and through another instance. Each resend is a request of its own: it goes
-/// to the owner of its key with the header unchanged, and the server decides.
+/// A caller resends a request with the same `Idempotency-Key`, through the same and through
+/// another instance. Each resend must be forwarded to the key's owner with the header unchanged;
+/// the server decides whether to run it.
 #[tokio::test(flavor = "multi_thread")]
 async fn idempotency_keys_are_passed_on_to_the_same_owner() {
     let fine = vec![Step::ReadRequest, Step::respond("own")];
--- a/crates/citronproxy/tests/faults.rs
+++ b/crates/citronproxy/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Instances as real processes that are killed or paused, and servers that
-//! freeze, with callers all the while.
+//! Instances that are killed or paused, platform outages, and backend servers that crash or
+//! freeze, all under continuous traffic.
 
 mod support;
 
@@ -14,9 +14,10 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
+/// Distinct keys of the callers.
 const KEYS: u32 = 48;
 
-/// The instance that moves shards of `kegs` first.
+/// Index of the instance that is first in order to move shards of `kegs`.
 fn first_mover(instances: &[Instance], names: &[&str]) -> usize {
     let score = |name: &str| KeyHash::from_key(format!("kegs/{name}").as_bytes());
     let numbers = 0..instances.len();
@@ -24,15 +25,15 @@
     first.expect("instances")
 }
 
+/// Records of requests for these keys.
 fn calls_for_keys(records: &[CallRecord], keys: &[u32]) -> Vec<CallRecord> {
     let matching = records.iter().filter(|record| keys.contains(&record.key));
     matching.cloned().collect()
 }
 
-/// The instance that moves a server's shards is killed in the midst. What it
-/// had written still runs at the old owner; callers of the others wait. Another
-/// instance finishes the moves, but only once the dead one's last requests have
-/// surely ended, since the old owner does not check epochs.
+/// The instance that moves a server's shards is killed during the moves, while requests that it
+/// sent still run on the old owner. Another instance must finish the moves, but only after those
+/// requests have ended, since the old owner does not check epochs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_move_survives_the_kill_of_the_instance_that_began_it() {
     let times = [SECOND, 2 * SECOND, Duration::from_millis(1_200)];
@@ -45,7 +46,7 @@
     let addresses: Vec<_> = instances.iter().map(|one| one.traffic).collect();
     let callers = Callers::start(&addresses, KEYS);
     let number = first_mover(&instances, &names);
-    // So many that some requests of the dead instance surely go on elsewhere.
+    // Enough callers that requests of the killed instance are in progress on the old owner.
     let more = Callers::start(&[addresses[number]; 12], KEYS);
     sleep(SECOND).await;
     deployment.platform.faults.update(|t| t.delay = SECOND / 10);
@@ -64,12 +65,12 @@
     let records = callers.stop().await;
     more.stop().await;
     println!(
-        "{} moves taken over, ended after {move_time:?}",
+        "moves of {} taken over, ended after {move_time:?}",
         names[number]
     );
     assert!(
         move_time < 8 * SECOND,
-        "nobody took the moves over for {move_time:?}"
+        "the moves were finished only after {move_time:?}"
     );
     check_outcomes(&records, &deployment.runs());
     check_single_owner(&deployment.runs());
@@ -84,10 +85,9 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// An instance is paused past its leave, while callers' requests wait in its
-/// sockets and a server's shards move away. When it goes on it finds the
-/// requests first and its old map in force: it must not send them to the old
-/// owner, which runs whatever it is given.
+/// An instance is paused until after its lease has ended, while requests wait in its sockets and
+/// a server's shards move away. When resumed, it reads the requests while its old map is still in
+/// force. It must not send them to the old owner, which does not check epochs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_instance_wakes_up_without_leave() {
     let times = [SECOND, SECOND, Duration::from_millis(2)];
@@ -100,7 +100,7 @@
     let addresses: Vec<_> = instances.iter().map(|one| one.traffic).collect();
     let number = (first_mover(&instances, &names) + 1) % names.len();
     let callers = Callers::start(&addresses, KEYS);
-    // Two callers alone may just not ask for a key that moves.
+    // Two callers alone might send no request for a key that moves.
     let more = Callers::start(&[addresses[number]; 8], KEYS);
     sleep(SECOND / 2).await;
     instances[number].pause();
@@ -111,16 +111,16 @@
     sleep(SECOND).await;
     let mut records = callers.stop().await;
     let woken_records = more.stop().await;
-    println!("moved away in {move_time:?} past a paused instance");
+    println!("moved in {move_time:?} with one instance paused");
     check_single_owner(&deployment.runs());
     records.extend(woken_records);
     check_outcomes(&records, &deployment.runs());
 }
 
-/// The platform is stopped for four seconds, and a server freezes in the midst.
-/// Keys of the other servers are served throughout, as owner and instances are
-/// in one failure domain; the frozen server's keys are served again once the
-/// platform is back, and the server that comes back runs nothing of them.
+/// The platform is down for four seconds, and a server freezes after two. Keys of the other
+/// servers must be served in the meantime, since owners and instances are in one failure domain.
+/// The frozen server's keys must be served again once the platform is back, and the server must
+/// not run requests for them when it thaws.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_platform_is_stopped_and_a_server_lost_in_the_midst() {
     for fencing in [Fencing::Checked, Fencing::Unchecked] {
@@ -129,7 +129,8 @@
         let two = deployment.instance("entry-2", "harbour").await;
         let lost = deployment.keys_of("server-1", KEYS).await;
         let kept: Vec<u32> = (0..KEYS).filter(|key| !lost.contains(key)).collect();
-        // Callers of the frozen server's keys would hold up the others.
+        // Stopped before the freeze: callers that wait for the frozen server's keys would send no
+        // requests for other keys.
         let callers = Callers::start(&[one.traffic, two.traffic, one.traffic], KEYS);
         sleep(SECOND / 2).await;
         let stopped = Instant::now();
@@ -142,7 +143,7 @@
         };
         assert!(
             before.iter().any(|t| served(&t)),
-            "{fencing:?}: none served"
+            "{fencing:?}: no key served while the platform was down"
         );
         deployment.servers[0].freeze();
         let callers = Callers::start(&[one.traffic, two.traffic], KEYS);
@@ -163,8 +164,8 @@
     }
 }
 
-/// A server is lost under traffic. Its keys are served again by others, and
-/// nothing that was told not to have run did.
+/// A server crashes under traffic. Its keys must be served by other servers soon after, and every
+/// reported outcome must be true.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_of_a_lost_server_are_served_again() {
     for fencing in [Fencing::Checked, Fencing::Unchecked] {
@@ -184,16 +185,17 @@
         check_single_owner(&deployment.runs());
         let gap = longest_gap(&calls_for_keys(&records, &lost), at);
         println!("{fencing:?}: moved in {move_time:?}, longest gap of a key {gap:?}");
-        // The aim is 2 s; a busy machine may take longer, a grace (10 s) may not.
+        // The target is 2 s. The limit leaves room for a busy machine, but is below the grace of
+        // 10 s, for which such a move must not wait.
         assert!(move_time < 5 * SECOND, "{fencing:?}: {move_time:?}");
     }
 }
 
-/// A server freezes under traffic, its shards move, and it comes back at once
-/// after, with requests of the old epoch waiting. One that checks grants refuses
-/// them, as its lease ran out before the new owner began; one that does not
-/// finds that their senders have gone, which the move has waited for. What either
-/// had in the midst is past its deadline, which servers are relied on to keep.
+/// A server freezes under traffic, its shards move, and it thaws with requests of the old epoch
+/// waiting. A server that checks grants must refuse them, since its lease ended before the new
+/// owner started. A server that does not check them finds their connections closed, for which
+/// the move has waited. Requests that were running are past their deadline, which servers are
+/// relied on to observe.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_server_comes_back_as_if_nothing_had_happened() {
     for fencing in [Fencing::Checked, Fencing::Unchecked] {
@@ -207,7 +209,7 @@
         deployment.servers[0].freeze();
         deployment.wait_until_empty("server-1").await;
         let move_time = frozen.elapsed();
-        // The new owner begins before the old one is back.
+        // The new owner runs requests before the old one thaws.
         wait_until_serving(one.traffic).await;
         let served = frozen.elapsed();
         deployment.servers[0].thaw();
--- a/crates/citronproxy/tests/leaving.rs
+++ b/crates/citronproxy/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers that are about to leave, with callers all the while.
+//! Backend servers that leave, and load that is rebalanced, under continuous traffic.
 
 mod support;
 
@@ -10,22 +10,26 @@
     tokio::time::sleep,
 };
 
-/// A leaving server gets no new work after so long.
+/// Time within which a leaving server must own no keys any more.
 const EVACUATION_LIMIT: Duration = Duration::from_secs(3);
 
+/// Source from which instances learn that a server leaves.
 #[derive(Debug, Clone, Copy)]
 enum LeaveSignal {
+    /// An operator drains the server's row.
     ServerRow,
+    /// The platform lists the server as leaving.
     PlatformList,
+    /// The server itself reports it.
     Server,
 }
 
-/// A server is told to leave by its row, or the platform's list or it itself
-/// says so. Its keys move to the others while callers post to all of them: none
-/// is refused, none is cut, and nothing runs under two owners.
+/// A server leaves while callers send non-idempotent requests for all keys. Its keys must move to
+/// the other servers within `EVACUATION_LIMIT`, every request must succeed, and no key may have
+/// two owners.
 async fn check_leaving(fencing: Fencing, signal: LeaveSignal) {
     let case = format!("{fencing:?} {signal:?}");
-    // Long enough that requests are always in flight when the moves begin.
+    // Long enough that requests are always in progress when the moves start.
     let work = Duration::from_millis(60);
     let times = [Duration::from_secs(3), Duration::from_secs(3), work];
     let deployment = Deployment::start_with(&["harbour"; 3], fencing, times).await;
@@ -62,8 +66,8 @@
     println!("{case}: slowest answer {slowest:?}");
 }
 
-/// All load is on one of three servers. Once that has lasted, shards move to the
-/// others, and callers notice nothing.
+/// All load is on one of three servers. Once the imbalance has lasted, shards must move to the
+/// others until at most half of the keys are left, and every request must succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lasting_imbalance_is_mended_under_load() {
     let work = Duration::from_millis(20);
@@ -85,7 +89,7 @@
     sleep(Duration::from_millis(300)).await;
     let records = callers.stop().await;
     println!(
-        "{} of {} busy keys left after {move_time:?}",
+        "{} of {} loaded keys left after {move_time:?}",
         left.len(),
         before.len()
     );
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a backend server on the real path.
+//! Limits of a backend server as enforced by the traffic threads.
 
 mod support;
 
@@ -23,6 +23,7 @@
     },
 };
 
+/// Starts a server that takes `work` for each request.
 async fn start_slow(work: Duration) -> ScriptedServer {
     let answer = Step::respond("fine");
     let one = [Step::ReadRequest, Step::Pause(work), answer];
@@ -54,6 +55,7 @@
     replies
 }
 
+/// Status, reported outcome, and whether there is a `Retry-After`.
 fn outcome(reply: &Reply) -> (u16, &str, bool) {
     let has_retry_after = !reply.header("retry-after").is_empty();
     (
@@ -63,8 +65,8 @@
     )
 }
 
-/// Six callers ask a server of two slots at once. It never gets more than two at
-/// a time; the others wait a little, and all are answered.
+/// Six callers send requests to a server of two slots at the same time. The server must get two
+/// at first; the others must wait and then be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_gets_no_more_than_its_slots() {
     let server = start_slow(Duration::from_millis(400)).await;
@@ -78,8 +80,8 @@
     assert_eq!(server.request_count(), 6);
 }
 
-/// More callers than can be served in time: those who are refused learn at
-/// once that nothing ran and when to come back; all others are answered.
+/// More requests than can be served in time. Those that are refused must be refused early, as not
+/// run and with `Retry-After`; all others must be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_served_in_time_is_refused_at_once() {
     let server = start_slow(Duration::from_millis(100)).await;
@@ -103,7 +105,8 @@
     assert!(started.elapsed() < TEST_TIMEOUT / 4);
 }
 
-/// An operator caps a server at two requests a second; five come at once.
+/// A server has a rate cap of two requests per second and gets five at once. Two must be served,
+/// and three refused as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cap_is_kept() {
     let server = start_slow(Duration::ZERO).await;
@@ -125,7 +128,7 @@
     assert_eq!(server.request_count(), 2);
 }
 
-/// The only slot is held by a caller that leaves: the next one gets it at once.
+/// A caller that holds the only slot disconnects. The next request must get the slot at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_its_slot() {
     let hang = vec![Step::ReadRequest, Step::Hang];
@@ -149,7 +152,7 @@
     assert_eq!(outcome(&replies(next).await[0]), (200, "ran", false));
 }
 
-/// A cap turns three of five requests away; the metrics of all threads tell so.
+/// A rate cap refuses three of five requests. The metrics must count attempts and outcomes.
 #[tokio::test(flavor = "multi_thread")]
 async fn metrics_count_outcomes() {
     let server = start_slow(Duration::ZERO).await;
@@ -168,7 +171,8 @@
     }
 }
 
-/// Control gives this instance half of a server of four slots: it is kept to two.
+/// Control gives this instance a quota of two of a server's four slots, which it must not
+/// exceed. Its demand is reported.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_part_of_the_slots_is_kept_to() {
     let server = start_slow(Duration::from_millis(400)).await;
--- a/crates/citronproxy/tests/listing.rs
+++ b/crates/citronproxy/tests/listing.rs
@@ -1,4 +1,4 @@
-//! Instances that join, come back, and start while the platform is down.
+//! Instances that join, restart, leave, or start while the platform is down.
 
 mod support;
 
@@ -15,6 +15,7 @@
     Deployment::start(&["harbour"; 2], Fencing::Unchecked, grace).await
 }
 
+/// Incarnation in the table row of an instance, if it has a row.
 async fn incarnation(deployment: &Deployment, name: &str) -> Option<u64> {
     let rows = deployment.changes().await.rows;
     rows.into_iter().find_map(|(_, _, row)| match row {
@@ -23,8 +24,8 @@
     })
 }
 
-/// Two instances are given one id. The second one ends with an error that says
-/// so, and the first one and its row stay as they are.
+/// Two instances are configured with one id. The second must exit with an error that names the
+/// first, and the first and its row must stay unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_instance_of_one_id_is_refused() {
     let deployment = deployment(SECOND).await;
@@ -41,9 +42,9 @@
     wait_until_serving(one.traffic).await;
 }
 
-/// An instance is killed and started again under its id. Its former start might
-/// only be paused, so it is listed once that one's leave has run out; until then
-/// it serves on what the other instance relays to it.
+/// An instance is killed and restarted under its id. Since the former process might only be
+/// paused, the new one must not be listed before the former one's lease has ended; until then it
+/// serves under a lease that the other instance relays.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_that_comes_back_waits_for_its_former_start() {
     let grace = 4 * SECOND;
@@ -60,7 +61,10 @@
         former_incarnation
     );
     while incarnation(&deployment, "entry-1").await == former_incarnation {
-        assert!(killed.elapsed() < 20 * SECOND, "never listed");
+        assert!(
+            killed.elapsed() < 20 * SECOND,
+            "the restarted instance was never listed"
+        );
         sleep(SECOND / 50).await;
     }
     let listed = killed.elapsed();
@@ -69,8 +73,8 @@
     wait_until_serving(again.traffic).await;
 }
 
-/// An instance is asked to leave while callers use it. None of their requests is
-/// cut, and once it has ended its row is gone: moves need not wait for it.
+/// An instance is asked to leave while callers use it. None of their requests may fail, and its
+/// row must be deleted before it exits, so that moves do not wait for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_instance_takes_itself_off_the_list() {
     let deployment = deployment(20 * SECOND).await;
@@ -86,7 +90,10 @@
         if let Some(code) = one.exit_code() {
             break code;
         }
-        assert!(started.elapsed() < 20 * SECOND, "it does not end");
+        assert!(
+            started.elapsed() < 20 * SECOND,
+            "the instance does not exit"
+        );
         sleep(SECOND / 50).await;
     };
     assert_eq!(code, 0);
@@ -98,12 +105,12 @@
     let move_time = deployment.wait_until_empty("server-1").await;
     assert!(
         move_time < 10 * SECOND,
-        "a move waits for the one that left: {move_time:?}"
+        "a move waited for the instance that left: {move_time:?}"
     );
 }
 
-/// The platform is down when an instance starts. It learns table and leave from
-/// another instance that its settings name, and serves its domain's keys.
+/// An instance starts while the platform is down. It must get table and lease from another
+/// instance, which its settings name as a seed, and serve its domain's keys.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_starts_while_the_platform_is_down() {
     let deployment = deployment(20 * SECOND).await;
@@ -118,8 +125,8 @@
     println!("serves {:?} after its start", started.elapsed());
     assert_eq!(incarnation(&deployment, "entry-2").await, None);
 
-    // A move waits for the instance that nobody lists: the one that lent it its
-    // leave answers for it.
+    // Until the instance is listed, moves wait for it through the instance that lent it the
+    // lease. Once the platform is back, the instance must be listed and ready.
     deployment.platform.faults.update(|t| t.is_down = false);
     while incarnation(&deployment, "entry-2").await.is_none() {
         assert!(started.elapsed() < 20 * SECOND, "never listed");
--- a/crates/citronproxy/tests/loads.rs
+++ b/crates/citronproxy/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Load by shard as one instance measures it.
+//! Load of each shard as measured by one instance.
 
 use {
     citron_core::{
@@ -29,8 +29,8 @@
     loads.scope_load(&service(), Scope::Shard(ShardId(shard)), instances)
 }
 
-/// A steady load shows in full after a while, scaled by the instances that share
-/// the callers, and fades once it has ended.
+/// A steady load must be reported in full after a while, scaled by the number of instances that
+/// share the callers, and must decay once the load has ended.
 #[test]
 fn a_steady_load_shows_and_fades() {
     let mut loads = Loads::default();
@@ -53,13 +53,14 @@
     assert_eq!(load_of(&loads, 1, 3), (Load(0), 0));
 }
 
-/// A few requests on an idle service are no imbalance.
+/// A load of few requests on an idle service must be reported as zero, so that it causes no
+/// imbalance.
 #[test]
 fn a_little_load_counts_for_nothing() {
     let mut loads = Loads::default();
     for _ in 0..100 {
         loads.record(vec![sample(1, 50, 5)], SECOND);
     }
-    assert_eq!(load_of(&loads, 1, 3), (Load(0), 0), "0.15 slots in all");
-    assert!(load_of(&loads, 1, 5).0.0 > 240_000, "0.25 slots in all");
+    assert_eq!(load_of(&loads, 1, 3), (Load(0), 0), "0.15 slots in total");
+    assert!(load_of(&loads, 1, 5).0.0 > 240_000, "0.25 slots in total");
 }
--- a/crates/citronproxy/tests/memory.rs
+++ b/crates/citronproxy/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A large upload is streamed.
+//! Memory of an instance during a large upload.
 
 mod support;
 
@@ -16,14 +16,14 @@
     },
 };
 
-/// Size of the upload.
+/// Size of the upload, in bytes.
 const UPLOAD_BYTES: usize = 256 * 1_024 * 1_024;
 /// Bytes written at a time.
 const PART_BYTES: usize = 256 * 1_024;
-/// The most by which the instance may grow, in KiB.
+/// Largest permitted growth of the instance's memory, in KiB.
 const MAX_GROWTH_KIB: u64 = 32 * 1_024;
 
-/// Resident memory of a process in KiB: now, and at its highest.
+/// Resident memory of a process in KiB: present value and peak.
 fn resident_kib(pid: u32) -> (u64, u64) {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let field = |name: &str| {
@@ -34,9 +34,9 @@
     (field("VmRSS:"), field("VmHWM:"))
 }
 
-/// A caller sends 256 MiB as fast as it can to a server that reads a MiB and then
-/// pauses a little, again and again. An instance that read ahead of the
-/// server would hold the difference in memory.
+/// A caller sends 256 MiB as fast as it can to a server that pauses for 1 ms after each MiB. The
+/// instance must apply backpressure; if it read ahead of the server, it would hold the difference
+/// in memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upload_is_streamed_with_backpressure() {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
--- a/crates/citronproxy/tests/moves.rs
+++ b/crates/citronproxy/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Keys move between two backend servers that check nothing, under traffic.
+//! Moves under traffic between two backend servers that do not check epochs.
 
 mod support;
 
@@ -23,7 +23,9 @@
     tokio::time::sleep,
 };
 
+/// Callers that send requests continuously.
 const CALLER_COUNT: usize = 8;
+/// Moves of all keys.
 const MOVE_COUNT: u64 = 25;
 
 async fn backend(name: &str) -> BackendServer {
@@ -37,11 +39,13 @@
     BackendServer::start(any, config).await.unwrap()
 }
 
+/// Unix time in microseconds, as the servers record it for each run.
 fn wall_micros() -> u64 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     now.unwrap().as_micros() as u64
 }
 
+/// Sets owner, phase and epoch of all shards.
 fn assign(path: &mut DataPath, owner: &ServerName, phase: &Phase, epoch: u64) {
     for row in &mut path.rows {
         if let Row::Block(block) = row {
@@ -67,10 +71,10 @@
     sent
 }
 
-/// Eight callers send all the time while all keys move to and fro 25 times. For
-/// each move the old owner is released, and the next is named once traffic says
-/// that the old one is quiet. No request is refused, each runs once, and none
-/// begins at a server after that: it would run beside those of the next owner.
+/// Eight callers send requests continuously while all keys move between two servers 25 times. For
+/// each move the old owner releases the keys, and the new one owns them once the traffic threads
+/// report the old one quiescent. Every request must succeed and run once, and none may start at
+/// the old owner after that report, where it would overlap with requests at the new owner.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_request_reaches_an_owner_that_was_quiet() {
     let servers = [backend("server-1").await, backend("server-2").await];
@@ -95,7 +99,7 @@
         (0..CALLER_COUNT).map(|n| tokio::spawn(run_caller(n, path.address, Arc::clone(&stop))));
     let callers: Vec<_> = callers.collect();
 
-    // When the owner of each epoch was quiet.
+    // Time at which the owner of each epoch was quiescent.
     let mut quiet_at = BTreeMap::new();
     for number in 1..=MOVE_COUNT {
         sleep(Duration::from_millis(30)).await;
@@ -122,14 +126,14 @@
         .flat_map(|server| server.executions.all())
         .collect();
     assert!(sent.len() > 200, "too little traffic: {}", sent.len());
-    assert_eq!(runs.len(), sent.len(), "a request ran twice, or not at all");
+    assert_eq!(runs.len(), sent.len(), "a request ran twice or not at all");
     let ran: BTreeSet<String> = runs.iter().map(|run| run.id.clone()).collect();
     assert_eq!(ran, sent);
     for run in &runs {
         let late = quiet_at
             .get(&run.epoch)
             .is_some_and(|quiet_at| run.at_us > *quiet_at);
-        assert!(!late, "{run:?} began after its owner was quiet");
+        assert!(!late, "{run:?} started after its owner was quiescent");
     }
     let epochs: BTreeSet<u64> = runs.iter().map(|run| run.epoch).collect();
     assert!(epochs.len() > 20, "{epochs:?}");
--- a/crates/citronproxy/tests/parts.rs
+++ b/crates/citronproxy/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts of a backend server's slots, worked out from what instances tell each
+//! Shares of a backend server's slots, computed from the demand that instances report to each
 //! other.
 
 mod support;
@@ -15,21 +15,22 @@
 
 const SEND_INTERVAL: Duration = Duration::from_millis(30);
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
-/// At least so long after an instance's last report its part is its own.
-/// Reports count for 2 s and come each 0.5 s; the rest is for a busy machine.
+/// Shortest time for which the share of a paused instance must be kept. Reports are valid for 2 s
+/// and sent every 0.5 s; the limit is lower than that allows, for a busy machine.
 const MIN_HOLD: Duration = Duration::from_millis(500);
 
-/// Sends requests for one key, so many to each instance in turn.
+/// Sends requests for one key: to each instance in turn, as many as stated.
 async fn send(calls: &[(SocketAddr, usize)]) {
     for (instance, count) in calls {
         for _ in 0..*count {
-            // A refusal counts as demand too.
+            // Refused requests count as demand as well.
             let _ = get(*instance, "/kegs/a").await;
         }
     }
     sleep(SEND_INTERVAL).await;
 }
 
+/// Whether the table has a row for an instance.
 async fn is_listed(deployment: &Deployment, name: &str) -> bool {
     let rows = deployment.changes().await.rows;
     let named = |row: &Row| matches!(row, Row::Instance(row) if row.id.as_str() == name);
@@ -37,10 +38,10 @@
         .any(|(_, _, row)| row.as_ref().is_some_and(named))
 }
 
-/// A caller sends three requests to `entry-2` for each to `entry-1`; the server's
-/// four slots are shared as 3 to 1. Then `entry-2` stops without a word. It may
-/// be cut off and go on sending: for 2 s nothing changes, then its even part is
-/// left to it while it is in the table, and only then `entry-1` takes all four.
+/// `entry-2` gets three requests for each request to `entry-1`, so that the server's four slots
+/// must be shared 3 to 1. Then `entry-2` is paused. It could also be cut off and still send
+/// requests, so its share must be kept while its last report is valid, for 2 s. After that it
+/// must keep an even share while it is in the table; only then may `entry-1` use all four slots.
 #[tokio::test]
 async fn a_part_follows_demand_and_is_handed_on_when_it_has_lapsed() {
     LocalSet::new().run_until(run_shared()).await;
@@ -57,7 +58,7 @@
     let started = Instant::now();
     let calls = [(near.workers.address, 1), (far.traffic, 3)];
     while !(0.85..1.3).contains(&share()) || started.elapsed() < Duration::from_secs(5) {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "the part is {}", share());
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the share is {}", share());
         send(&calls).await;
     }
 
@@ -67,7 +68,7 @@
     loop {
         assert!(
             paused_at.elapsed() < WAIT_TIMEOUT,
-            "the part is {}",
+            "the share is {}",
             share()
         );
         let current = share();
@@ -80,8 +81,11 @@
             );
         }
         if current > 2.5 {
-            assert!(!is_in_table, "{current} while the other one may still send");
-            assert!(has_even_share, "the even part came first");
+            assert!(
+                !is_in_table,
+                "a share of {current} while entry-2 may still send"
+            );
+            assert!(has_even_share, "no even share before the whole");
             break;
         }
         has_even_share |= current > 1.5;
--- a/crates/citronproxy/tests/path.rs
+++ b/crates/citronproxy/tests/path.rs
@@ -1,5 +1,4 @@
-//! The whole path: callers, three instances, the platform and two backend
-//! servers.
+//! End to end: callers, three instances, the platform and two backend servers.
 
 mod support;
 
@@ -41,9 +40,9 @@
     panic!("{address} did not become ready");
 }
 
-/// The caller asks all three instances for 40 keys and gets each answer from the
-/// one owner of the key; then one instance is killed, and the other two go on
-/// serving the same keys from the same owners.
+/// A caller requests 40 keys from each of three instances; all must route a key to the same
+/// server. Then one instance is killed, and the other two must continue to serve the keys and
+/// agree on owners.
 #[tokio::test(flavor = "multi_thread")]
 async fn three_instances_agree_on_owners_and_survive_a_kill() {
     let platform = PlatformServer::start(ANY.parse().unwrap()).await.unwrap();
@@ -93,6 +92,7 @@
     }
 }
 
+/// Name of the server that answers a request for a key.
 async fn owner(address: SocketAddr, key: u32) -> String {
     let reply = get(address, &format!("/kegs/bar-{key}"))
         .await
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Contract of the calls between instances, with faults of the connection.
+//! Contract of the calls between instances, also over faulty connections.
 
 use {
     citron_core::{
@@ -25,8 +25,8 @@
     },
 };
 
-/// Answers fixed things; an acknowledgement takes as many milliseconds as the
-/// revision asked for, and is settled for even ones.
+/// Host with fixed answers. An acknowledgement takes as many milliseconds as the number of the
+/// requested revision, and is settled for even numbers.
 #[derive(Clone, Default)]
 struct Host {
     askers: Rc<RefCell<Vec<Asker>>>,
@@ -159,8 +159,8 @@
     LocalSet::new().run_until(calls).await;
 }
 
-/// Two acknowledgements are asked for over one connection and the second is
-/// answered first. Each asker gets the answer to its own question.
+/// Two acknowledgements are requested over one connection, and the second is answered first. Each
+/// caller must get the answer to its own request.
 #[tokio::test]
 async fn answers_that_cross_reach_their_own_askers() {
     let crossed = async {
@@ -179,9 +179,9 @@
     LocalSet::new().run_until(crossed).await;
 }
 
-/// The connection between two instances goes silent for good while new ones
-/// work. One call fails in time, and the next one opens a new connection; were
-/// the silent one kept, the instance would be without relay from then on.
+/// The connection between two instances goes silent while new connections work. One call must
+/// time out, and the next must open a new connection; if the silent one were kept, the instance
+/// would get no relayed tables from then on.
 #[tokio::test]
 async fn a_silent_connection_is_replaced() {
     let silent = async {
--- a/crates/citronproxy/tests/points.rs
+++ b/crates/citronproxy/tests/points.rs
@@ -1,5 +1,5 @@
-//! Exact outcomes: an exchange with a raw-socket backend server breaks off at
-//! each of its points, and the caller is told no more and no less than is certain.
+//! Reported outcomes when the exchange with a backend server fails at each of its stages: the
+//! caller must learn exactly what is certain.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const EPOCH_REFUSAL: &str = "HTTP/1.1 421 No\r\ncitron-refused: epoch\r\ncontent-length: 0\r\n\r\n";
 const SHED_REFUSAL: &str =
     "HTTP/1.1 503 No\r\ncitron-refused: shed\r\nretry-after: 7\r\ncontent-length: 0\r\n\r\n";
-/// More than the sockets between caller and server hold.
+/// Body size that exceeds the socket buffers between caller and server.
 const LARGE_BODY: usize = 16 * 1_024 * 1_024;
 
 fn post(body: usize) -> Vec<u8> {
@@ -31,7 +31,7 @@
     b"GET /kegs/bar-7 HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n".to_vec()
 }
 
-/// The answer in a line: status, outcome, `Retry-After`, and where its body ends.
+/// Status, outcome and `Retry-After` of a response, and whether its body is complete.
 fn summary(answer: &str) -> String {
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((answer, ""));
     let field = |name: &str| {
@@ -51,10 +51,10 @@
     format!("{status} {outcome} retry {retry} {whole}")
 }
 
-/// The caller sends one request; the server breaks off at one point, by reset or
-/// by close, and answers on further connections. A request that is not idempotent
-/// is never begun twice, since the first server that read a part may run it; its
-/// caller learns `not-run` only if no byte was written or the server promised it.
+/// A server fails at one stage of the exchange, by reset or by close, and answers on further
+/// connections. A request that is not idempotent must not be sent twice, since a server that has
+/// read part of it may run it. Its outcome may be `not-run` only if no byte was written or the
+/// server has guaranteed that it did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_point_has_its_exact_outcome() {
     let fine = vec![Step::ReadRequest, Step::respond("fine")];
@@ -162,7 +162,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// The server does not listen: nothing can have run, and the caller may come back.
+/// The server does not listen: the outcome must be `not-run`, with `Retry-After`.
 #[tokio::test(flavor = "multi_thread")]
 async fn before_connect_nothing_ran() {
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -173,9 +173,9 @@
     insta::assert_snapshot!(summary(&answer), @"502 not-run retry 1 whole");
 }
 
-/// The server's queue of connections is full, so that connecting takes a second.
-/// Meanwhile the instance's leave to route ends, and another owner may have been
-/// named. The connection comes, and the request must not be written to it.
+/// The server's backlog is full, so that connecting takes about a second. In the meantime the
+/// instance's routing lease ends, and the key may have a new owner. Once connected, the request
+/// must not be written.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leave_that_ends_while_connecting_stops_the_write() {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -209,6 +209,6 @@
     assert_eq!(
         drain.await.unwrap(),
         0,
-        "bytes reached a server under an ended leave"
+        "a request was written after the routing lease had ended"
     );
 }
--- a/crates/citronproxy/tests/proofs.rs
+++ b/crates/citronproxy/tests/proofs.rs
@@ -1,17 +1,18 @@
-//! The tests that docs/PROOFS.md names exist.
+//! Checks that the tests named in docs/PROOFS.md exist.
 
 use std::{
     fs,
     path::{Path, PathBuf},
 };
 
+/// Numbered rows of the page.
 const PROOF_COUNT: usize = 8;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The tests of a package; the adapter lies beside the others.
+/// Folder of a package's tests. `platform` lies in the root, all other packages in `crates`.
 fn tests_folder(package: &str) -> PathBuf {
     let home = match package {
         "platform" => root(),
@@ -20,7 +21,7 @@
     home.join(package).join("tests")
 }
 
-/// The source of a test file, or of all files below a test folder.
+/// Source of a test file, or of all files below a test folder.
 fn source(package: &str, name: &str) -> String {
     let file = tests_folder(package).join(format!("{name}.rs"));
     if file.exists() {
@@ -42,7 +43,7 @@
     sources.collect()
 }
 
-/// What stands between backticks and names a test: `package/file: test`.
+/// References to tests in a text: `package/file: test` between backticks.
 fn test_references(text: &str) -> Vec<&str> {
     let quoted = text.split('`').skip(1).step_by(2);
     quoted
@@ -58,10 +59,10 @@
     for proof in proofs {
         assert!(
             !test_references(proof).is_empty(),
-            "a point without a test: {proof}"
+            "no test is named in: {proof}"
         );
     }
-    // A paragraph may break a line within a name.
+    // Lines are joined, since a paragraph may break a line within a name.
     let lines: Vec<&str> = page.lines().collect();
     for test in test_references(&lines.join(" ")) {
         let (place, function) = test.split_once(": ").unwrap();
--- a/crates/citronproxy/tests/race.rs
+++ b/crates/citronproxy/tests/race.rs
@@ -1,4 +1,4 @@
-//! Operators who edit the same rows at once, through different instances.
+//! Concurrent edits of the same rows through different instances, and when edits are in force.
 
 mod support;
 
@@ -16,14 +16,14 @@
     tokio::time::sleep,
 };
 
-/// An accepted edit is to be in force on every reachable instance by then.
+/// Time within which an accepted edit must be in force on every reachable instance.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(7);
-/// Operators at once.
+/// Concurrent operators.
 const OPERATOR_COUNT: u32 = 10;
-/// Edits that each of them tries.
+/// Edits that each operator attempts.
 const EDITS_PER_OPERATOR: u32 = 15;
 
-/// What an operator was told of one edit, whose weight no other edit has.
+/// Result of an edit as reported to the operator.
 #[derive(Debug, Clone)]
 enum EditOutcome {
     Accepted { revision: u64 },
@@ -32,10 +32,12 @@
     Unknown,
 }
 
+/// One edit, identified by a weight that no other edit sets.
 #[derive(Debug, Clone)]
 struct EditAttempt {
+    /// Name of the operator.
     by: String,
-    /// The row as the operator saw it.
+    /// Row that the operator read before the edit.
     row_before: Value,
     weight: u64,
     outcome: EditOutcome,
@@ -53,16 +55,20 @@
         },
         Ok((412, body)) => {
             let current = body["current"]["version"].as_u64();
-            assert!(current.is_some(), "the loser sees the row as it is: {body}");
+            assert!(
+                current.is_some(),
+                "no current version for the operator who lost: {body}"
+            );
             EditOutcome::Lost
         }
         Ok((503, _)) => EditOutcome::NotApplied,
-        // An instance that died leaves it open whether it had committed.
+        // An instance that was killed may or may not have committed.
         Ok((504, _)) | Err(_) => EditOutcome::Unknown,
         Ok((status, body)) => panic!("{status} {body}"),
     }
 }
 
+/// Reads and edits the three servers in turn, through all instances.
 async fn run_operator(number: u32, admins: Vec<SocketAddr>) -> Vec<EditAttempt> {
     let mut attempts = Vec::new();
     for edit in 0..EDITS_PER_OPERATOR {
@@ -86,6 +92,7 @@
     attempts
 }
 
+/// All history entries, read in pages.
 async fn history(ann: &Operator) -> Vec<Value> {
     let mut entries = Vec::new();
     let mut after = 0;
@@ -103,11 +110,10 @@
     }
 }
 
-/// Ten operators change the weights of the same three servers through three
-/// instances, while answers of commits are lost on their way from the platform
-/// and one instance is killed in the middle. Whoever is told "accepted" must
-/// find the edit in the history for good, whoever is told "lost" or "not
-/// applied" must not, and no accepted edit may undo another one unseen.
+/// Ten operators change the weights of the same three servers through three instances, while
+/// responses to commits are lost between platform and instances and one instance is killed.
+/// Edits reported as accepted must be in the history, those reported as lost or not applied must
+/// not, and no edit may overwrite another one that its operator had not read.
 #[tokio::test(flavor = "multi_thread")]
 async fn ten_operators_at_once_lose_no_accepted_edit_and_are_told_the_truth() {
     let platform = platform().await;
@@ -146,7 +152,7 @@
             .count()
     };
     println!(
-        "told: {} accepted, {} lost, {} unknown, {} not applied; {losses} answers lost",
+        "reported: {} accepted, {} lost, {} unknown, {} not applied; {losses} responses lost",
         count("Accepted"),
         count("Lost"),
         count("Unknown"),
@@ -154,19 +160,19 @@
     );
     assert!(
         count("Accepted") >= 10 && count("Lost") >= 10,
-        "a race took place"
+        "too few accepted or lost edits for a race"
     );
-    assert!(losses >= 3, "answers were lost");
+    assert!(losses >= 3, "too few lost responses");
 }
 
-/// Each change starts from the row that the change before it left, and the last
-/// one left what the table now holds.
+/// Checks that the history is in order and without gaps: each change starts from the row that the
+/// previous change left, and the last one left the row in the table.
 async fn check_history(ann: &Operator, entries: &[Value]) {
     let mut rows: BTreeMap<String, Value> = BTreeMap::new();
     let mut last = 0;
     for entry in entries {
         let revision = entry["revision"].as_u64().unwrap();
-        assert!(revision > last, "the history is in order");
+        assert!(revision > last, "the history is out of order");
         last = revision;
         for change in entry["changes"].as_array().unwrap() {
             let key = change["key"].as_str().unwrap().to_string();
@@ -177,10 +183,14 @@
     }
     for (key, row) in rows {
         let (_, now) = ann.get(&format!("/v1/rows/{key}")).await.unwrap();
-        assert_eq!(now["row"], row, "the table holds the last accepted edit");
+        assert_eq!(
+            now["row"], row,
+            "the table differs from the last accepted edit"
+        );
     }
 }
 
+/// Checks each reported outcome against the history.
 fn check_outcomes(attempts: &[EditAttempt], entries: &[Value]) {
     for attempt in attempts {
         let found: Vec<_> = entries
@@ -205,15 +215,15 @@
             let before = &entry["changes"][0]["before"];
             assert_eq!(
                 *before, attempt.row_before,
-                "an edit undid another one unseen"
+                "an edit overwrote another one that its operator had not read"
             );
         }
     }
 }
 
-/// The edit takes effect, but every answer of the platform is lost, also to the
-/// resends. The operator is told that the outcome is unknown, as either "done"
-/// or "not applied" would be a guess, and finds the edit in the history.
+/// An edit takes effect, but all responses of the platform are lost, also those to retries. The
+/// outcome must be reported as unknown, since the instance cannot know whether the edit was
+/// applied; the edit is in the history.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_edit_that_cannot_be_settled_is_told_unknown() {
     let platform = platform().await;
@@ -233,10 +243,10 @@
     assert_eq!(history(&ann).await.len(), 2);
 }
 
-/// One instance is cut off from the platform while edits are accepted through
-/// another one. The cut-off instance takes no edit, yet has every accepted one
-/// in force by relay from the other instance, and never goes back, neither then
-/// nor once it reaches the platform again.
+/// One instance is cut off from the platform while edits are accepted through another one. The
+/// cut-off instance must refuse edits, but must get every accepted edit in force by relay from
+/// the other instance. Its revision must never decrease, also when it reaches the platform
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_instance_catches_up_and_never_goes_back() {
     let platform = platform().await;
@@ -285,8 +295,8 @@
     );
 }
 
-/// An instance that reaches neither the platform nor another instance keeps what
-/// it has, says that it is not fresh, and catches up by itself.
+/// An instance that reaches neither the platform nor another instance must keep its revision,
+/// report that it is not fresh, and catch up by itself once it reaches the platform.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_cut_off_from_all_keeps_its_revision_and_catches_up() {
     let platform = platform().await;
@@ -315,26 +325,30 @@
     println!("caught up from the platform in {took:?}");
 }
 
-/// Polls until a revision is in force, checking that it never goes back.
+/// Polls until a revision is in force, and checks that the revision never decreases; returns the
+/// time that this took.
 async fn wait_for_revision(operator: &Operator, wanted: u64) -> Duration {
     let started = Instant::now();
     let mut last = 0;
     loop {
         let revision = operator.revision().await;
-        assert!(revision >= last, "went back from {last} to {revision}");
+        assert!(
+            revision >= last,
+            "the revision decreased from {last} to {revision}"
+        );
         last = revision;
         if revision >= wanted {
             return started.elapsed();
         }
         assert!(
             started.elapsed() < PROPAGATION_LIMIT,
-            "still at {revision}, not {wanted}"
+            "revision {revision} in force instead of {wanted}"
         );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// An accepted edit is in force on every instance within seconds.
+/// An accepted edit must be in force on every instance within `PROPAGATION_LIMIT`.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_edit_is_in_force_everywhere_in_time() {
     let platform = platform().await;
--- a/crates/citronproxy/tests/refused.rs
+++ b/crates/citronproxy/tests/refused.rs
@@ -1,5 +1,4 @@
-//! Requests that crash servers, counted over instances, and what an operator
-//! sees and does.
+//! Crash counts of requests over several instances, and how an operator lists and lifts them.
 
 mod support;
 
@@ -16,6 +15,7 @@
     tokio::time::sleep,
 };
 
+/// Path whose requests make the server reset the connection.
 const CRASHING_PATH: &str = "/kegs/a/poison";
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -33,13 +33,15 @@
     platform
 }
 
+/// Refused or counted requests as an instance lists them.
 async fn entries(operator: &Operator) -> Vec<Value> {
     let (status, body) = operator.get("/v1/refused").await.unwrap();
     assert_eq!(status, 200, "{body}");
     body["requests"].as_array().unwrap().clone()
 }
 
-/// Waits until an instance knows of so many crashes of one fingerprint.
+/// Waits until an instance reports this number of crashes for the first entry, where 0 also means
+/// no entry; returns the entry.
 async fn wait_for_crashes(operator: &Operator, crashes: u64) -> Value {
     let started = Instant::now();
     loop {
@@ -48,7 +50,10 @@
         if counted.unwrap_or(0) == crashes {
             return found.into_iter().next().unwrap_or_default();
         }
-        assert!(started.elapsed() < WAIT_TIMEOUT, "{found:?} of {crashes}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "{found:?} instead of {crashes} crashes"
+        );
         sleep(Duration::from_millis(25)).await;
     }
 }
@@ -61,11 +66,10 @@
     (reply.status.as_u16(), reply.header("citron-outcome"))
 }
 
-/// A caller's request resets its server's connection, and the caller sends it
-/// again through another instance each time: neither alone sees three crashes.
-/// Then both refuse it at once and the server sees it no more, while another
-/// request for the same key is served. An operator lifts the entry at one
-/// instance; the other one hears of it and sends the request on again.
+/// A request crashes its server three times, through two instances in turn, so that neither
+/// instance alone sees three crashes. Both must then refuse it before it reaches the server,
+/// while another request for the same key is served. An operator lifts the entry at one instance;
+/// the other must learn of the lift and forward the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashes_add_up_over_instances_and_an_operator_lifts_them() {
     let server = CrashingServer::start("poison").await;
@@ -84,7 +88,7 @@
         let crashes = number as u64 + 1;
         wait_for_crashes(&ann, crashes).await;
         wait_for_crashes(&bob, crashes).await;
-        // Connections that die together count as one crash.
+        // Resets that occur close together count as one crash.
         sleep(Duration::from_millis(550)).await;
     }
     assert_eq!(server.crashes(), 3);
--- a/crates/citronproxy/tests/replica.rs
+++ b/crates/citronproxy/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The copy of the table and its leave, step by step in time of its own.
+//! An instance's copy of the table and its routing lease, step by step in virtual time.
 
 use {
     citron_core::{
@@ -24,6 +24,7 @@
     }
 }
 
+/// Row of an instance.
 fn listed(name: &str, incarnation: u64, state: InstanceState) -> Row {
     let any = "127.0.0.1:1".parse().unwrap();
     Row::Instance(InstanceRow {
@@ -61,13 +62,14 @@
     }
 }
 
+/// Applies a read of the platform that started at `at` and took 100 ms.
 fn read(replica: &mut Replica, at: Time, changes: Changes) {
     replica.apply_read(at, at + SECOND / 10, changes).unwrap();
 }
 
-/// An instance reads the platform while its row is missing, is another start's,
-/// or is marked as expelled. A mover would not wait for it, so none of these
-/// reads may let it route.
+/// An instance reads the platform while its row is missing, belongs to another incarnation, or is
+/// marked as expelled. Movers do not wait for such an instance, so these reads must not extend
+/// its routing lease.
 #[test]
 fn reads_confirm_a_listed_start_only() {
     let cases = [
@@ -108,12 +110,15 @@
         } else {
             Time::ZERO
         };
-        assert_eq!(end, expected_end, "{name}: from the begin of the read");
+        assert_eq!(
+            end, expected_end,
+            "{name}: the lease counts from the start of the read"
+        );
     }
 }
 
-/// Answers arrive late and out of order, and one starts beyond this copy. The
-/// copy never goes back and takes nothing that leaves a gap.
+/// Answers arrive late and out of order, and one starts after the revision of the copy. The
+/// copy's revision must not decrease, and changes that leave a gap must be refused.
 #[test]
 fn a_copy_never_goes_back() {
     let mut replica = replica("entry-1");
@@ -131,7 +136,7 @@
     assert_eq!(replica.table().revision(), Revision(5));
 }
 
-/// A row is deleted, and an instance that missed it learns of it by relay.
+/// A row is deleted. An instance that has not read the deletion must learn of it by relay.
 #[test]
 fn deletions_are_relayed() {
     let mut near = replica("entry-1");
@@ -157,9 +162,9 @@
     assert_eq!(far.table().revision(), Revision(2));
 }
 
-/// An instance that no row lists is lent leave under revision 1. Until that has
-/// run out the lender does not settle revision 2, as the borrower may still
-/// route by revision 1 and no mover asks it. A listed one is asked itself.
+/// An instance that has no row is lent a lease under revision 1. Until that lease has ended, the
+/// lender must not report revision 2 as settled, since the borrower may still route by revision 1
+/// and movers request no acknowledgement from it. A listed borrower acknowledges itself.
 #[test]
 fn a_lender_answers_for_whom_nobody_lists() {
     for (borrower, holds_back) in [("entry-9", true), ("entry-2", false)] {
@@ -172,7 +177,11 @@
             any_domain: SECOND,
             age: SECOND / 2,
         };
-        assert_eq!(status.remaining, Some(remaining), "the rest only");
+        assert_eq!(
+            status.remaining,
+            Some(remaining),
+            "only the remaining lease is lent"
+        );
         read(&mut lender, now, changes(1, 2, vec![domain("port")]));
         assert!(lender.is_settled(Revision(1), now));
         assert_eq!(
@@ -187,8 +196,9 @@
     }
 }
 
-/// A relay rests on a read that was begun before this instance started. It is
-/// counted from then and not from the start, where it would last for longer.
+/// A relayed lease derives from a read that started before this instance did. The lease must
+/// count from the start of that read, not from the start of the instance, which would make it
+/// longer.
 #[test]
 fn relayed_leave_is_counted_from_the_platform_read() {
     let mut replica = replica("entry-1");
--- a/crates/citronproxy/tests/settings.rs
+++ b/crates/citronproxy/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings are checked whole, and errors name file, field, found and allowed.
+//! Settings are validated completely, and errors name the file, the field, the value found and
+//! the values allowed.
 
 use {citronproxy::settings::Settings, std::path::Path};
 
@@ -9,6 +10,7 @@
     "platform": "127.0.0.1:9000"
 }"#;
 
+/// Error message for invalid settings.
 fn error_of(text: &str) -> String {
     let read = Settings::read(Path::new("entry.json"), text.as_bytes());
     read.expect_err("refused").to_string()
--- a/crates/citronproxy/tests/shapes.rs
+++ b/crates/citronproxy/tests/shapes.rs
@@ -1,5 +1,4 @@
-//! Messages that two parsers could see differently, and what one caller may take
-//! up, over raw sockets.
+//! Requests with ambiguous framing, and limits for a single caller, over raw sockets.
 
 mod support;
 
@@ -16,8 +15,10 @@
     },
 };
 
+/// Time without data after which a response counts as ended.
 const READ_WAIT: Duration = Duration::from_millis(150);
-/// Would be a request of its own if the one before it were misread.
+/// Request that follows each message; it would be forwarded with the message if the end of the
+/// message were misread.
 const SMUGGLED: &str = "GET /kegs/smuggled HTTP/1.1\r\nhost: a\r\n\r\n";
 
 async fn start_server() -> ScriptedServer {
@@ -25,7 +26,8 @@
     ScriptedServer::start(vec![script]).await.unwrap()
 }
 
-/// Status, outcome, whether the connection ended, and what the server saw.
+/// Sends a message followed by `SMUGGLED`; returns status, outcome, whether the connection was
+/// closed, and what was passed on to the server.
 async fn send_message(head: &str, body: &str) -> String {
     let server = start_server().await;
     let path = DataPath::start(server.address);
@@ -63,10 +65,10 @@
     format!("{status} {outcome} {ended}, {passed}")
 }
 
-/// A caller sends a message of a doubtful shape, with another request right after
-/// it. Were it passed on, caller and server could disagree on where it ends, and
-/// the second request would be read as a part of it or the other way round. The
-/// last cases are in order and show that the check lets good messages through.
+/// A caller sends a message with ambiguous framing, followed by another request. If the message
+/// were passed on, instance and server could disagree on its end, and the second request could
+/// be taken for a part of the first or the reverse (request smuggling). The last cases are valid
+/// and must be passed on.
 #[tokio::test(flavor = "multi_thread")]
 async fn doubtful_shapes_are_refused() {
     const POST: &str = "POST /kegs/a HTTP/1.1\nhost: a\n";
@@ -213,8 +215,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Headers about the caller's connection stay with it: passed on, a server would
-/// act on them for a connection that other callers use.
+/// Hop-by-hop headers must not be passed on in either direction: a server would apply them to a
+/// connection that other callers share.
 #[tokio::test(flavor = "multi_thread")]
 async fn hop_by_hop_headers_are_not_passed_on() {
     let answer = "HTTP/1.1 200 OK\r\nconnection: x-hop\r\nx-hop: 1\r\nkeep-alive: timeout=9\r\nx-end: 2\r\ncontent-length: 0\r\n\r\n";
@@ -231,8 +233,8 @@
     }
 }
 
-/// A head of many bytes or lines, and a body beyond the limit, by its length and
-/// in chunks: each is refused before it takes up more.
+/// Heads with too many bytes or lines, and bodies over the limit, with a length or chunked, must
+/// be refused before they use more memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn sizes_are_limited() {
     let limits = Limits {
@@ -262,8 +264,8 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// A caller dribbles a head, another keeps its connection without a request:
-/// both are disconnected, a fast one is not.
+/// One caller sends a head byte by byte, another keeps a connection without a request. Both must
+/// be disconnected, while a fast request is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_heads_and_idle_connections_end() {
     let limits = Limits {
@@ -294,8 +296,8 @@
     );
 }
 
-/// A caller breaks off its chunked body. The request may be sent again by its
-/// method, but a part of a body must never be passed on as the whole.
+/// A chunked body ends early, by an invalid chunk or by disconnection. The method is idempotent,
+/// but the partial body must never be passed on as a complete one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_cut_short_is_not_passed_on_as_whole() {
     let server = start_server().await;
--- a/crates/citronproxy/tests/slo.rs
+++ b/crates/citronproxy/tests/slo.rs
@@ -1,4 +1,4 @@
-//! Counts for service-level objectives, from a request to the report's figures.
+//! Counts for service-level objectives, from requests to the gathered record.
 
 mod support;
 
@@ -43,7 +43,7 @@
     Recorder::new(instance, domain, handle.clone())
 }
 
-/// Traffic threads over one backend server; requests to `/kegs`.
+/// Starts traffic threads that route `/kegs` to one backend server.
 async fn traffic(memory: &MemoryPlatform) -> (SocketAddr, TrafficHandle) {
     let config = BackendConfig {
         name: "server-1".to_string(),
@@ -72,6 +72,7 @@
     (workers.address, handle)
 }
 
+/// Publishes the stored table under a lease that ends at `until`.
 async fn publish(memory: &MemoryPlatform, handle: &TrafficHandle, until: Time) {
     let store = IdempotentStore::new(memory.clone(), "control".to_string());
     let mut table = Table::default();
@@ -90,6 +91,7 @@
     });
 }
 
+/// Requests and failed requests of a record.
 fn total(record: &TallySeries) -> (u64, u64) {
     let entries = record.entries().map(|(_, _, tally)| tally);
     entries.fold((0, 0), |(total, failed), tally| {
@@ -97,6 +99,7 @@
     })
 }
 
+/// Record gathered from the pages of all instances, all of which must be readable.
 async fn gather_record(store: &impl ObjectStore) -> TallySeries {
     let burn = aggregate_pages(store).await.unwrap();
     assert_eq!(burn.unread, 0);
@@ -129,9 +132,9 @@
     LocalSet::new().run_until(run).await;
 }
 
-/// An instance is killed and started anew within the hour, while the object
-/// store is out of reach. What the first start had written must not be wiped
-/// out by what the second one writes, and nothing counted meanwhile is lost.
+/// An instance is killed and restarted within an hour, and the object store is unreachable after
+/// the restart. The page of the first process must not be overwritten by that of the second, and
+/// requests counted while the store was unreachable must not be lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replaced_instance_keeps_what_was_written() {
     let run = async {
@@ -160,8 +163,8 @@
     LocalSet::new().run_until(run).await;
 }
 
-/// Pages are written over after eight hours, so that the store does not grow
-/// with the time that an instance runs.
+/// Pages are overwritten after eight hours, so that the store does not grow with the running time
+/// of an instance.
 #[tokio::test]
 async fn an_instance_keeps_eight_pages() {
     let memory = MemoryPlatform::default();
--- a/crates/citronproxy/tests/support/admin.rs
+++ b/crates/citronproxy/tests/support/admin.rs
@@ -1,4 +1,4 @@
-//! An operator at the admin API.
+//! A client of the admin API.
 
 use {
     super::{Reply, TOKEN, call},
@@ -9,26 +9,31 @@
     std::{error::Error, net::SocketAddr, time::Duration},
 };
 
-/// Somebody who edits rows through one instance.
+/// An operator who calls the admin API of one instance.
 #[derive(Debug, Clone)]
 pub struct Operator {
+    /// Sent as `citron-operator`.
     pub name: String,
+    /// Admin address of the instance.
     pub admin: SocketAddr,
 }
 
+/// Status and JSON body of a response, or a transport error.
 pub type CallResult = Result<(u16, Value), Box<dyn Error + Send + Sync>>;
 
 impl Operator {
+    /// An operator of this name.
     pub fn new(name: &str, admin: SocketAddr) -> Self {
         let name = name.to_string();
         Self { name, admin }
     }
 
+    /// Sends a GET.
     pub async fn get(&self, path: &str) -> CallResult {
         self.send(Method::GET, path, &[], None).await
     }
 
-    /// Writes one row on condition of a version; 0 adds.
+    /// Writes one row on the condition that it has this version; 0 means that it must not exist.
     pub async fn put(&self, key: &str, version: u64, row: &Value) -> CallResult {
         let path = format!("/v1/rows/{key}");
         let tag = format!("\"{version}\"");
@@ -39,6 +44,7 @@
         self.send(Method::PUT, &path, &[condition], Some(row)).await
     }
 
+    /// Deletes one row on the condition that it has this version.
     pub async fn delete(&self, key: &str, version: u64) -> CallResult {
         let path = format!("/v1/rows/{key}");
         let tag = format!("\"{version}\"");
@@ -46,17 +52,19 @@
             .await
     }
 
+    /// Writes several rows in one edit, all or none.
     pub async fn edit(&self, rows: &[Value]) -> CallResult {
         let body = json!({ "rows": rows });
         self.send(Method::POST, "/v1/edits", &[], Some(&body)).await
     }
 
-    /// The revision in force at the instance.
+    /// Table revision in force at the instance.
     pub async fn revision(&self) -> u64 {
-        let (_, status) = self.get("/v1/status").await.expect("an answer");
+        let (_, status) = self.get("/v1/status").await.expect("a status response");
         status["revision"].as_u64().expect("a revision")
     }
 
+    /// Sends a request with the admin token; waits up to 30 s for the response.
     pub async fn send(
         &self,
         method: Method,
@@ -81,7 +89,7 @@
     }
 }
 
-/// A backend server of `kegs` in `harbour` that no test sends anything to.
+/// Row of a backend server of `kegs` in `harbour` to which no test sends requests.
 pub fn server_row(number: u16, weight: u32) -> Value {
     json!({
         "kind": "server", "name": format!("server-{number}"), "service": "kegs",
@@ -90,7 +98,7 @@
     })
 }
 
-/// An edit that adds a domain, a service and three servers.
+/// Rows of an edit that adds a domain, a service and three servers.
 pub fn starting_rows() -> Vec<Value> {
     let service = json!({
         "kind": "service", "name": "kegs", "operator": "authority", "prefix": "/kegs",
--- a/crates/citronproxy/tests/support/call.rs
+++ b/crates/citronproxy/tests/support/call.rs
@@ -1,4 +1,4 @@
-//! A caller of one request on a connection of its own.
+//! HTTP calls, each on a connection of its own.
 
 use {
     bytes::Bytes,
@@ -10,23 +10,26 @@
     tokio::net::TcpStream,
 };
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Reply {
+    /// Status code.
     pub status: StatusCode,
+    /// Header fields.
     pub headers: HeaderMap,
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// A header as text; empty if it is not there.
+    /// Value of a header; empty if the header is absent.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or("")
     }
 }
 
-/// Sends one request and reads the whole answer.
+/// Sends one request and reads the complete response.
 pub async fn call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -45,12 +48,12 @@
     })
 }
 
-/// A GET.
+/// Sends a GET request.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Reply, Box<dyn Error + Send + Sync>> {
     call(address, build(address, Method::GET, path, "", "")).await
 }
 
-/// A POST that carries a mark the backend server records.
+/// Sends a POST request with a `test-id`, which the backend server records.
 pub async fn post(
     address: SocketAddr,
     path: &str,
--- a/crates/citronproxy/tests/support/callers.rs
+++ b/crates/citronproxy/tests/support/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep asking, and what they were told.
+//! Callers that send requests continuously, and records of the responses.
 
 use {
     super::{Reply, post},
@@ -16,42 +16,48 @@
     },
 };
 
-/// How long a caller waits for an answer.
+/// Time for which a caller waits for a response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// The pause between two requests of one caller.
+/// Pause between two requests of one caller.
 const CALL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Makes the marks of all callers different.
+/// Number of the next caller; makes the request ids of all callers different.
 static NEXT_GROUP: AtomicU32 = AtomicU32::new(0);
 
-/// What one caller was told.
+/// One request of a caller and its response.
 #[derive(Debug, Clone)]
 pub struct CallRecord {
+    /// `test-id` of the request.
     pub id: String,
+    /// Number in the request's key.
     pub key: u32,
+    /// Traffic address of the called instance.
     pub instance: SocketAddr,
+    /// Time at which the request was sent.
     pub started: Instant,
+    /// Time until the complete response, or until the caller gave up.
     pub latency: Duration,
-    /// 0 if there was no answer.
+    /// Status code; 0 without a response.
     pub status: u16,
+    /// Value of `citron-outcome`; `none` without a response.
     pub outcome: String,
-    /// The answer's text, unless the request ran.
+    /// Text of an error response.
     pub reason: String,
 }
 
-/// Two callers at each instance, each with one non-idempotent request at a time.
+/// Two callers for each instance, each with one non-idempotent request at a time.
 pub struct Callers {
     stop: watch::Sender<bool>,
     tasks: JoinSet<Vec<CallRecord>>,
 }
 
 impl Callers {
-    /// Starts them; the keys are `bar-0` to `bar-(keys - 1)`.
+    /// Starts callers for the keys `bar-0` to `bar-(keys - 1)`.
     pub fn start(instances: &[SocketAddr], keys: u32) -> Self {
         Self::start_for_keys(instances, &(0..keys).collect::<Vec<_>>())
     }
 
-    /// Starts them for the keys of these numbers.
+    /// Starts callers for the keys with these numbers.
     pub fn start_for_keys(instances: &[SocketAddr], keys: &[u32]) -> Self {
         let stop = watch::Sender::default();
         let mut tasks = JoinSet::new();
@@ -66,13 +72,14 @@
         Self { stop, tasks }
     }
 
-    /// Lets every caller finish its request, and gives all that they were told.
+    /// Stops the callers after their present requests and returns all records.
     pub async fn stop(self) -> Vec<CallRecord> {
         self.stop.send_replace(true);
         self.tasks.join_all().await.concat()
     }
 }
 
+/// Sends requests for every other key until stopped.
 async fn run_caller(
     name: String,
     instance: SocketAddr,
@@ -120,9 +127,8 @@
     }
 }
 
-/// Checks what the servers ran against what the callers were told: nothing ran
-/// twice, nothing that was told not to have run did, and all that was told to
-/// have run did.
+/// Checks the reported outcomes against what the servers ran: no request ran twice, requests
+/// with the outcome `not-run` did not run, and those with `ran` did.
 pub fn check_outcomes(records: &[CallRecord], runs: &[Execution]) {
     let mut count: BTreeMap<&str, u32> = BTreeMap::new();
     for run in runs {
@@ -138,8 +144,8 @@
     }
 }
 
-/// Checks that no scope ever had two owners: once a run under an epoch has
-/// begun, none under a lower one begins or goes on.
+/// Checks that no scope had two owners at the same time: once a run under an epoch has started,
+/// no run under a lower epoch starts, and none continues on another server.
 pub fn check_single_owner(runs: &[Execution]) {
     let mut scopes: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
     for run in runs {
@@ -150,17 +156,20 @@
         for (number, later) in runs.iter().enumerate() {
             for earlier in &runs[..number] {
                 let order = earlier.epoch <= later.epoch;
-                assert!(order, "{scope}: {earlier:?} was before {later:?}");
+                assert!(
+                    order,
+                    "{scope}: epoch decreased from {earlier:?} to {later:?}"
+                );
                 let ended = earlier.end_us != 0 && earlier.end_us <= later.at_us;
                 let same = earlier.server == later.server;
-                assert!(same || ended, "{scope}: {earlier:?} ran on into {later:?}");
+                assert!(same || ended, "{scope}: {earlier:?} overlaps {later:?}");
             }
         }
     }
 }
 
-/// The longest time in which a key got no whole answer, between the first and
-/// the last request for it that were begun after `from`.
+/// Longest time without a successful response for a key: from `from` to the first one after it,
+/// or between two successive ones.
 pub fn longest_gap(records: &[CallRecord], from: Instant) -> Duration {
     let mut last: BTreeMap<u32, Instant> = BTreeMap::new();
     let mut longest = Duration::ZERO;
--- a/crates/citronproxy/tests/support/crashing_server.rs
+++ b/crates/citronproxy/tests/support/crashing_server.rs
@@ -1,4 +1,4 @@
-//! A backend server that drops the connection of some requests.
+//! A backend server that resets the connection of some requests.
 
 use {
     std::{
@@ -17,13 +17,16 @@
 
 const RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfine";
 
-/// Answers every request, but resets the connection of those whose path ends so.
+/// Server that answers every request, but resets the connection if the path ends with a given
+/// suffix.
 pub struct CrashingServer {
+    /// Address on which the server listens.
     pub address: SocketAddr,
     crashes: Arc<AtomicUsize>,
 }
 
 impl CrashingServer {
+    /// Starts a server that resets requests whose path ends with `poison_suffix`.
     pub async fn start(poison_suffix: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -40,13 +43,13 @@
         Self { address, crashes }
     }
 
-    /// Connections that were reset.
+    /// Number of connections that were reset.
     pub fn crashes(&self) -> usize {
         self.crashes.load(Ordering::SeqCst)
     }
 }
 
-/// The requests of these tests have no body.
+/// Reads requests and answers them; supports only requests without a body.
 async fn serve(
     mut stream: TcpStream,
     poison_suffix: &str,
--- a/crates/citronproxy/tests/support/data_path.rs
+++ b/crates/citronproxy/tests/support/data_path.rs
@@ -1,4 +1,4 @@
-//! The traffic threads within the test, under a table of its own.
+//! A traffic thread within the test process, routing by a table of the test's own.
 
 use {
     super::{SampleConfig, rows::sample_rows},
@@ -20,15 +20,20 @@
     },
 };
 
-/// How long a test waits for anything.
+/// Time after which a test fails that waits for an event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One traffic thread and what control would do for it.
+/// One traffic thread; the test publishes the snapshots that control would publish.
 pub struct DataPath {
+    /// Traffic address.
     pub address: SocketAddr,
+    /// Control's handle to the thread.
     pub handle: TrafficHandle,
+    /// Clock of the leases.
     pub clock: Clock,
+    /// The running thread.
     pub workers: Workers,
+    /// Rows of the next published snapshot.
     pub rows: Vec<Row>,
 }
 
@@ -38,7 +43,7 @@
         Self::start_with(server, Limits::default(), |_| {})
     }
 
-    /// As [`Self::start`], with limits and changed rows.
+    /// As [`Self::start`], with limits, and with rows changed by `edit`.
     pub fn start_with(server: SocketAddr, limits: Limits, edit: impl Fn(&mut Row)) -> Self {
         let servers = vec![("server-1".to_string(), "harbour".to_string(), server)];
         let fencing = Fencing::Checked;
@@ -60,7 +65,7 @@
         path
     }
 
-    /// Publishes the rows under a revision, with a leave of this length.
+    /// Publishes the rows as a revision, with a routing lease of this length.
     pub fn publish(&self, revision: u64, lease: Duration) {
         let now = self.clock.now();
         self.handle.publish(Snapshot {
@@ -74,11 +79,11 @@
         });
     }
 
-    /// Sends bytes on a new connection and reads until its end, or until nothing
-    /// came for `wait`.
+    /// Sends bytes on a new connection and reads until it is closed, or until nothing has
+    /// arrived for `wait`.
     pub async fn send_raw(&self, bytes: &[u8], wait: Duration) -> String {
         let mut stream = TcpStream::connect(self.address).await.expect("connects");
-        // The instance may refuse and close before it has read all.
+        // The instance may refuse the request and close before it has read all bytes.
         let _ = stream.write_all(bytes).await;
         read_all(&mut stream, wait).await
     }
@@ -94,11 +99,11 @@
         rows: rows.collect(),
     };
     let mut table = Table::default();
-    table.apply(changes).expect("no gap");
+    table.apply(changes).expect("changes from revision 0 apply");
     table
 }
 
-/// Reads until the end, or until nothing came for `wait`.
+/// Reads until the connection is closed, or until nothing has arrived for `wait`.
 pub async fn read_all(stream: &mut TcpStream, wait: Duration) -> String {
     let mut text = Vec::new();
     let mut buffer = [0; 16 * 1_024];
--- a/crates/citronproxy/tests/support/deployment.rs
+++ b/crates/citronproxy/tests/support/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment of stand-ins and instances, small enough for a test.
+//! A small deployment: a test platform, test backend servers and real instances.
 
 use {
     super::{Instance, SampleConfig, commit_rows, domain_row, get, sample_rows},
@@ -19,29 +19,32 @@
     tokio::{task::JoinSet, time::sleep},
 };
 
-/// How long a test waits for anything.
+/// Time after which a test fails that waits for an event.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A platform and backend servers.
 pub struct Deployment {
+    /// The platform.
     pub platform: PlatformServer,
+    /// Backend servers `server-1` and so on.
     pub servers: Vec<BackendServer>,
 }
 
-/// Any free port of this machine.
+/// Loopback address with port 0, for any free port.
 pub fn any_address() -> SocketAddr {
     "127.0.0.1:0".parse().expect("an address")
 }
 
 impl Deployment {
-    /// Starts one server for each failure domain that is named, `server-1` on.
+    /// Starts one server for each entry of `domains`, named `server-1` and so on, with requests
+    /// that run for 2 ms and a deadline of 3 s.
     pub async fn start(domains: &[&str], fencing: Fencing, grace: Duration) -> Self {
         let work = Duration::from_millis(2);
         let deadline = Duration::from_secs(3);
         Self::start_with(domains, fencing, [grace, deadline, work]).await
     }
 
-    /// As [`Self::start`]; a request runs for `work` and may take `deadline`.
+    /// As [`Self::start`], with the service's grace and deadline, and the run time of a request.
     pub async fn start_with(
         domains: &[&str],
         fencing: Fencing,
@@ -86,19 +89,19 @@
         Self { platform, servers }
     }
 
-    /// All that the servers ran.
+    /// All requests that the servers ran.
     pub fn runs(&self) -> Vec<Execution> {
         let runs = self.servers.iter().map(|server| server.executions.all());
         runs.collect::<Vec<_>>().concat()
     }
 
-    /// The table as the platform holds it, whatever its faults.
+    /// The platform's table, read directly from its memory and so in spite of injected faults.
     pub async fn changes(&self) -> Changes {
         let wire = self.platform.memory.changes(0).await.expect("in memory");
         wire.try_into().expect("valid rows")
     }
 
-    /// Shards that a server owns or is giving up.
+    /// Number of shards that a server owns or is releasing.
     pub async fn shards_of(&self, server: &str) -> usize {
         let server: ServerName = server.parse().expect("a name");
         let rows = self.changes().await.rows;
@@ -110,7 +113,7 @@
         shards.filter(|shard| shard.owner == server).count()
     }
 
-    /// Shards that are changing hands.
+    /// Number of shards that are being released.
     pub async fn moving_shards(&self) -> usize {
         let rows = self.changes().await.rows;
         let blocks = rows.into_iter().filter_map(|(_, _, row)| match row {
@@ -122,7 +125,7 @@
         shards.filter(|shard| moving(&shard.phase)).count()
     }
 
-    /// The key numbers below `keys` that a server owns.
+    /// Numbers below `keys` whose keys a server owns.
     pub async fn keys_of(&self, server: &str, keys: u32) -> Vec<u32> {
         let server: ServerName = server.parse().expect("a name");
         let rows = self.changes().await.rows;
@@ -139,21 +142,21 @@
         (0..keys).filter(owned).collect()
     }
 
-    /// Waits until a server owns nothing; tells how long that took.
+    /// Waits until a server owns no shards; returns the time that this took.
     pub async fn wait_until_empty(&self, server: &str) -> Duration {
         let started = Instant::now();
         while self.shards_of(server).await > 0 {
             let left = self.shards_of(server).await;
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "{server} still owns {left}"
+                "{server} still owns {left} shards"
             );
             sleep(Duration::from_millis(10)).await;
         }
         started.elapsed()
     }
 
-    /// Sets a server's row to draining, as an operator does.
+    /// Sets a server's row to draining, as an operator would.
     pub async fn drain(&self, server: &str) {
         let set_draining = |row: &mut Row| match row {
             Row::Server(row) if row.name.id() == server => {
@@ -166,7 +169,7 @@
             .await;
     }
 
-    /// States that a failure domain is dead, as an operator does.
+    /// Declares a failure domain lost, as the operator `by` would.
     pub async fn declare_lost(&self, domain: &str, by: &str) {
         let set_lost = |row: &mut Row| match row {
             Row::Domain(row) if row.name.as_str() == domain => {
@@ -179,7 +182,7 @@
         self.update_row(&format!("lost/{domain}"), set_lost).await;
     }
 
-    /// Changes the row that `change` takes.
+    /// Commits the first row for which `change` returns true, as changed by it.
     async fn update_row(&self, writer: &str, change: impl Fn(&mut Row) -> bool) {
         let store = IdempotentStore::new(self.platform.memory.clone(), writer.to_string());
         let rows = self.changes().await.rows;
@@ -192,7 +195,7 @@
             })
         });
         let commit = Commit {
-            writes: vec![found.expect("the row")],
+            writes: vec![found.expect("a row to change")],
             history: None,
         };
         let answer = store.commit(commit).await.expect("in memory");
@@ -207,7 +210,7 @@
     }
 }
 
-/// Waits until an instance answers requests for keys of all servers.
+/// Waits until an instance serves 24 keys, which are spread over all servers.
 pub async fn wait_until_serving(instance: SocketAddr) {
     let started = Instant::now();
     let mut keys = JoinSet::new();
--- a/crates/citronproxy/tests/support/embedded.rs
+++ b/crates/citronproxy/tests/support/embedded.rs
@@ -1,4 +1,4 @@
-//! An instance within the test, whose state the test can look at.
+//! An instance within the test process, whose state the test can read.
 
 use {
     super::any_address,
@@ -12,14 +12,16 @@
     prometheus::Registry,
 };
 
-/// One traffic thread and control, which runs in the test's `LocalSet`.
+/// An instance of one traffic thread, and control in the test's `LocalSet`.
 pub struct EmbeddedInstance {
+    /// Control tasks.
     pub control: Control<IdempotentStore<MemoryPlatform>>,
+    /// Traffic thread.
     pub workers: Workers,
 }
 
 impl EmbeddedInstance {
-    /// Starts it over the platform's memory.
+    /// Starts an instance that accesses the platform's memory directly.
     pub async fn start(name: &str, domain: &str, memory: &MemoryPlatform) -> Self {
         let (handle, clock) = (TrafficHandle::default(), Clock::start());
         let workers = traffic::start(any_address(), 1, &handle, clock).expect("threads start");
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Slots of a server that it may take, if it has worked that out.
+    /// This instance's share of a server's slots, once it has been computed.
     pub fn slots_of(&self, server: &str) -> Option<f64> {
         let server = server.parse().expect("a name");
         let parts = self.control.node().quotas();
--- a/crates/citronproxy/tests/support/instance.rs
+++ b/crates/citronproxy/tests/support/instance.rs
@@ -1,4 +1,4 @@
-//! An instance as a process of its own.
+//! An instance as a separate process.
 
 use std::{
     fs,
@@ -9,27 +9,31 @@
     sync::atomic::{AtomicU32, Ordering},
 };
 
-/// The admin token of every instance.
+/// Admin token of every instance.
 pub const TOKEN: &str = "a-token-for-tests";
 
+/// Number of the next settings file.
 static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// A running instance; killed when dropped.
+/// A running instance process; killed when dropped.
 pub struct Instance {
+    /// Address for traffic.
     pub traffic: SocketAddr,
+    /// Address of the admin API.
     pub admin: SocketAddr,
+    /// Address for calls from other instances.
     pub peer: SocketAddr,
     child: Child,
     file: PathBuf,
 }
 
 impl Instance {
-    /// Starts the binary with settings of its own and waits for its addresses.
+    /// Starts the binary with a new settings file and waits until it prints its addresses.
     pub fn start(name: &str, domain: &str, platform: SocketAddr) -> Self {
         Self::start_with(name, domain, platform, "")
     }
 
-    /// As [`Self::start`], with more settings, each as `, "name": value`.
+    /// As [`Self::start`], with extra settings, each as `, "name": value`.
     pub fn start_with(
         name: &str,
         domain: &str,
@@ -48,10 +52,10 @@
         }
     }
 
-    /// Starts the binary and waits for its end: its exit code and what it said.
+    /// Starts the binary, which must exit by itself; returns its exit code and standard error.
     pub fn start_refused(name: &str, domain: &str, platform: SocketAddr) -> (Option<i32>, String) {
         let (file, child) = spawn(name, domain, platform, "", Stdio::piped());
-        let output = child.wait_with_output().expect("its end");
+        let output = child.wait_with_output().expect("the exit of the instance");
         let _ = fs::remove_file(file);
         let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
         (output.status.code(), stderr_text)
@@ -85,42 +89,42 @@
 }
 
 impl Instance {
-    /// The process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks the process to leave, as the platform does.
+    /// Sends SIGTERM, with which the platform asks an instance to leave.
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
     fn signal(&self, signal: libc::c_int) {
         let pid = libc::pid_t::try_from(self.pid()).expect("a process id");
-        // SAFETY: it sends a signal to a process that this value owns and has
-        // not waited for, so that the id cannot belong to another process.
-        #[allow(unsafe_code, reason = "the standard library sends no signals")]
+        // SAFETY: `kill` has no memory effects. The signal goes to a child process that has not
+        // been waited for, so that its id cannot have been reused for another process.
+        #[allow(unsafe_code, reason = "the standard library cannot send signals")]
         let sent = unsafe { libc::kill(pid, signal) };
         assert_eq!(sent, 0);
     }
 
-    /// The exit code, once the process has ended by itself.
+    /// Exit code, once the process has exited by itself.
     pub fn exit_code(&mut self) -> Option<i32> {
         let ended = self.child.try_wait().expect("a child");
         ended.and_then(|status| status.code())
     }
 
-    /// Ends the process as `kill -9` does.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -138,7 +142,7 @@
     loop {
         let mut line = String::new();
         let read = lines.read_line(&mut line).expect("a line");
-        assert!(read > 0, "the instance ended without an address");
+        assert!(read > 0, "the instance exited before it printed an address");
         if let Some(address) = line.trim().strip_prefix(label) {
             return address.parse().expect("an address");
         }
--- a/crates/citronproxy/tests/support/mod.rs
+++ b/crates/citronproxy/tests/support/mod.rs
@@ -1,6 +1,10 @@
-//! A small deployment for tests: stand-ins within the test, instances as real
-//! processes. Everything ends with the value that holds it.
-#![allow(dead_code, unused_imports, reason = "each test file uses its own part")]
+//! A small deployment for tests: platform and backend servers run within the test process,
+//! instances as separate processes. Everything stops when the value that holds it is dropped.
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test file uses a different part"
+)]
 
 mod admin;
 mod call;
--- a/crates/citronproxy/tests/support/relay.rs
+++ b/crates/citronproxy/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in front of the platform that cuts one instance off.
+//! A TCP relay in front of the platform, with which a test disconnects one instance.
 
 use {
     std::net::SocketAddr,
@@ -9,13 +9,16 @@
     },
 };
 
-/// Passes connections on while open; closing cuts those under way as well.
+/// TCP relay that forwards connections while open. Closing the relay also closes established
+/// connections.
 pub struct Relay {
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     open: watch::Sender<bool>,
 }
 
 impl Relay {
+    /// Starts an open relay to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -28,6 +31,7 @@
         Self { address, open }
     }
 
+    /// Opens or closes the relay.
     pub fn set_open(&self, open: bool) {
         self.open.send_replace(open);
     }
--- a/crates/citronproxy/tests/support/rows.rs
+++ b/crates/citronproxy/tests/support/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of a small deployment.
+//! Table rows of a small deployment.
 
 use {
     citron_core::{
@@ -13,16 +13,16 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What a sample deployment looks like.
+/// Backend servers of a sample deployment.
 pub struct SampleConfig {
-    /// Backend servers: name, failure domain, address.
+    /// Name, failure domain and address of each server.
     pub servers: Vec<(String, String, SocketAddr)>,
-    /// Whether they check grants.
+    /// Whether the servers check grants.
     pub fencing: Fencing,
 }
 
-/// A service `kegs` under `/kegs`, keyed by the second path segment, with 64
-/// shards dealt out in turn.
+/// Rows of a service `kegs` under `/kegs`, keyed by the second path segment, with its servers
+/// and 64 shards that are assigned to them in turn.
 pub fn sample_rows(config: &SampleConfig) -> Vec<Row> {
     let shard_bits = ShardBits::new(6).expect("few shards");
     let service = ServiceRow {
@@ -76,7 +76,7 @@
     rows
 }
 
-/// A failure domain without confirmers.
+/// Row of a live failure domain without confirmers.
 pub fn domain_row(name: &str) -> Row {
     Row::Domain(DomainRow {
         name: name.parse().expect("a name"),
@@ -85,7 +85,7 @@
     })
 }
 
-/// Writes rows that are not there yet.
+/// Adds rows, none of which may exist yet.
 pub async fn commit_rows(memory: &MemoryPlatform, writer: &str, rows: Vec<Row>) {
     let store = IdempotentStore::new(memory.clone(), writer.to_string());
     let writes = rows.into_iter().map(|row| Write {
@@ -97,6 +97,6 @@
         writes: writes.collect(),
         history: None,
     };
-    let answer = store.commit(commit).await.expect("the stand-in is up");
+    let answer = store.commit(commit).await.expect("the platform is up");
     assert!(matches!(answer, CommitOutcome::Committed(_)), "{answer:?}");
 }
