--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -202,10 +202,10 @@
     let faults = async {
         let (address, _) = host().await;
         let peers = PeerClient::default();
-        let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let gone = nobody.local_addr().unwrap();
-        drop(nobody);
-        let refused = peers.status(gone).await;
+        let closed_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let unused_address = closed_listener.local_addr().unwrap();
+        drop(closed_listener);
+        let refused = peers.status(unused_address).await;
         assert!(matches!(refused, Err(PeerError::Connect(_))), "{refused:?}");
 
         let link = Link::start(address).await.unwrap();
