--- a/crates/core/tests/alternatives/cluster.rs
+++ b/crates/core/tests/alternatives/cluster.rs
@@ -24,8 +24,8 @@
 pub const SHARD_COUNT: usize = 256;
 /// Distinct keys of the service.
 pub const KEY_COUNT: usize = 10_000;
-/// Request deadline of the service: an upper bound for the last request that an unreachable
-/// instance has sent.
+/// Request deadline of the service: an upper bound for the run time of the last request that an
+/// unreachable instance has sent.
 pub const DEADLINE: Duration = Duration::from_secs(2);
 /// Base-two logarithm of the shard count.
 const SHARD_BITS: u8 = 8;
--- a/crates/core/tests/alternatives/driver.rs
+++ b/crates/core/tests/alternatives/driver.rs
@@ -28,7 +28,7 @@
 /// Interval between plans for balance. A change of the set of usable servers is planned for
 /// without delay.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after the fault at which an instance that is no longer running is expelled.
+/// Time after the fault at which a lost instance, which the platform no longer lists, is expelled.
 const EXPEL_AFTER: Duration = Duration::from_secs(10);
 
 /// Control loop of the leading instance, under the protocol rules `R`.
