--- a/crates/citronproxy/tests/exchange.rs
+++ b/crates/citronproxy/tests/exchange.rs
@@ -246,7 +246,7 @@
 /// A move does not end within the short wait for it. The request must be refused then, well
 /// before its deadline, as not run and with `Retry-After`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_move_that_lasts_is_told() {
+async fn a_request_during_a_long_move_is_refused() {
     let server = ScriptedServer::start(vec![vec![Step::Hang]]).await.unwrap();
     let mut path = DataPath::start(server.address);
     let releasing = Phase::Releasing { to: server_1() };
@@ -265,7 +265,7 @@
 /// complete response; a server without requests is quiescent at once. The request's load is
 /// reported once.
 #[tokio::test(flavor = "multi_thread")]
-async fn quiet_waits_for_requests_under_way() {
+async fn quiescence_waits_for_requests_in_progress() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nha";
     let pause = Step::Pause(SHORT_WAIT);
     let script = vec![
--- a/crates/citronproxy/tests/faults.rs
+++ b/crates/citronproxy/tests/faults.rs
@@ -89,7 +89,7 @@
 /// a server's shards move away. When resumed, it reads the requests while its old map is still in
 /// force. It must not send them to the old owner, which does not check epochs.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_instance_wakes_up_without_leave() {
+async fn a_paused_instance_resumes_without_a_lease() {
     let times = [SECOND, SECOND, Duration::from_millis(2)];
     let deployment = Deployment::start_with(&["harbour"; 3], Fencing::Unchecked, times).await;
     let names = ["entry-1", "entry-2", "entry-3"];
--- a/crates/citronproxy/tests/limits.rs
+++ b/crates/citronproxy/tests/limits.rs
@@ -174,7 +174,7 @@
 /// Control gives this instance a quota of two of a server's four slots, which it must not
 /// exceed. Its demand is reported.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_part_of_the_slots_is_kept_to() {
+async fn a_quota_of_the_slots_is_not_exceeded() {
     let server = start_slow(Duration::from_millis(400)).await;
     let path = start_path(&server, 4, None);
     let quota = ServerQuota {
--- a/crates/citronproxy/tests/moves.rs
+++ b/crates/citronproxy/tests/moves.rs
@@ -76,7 +76,7 @@
 /// report the old one quiescent. Every request must succeed and run once, and none may start at
 /// the old owner after that report, where it would overlap with requests at the new owner.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_request_reaches_an_owner_that_was_quiet() {
+async fn no_request_reaches_an_owner_that_was_quiescent() {
     let servers = [backend("server-1").await, backend("server-2").await];
     let names: [ServerName; 2] = ["server-1".parse().unwrap(), "server-2".parse().unwrap()];
     let mut path = DataPath::start_with(servers[0].address, Limits::default(), |_| {});
--- a/crates/citronproxy/tests/parts.rs
+++ b/crates/citronproxy/tests/parts.rs
@@ -43,7 +43,7 @@
 /// requests, so its share must be kept while its last report is valid, for 2 s. After that it
 /// must keep an even share while it is in the table; only then may `entry-1` use all four slots.
 #[tokio::test]
-async fn a_part_follows_demand_and_is_handed_on_when_it_has_lapsed() {
+async fn a_share_follows_demand_and_is_reassigned_when_it_has_expired() {
     LocalSet::new().run_until(run_shared()).await;
 }
 
--- a/crates/citronproxy/tests/peer.rs
+++ b/crates/citronproxy/tests/peer.rs
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn everything_arrives_as_it_was_told() {
+async fn all_messages_arrive_as_sent() {
     let calls = async {
         let (address, host) = host().await;
         let peers = PeerClient::default();
--- a/crates/citronproxy/tests/points.rs
+++ b/crates/citronproxy/tests/points.rs
@@ -177,7 +177,7 @@
 /// instance's routing lease ends, and the key may have a new owner. Once connected, the request
 /// must not be written.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leave_that_ends_while_connecting_stops_the_write() {
+async fn a_lease_that_ends_while_connecting_stops_the_write() {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
--- a/crates/citronproxy/tests/race.rs
+++ b/crates/citronproxy/tests/race.rs
@@ -115,7 +115,7 @@
 /// Edits reported as accepted must be in the history, those reported as lost or not applied must
 /// not, and no edit may overwrite another one that its operator had not read.
 #[tokio::test(flavor = "multi_thread")]
-async fn ten_operators_at_once_lose_no_accepted_edit_and_are_told_the_truth() {
+async fn ten_concurrent_operators_lose_no_accepted_edit_and_get_true_outcomes() {
     let platform = platform().await;
     let names = ["entry-1", "entry-2", "entry-3"];
     let mut instances = names.map(|name| Instance::start(name, "harbour", platform.address));
@@ -225,7 +225,7 @@
 /// outcome must be reported as unknown, since the instance cannot know whether the edit was
 /// applied; the edit is in the history.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edit_that_cannot_be_settled_is_told_unknown() {
+async fn an_edit_with_unknown_result_is_reported_as_unknown() {
     let platform = platform().await;
     let instance = Instance::start("entry-1", "harbour", platform.address);
     let ann = Operator::new("ann", instance.admin);
--- a/crates/citronproxy/tests/replica.rs
+++ b/crates/citronproxy/tests/replica.rs
@@ -166,7 +166,7 @@
 /// lender must not report revision 2 as settled, since the borrower may still route by revision 1
 /// and movers request no acknowledgement from it. A listed borrower acknowledges itself.
 #[test]
-fn a_lender_answers_for_whom_nobody_lists() {
+fn a_lender_acknowledges_for_unlisted_borrowers() {
     for (borrower, holds_back) in [("entry-9", true), ("entry-2", false)] {
         let mut lender = replica("entry-1");
         let rows = ["entry-1", "entry-2"].map(|name| listed(name, 1, InstanceState::Live));
@@ -200,7 +200,7 @@
 /// count from the start of that read, not from the start of the instance, which would make it
 /// longer.
 #[test]
-fn relayed_leave_is_counted_from_the_platform_read() {
+fn relayed_lease_is_counted_from_the_platform_read() {
     let mut replica = replica("entry-1");
     let remaining = RemainingLease {
         any_domain: SECOND / 4,
